--- a/Source/Admission/AdmissionController.cpp
+++ b/Source/Admission/AdmissionController.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-std::string text(RefusalReason Reason) {
+std::string refusalText(RefusalReason Reason) {
   switch (Reason) {
   case RefusalReason::DeadlineOutOfReach:
     return "the queue is too long for the deadline";
@@ -50,16 +50,18 @@
   return "it can't be served before its deadline any more";
 }
 
-double AdmissionController::wait(double CostAhead) const {
-  return CostAhead / static_cast<double>(Parallel);
+double AdmissionController::estimatedWait(double CostAhead) const {
+  return CostAhead / static_cast<double>(LastConcurrency);
 }
 
 Refusal AdmissionController::refuse(QueuedRequest Request, RefusalReason Reason,
                                     double Wait, Millis Now) {
   ++counterOf(Counts, Reason);
-  const double Pace = Request.Cost / (static_cast<double>(Parallel) *
-                                      Order->portion(Request.Organisation));
-  const Millis RetryAfter = Returns.book(Request.Organisation, Wait, Pace, Now);
+  const double Pace =
+      Request.Cost / (static_cast<double>(LastConcurrency) *
+                      Discipline->expectedShare(Request.Organisation));
+  const Millis RetryAfter =
+      RetryTimes.reserve(Request.Organisation, Wait, Pace, Now);
   return {std::move(Request), Reason, RetryAfter};
 }
 
@@ -67,10 +69,10 @@
 AdmissionController::refuseOnArrival(const QueuedRequest &Request, Millis Now) {
   // With nothing running the estimate may be as old as the last overload.
   // Whoever comes then is let through, else nobody would ever correct it.
-  if (Running == 0 && Order->size() == 0)
+  if (Running == 0 && Discipline->size() == 0)
     return std::nullopt;
   const double Wait =
-      wait(Order->costAhead(Request.Organisation, Request.Kind));
+      estimatedWait(Discipline->costAhead(Request.Organisation, Request.Kind));
   const double Late =
       (Wait + Request.Cost) * Margin - span(Now, Request.DeadlineAt);
   if (Late > 0)
@@ -78,50 +80,51 @@
   return std::nullopt;
 }
 
-std::vector<Refusal> AdmissionController::arrive(QueuedRequest Request,
-                                                 Millis Now) {
+std::vector<Refusal> AdmissionController::admit(QueuedRequest Request,
+                                                Millis Now) {
   ++Counts.Arrived;
   Request.ArrivedAt = Now;
-  Request.Cost = Costs.of(Request.Kind);
+  Request.Cost = Costs.holdTime(Request.Kind);
   std::vector<Refusal> Out;
   if (auto Refused = refuseOnArrival(Request, Now)) {
     Out.push_back(std::move(*Refused));
     return Out;
   }
-  if (Order->size() >= std::max<std::size_t>(QueueLimit, 1)) {
-    const double Wait =
-        wait(Order->costAhead(Request.Organisation, Request.Kind));
-    const auto Victim = Order->displacedBy(Request.Organisation);
+  if (Discipline->size() >= std::max<std::size_t>(QueueLimit, 1)) {
+    const double Wait = estimatedWait(
+        Discipline->costAhead(Request.Organisation, Request.Kind));
+    const auto Victim = Discipline->displacementVictim(Request.Organisation);
     if (!Victim) {
       Out.push_back(
           refuse(std::move(Request), RefusalReason::QueueFull, Wait, Now));
       return Out;
     }
-    if (auto Removed = Order->remove(*Victim))
+    if (auto Removed = Discipline->remove(*Victim))
       Out.push_back(
           refuse(std::move(*Removed), RefusalReason::Displaced, Wait, Now));
   }
-  Order->push(std::move(Request));
+  Discipline->push(std::move(Request));
   return Out;
 }
 
 std::optional<QueuedRequest>
-AdmissionController::next(const QueueDiscipline::Fits &CanRun, Millis Now,
-                          std::vector<Refusal> &GivenUp) {
-  while (auto Found = Order->pop(CanRun)) {
+AdmissionController::next(const QueueDiscipline::RunnablePredicate &CanRun,
+                          Millis Now, std::vector<Refusal> &GivenUp) {
+  while (auto Found = Discipline->pop(CanRun)) {
     const double Left = span(Now, Found->DeadlineAt);
     const bool TooLate =
-        Left <= 0 || (Running > 0 && Costs.of(Found->Kind) * Margin > Left);
+        Left <= 0 ||
+        (Running > 0 && Costs.holdTime(Found->Kind) * Margin > Left);
     if (TooLate) {
       // Sending it would spend a connection on an answer that nobody waits
       // for any more.
-      Order->finished(*Found, 0);
+      Discipline->complete(*Found, 0);
       GivenUp.push_back(
           refuse(std::move(*Found), RefusalReason::GivenUp, 0, Now));
       continue;
     }
     ++Running;
-    Parallel = Running;
+    LastConcurrency = Running;
     ++Counts.Sent;
     const Millis Waited = Now - Found->ArrivedAt;
     Counts.TotalWait += Waited;
@@ -131,26 +134,27 @@
   return std::nullopt;
 }
 
-void AdmissionController::finished(const QueuedRequest &Request,
+void AdmissionController::complete(const QueuedRequest &Request,
                                    std::optional<double> Spent) {
   if (Running > 0)
     --Running;
   if (Spent)
     Costs.observe(Request.Kind, *Spent);
-  Order->finished(Request, Spent.value_or(0));
+  Discipline->complete(Request, Spent.value_or(0));
 }
 
-std::vector<Refusal> AdmissionController::giveUp(Millis Now) {
+std::vector<Refusal> AdmissionController::shedUnservable(Millis Now) {
   std::vector<Refusal> Out;
-  for (const auto &Each : Order->waiting()) {
+  for (const auto &Each : Discipline->waiting()) {
     // What waits was estimated on arrival; the pace of now decides.
-    const double Cost = Costs.of(Each.Request.Kind);
-    const double Wait = wait(Each.Cost) * Cost / Each.Request.Cost;
+    const double Cost = Costs.holdTime(Each.Request.Kind);
+    const double Wait =
+        estimatedWait(Each.CostAhead) * Cost / Each.Request.Cost;
     const double Late = Wait + Cost - span(Now, Each.Request.DeadlineAt);
     const bool Overdue = Each.Request.DeadlineAt <= Now;
     if (!Overdue && (Late <= 0 || Running == 0))
       continue;
-    if (Order->remove(Each.Request.Id))
+    if (Discipline->remove(Each.Request.Id))
       Out.push_back(refuse(Each.Request, RefusalReason::GivenUp,
                            std::max(Late, 0.0), Now));
   }
--- a/Source/Admission/AdmissionController.h
+++ b/Source/Admission/AdmissionController.h
@@ -19,9 +19,9 @@
 #ifndef CORIANDERDYKE_ADMISSION_ADMISSIONCONTROLLER_H
 #define CORIANDERDYKE_ADMISSION_ADMISSIONCONTROLLER_H
 
-#include "Admission/CostEstimate.h"
+#include "Admission/HoldTimeEstimate.h"
 #include "Admission/QueueDiscipline.h"
-#include "Admission/ReturnTimes.h"
+#include "Admission/RetrySchedule.h"
 
 #include <memory>
 
@@ -35,7 +35,7 @@
 };
 
 /// The reason as callers are told it.
-std::string text(RefusalReason Reason);
+std::string refusalText(RefusalReason Reason);
 
 /// The caller gets this as "not run": nothing was sent to a target.
 struct Refusal {
@@ -65,51 +65,53 @@
 public:
   AdmissionController(std::unique_ptr<QueueDiscipline> Order,
                       std::size_t QueueLimit, std::uint64_t Seed)
-      : Order(std::move(Order)), QueueLimit(QueueLimit), Returns(Seed) {}
+      : Discipline(std::move(Order)), QueueLimit(QueueLimit), RetryTimes(Seed) {
+  }
 
   void setQueueLimit(std::size_t Limit) { QueueLimit = Limit; }
 
   /// Takes a request in. The refusals that follow: its own, or that of one
   /// which it displaces.
-  std::vector<Refusal> arrive(QueuedRequest Request, Millis Now);
+  std::vector<Refusal> admit(QueuedRequest Request, Millis Now);
 
-  /// The next request to send now; it runs until finished() is told. Those
+  /// The next request to send now; it runs until complete() is told. Those
   /// that are given up on the way are added to \p GivenUp.
-  std::optional<QueuedRequest> next(const QueueDiscipline::Fits &CanRun,
-                                    Millis Now, std::vector<Refusal> &GivenUp);
+  std::optional<QueuedRequest>
+  next(const QueueDiscipline::RunnablePredicate &CanRun, Millis Now,
+       std::vector<Refusal> &GivenUp);
 
   /// A request of next() holds no connection any more. \p Spent is the time
   /// from its sending to its answer, nothing where it wasn't sent.
-  void finished(const QueuedRequest &Request, std::optional<double> Spent);
+  void complete(const QueuedRequest &Request, std::optional<double> Spent);
 
   /// Gives up those that can't be served in time any more.
-  std::vector<Refusal> giveUp(Millis Now);
+  std::vector<Refusal> shedUnservable(Millis Now);
 
   /// The caller has left.
-  bool remove(std::uint64_t Id) { return Order->remove(Id).has_value(); }
+  bool remove(std::uint64_t Id) { return Discipline->remove(Id).has_value(); }
 
-  std::size_t queued() const { return Order->size(); }
+  std::size_t queued() const { return Discipline->size(); }
   std::size_t running() const { return Running; }
-  double portion(const std::string &Organisation) const {
-    return Order->portion(Organisation);
+  double expectedShare(const std::string &Organisation) const {
+    return Discipline->expectedShare(Organisation);
   }
   const AdmissionCounts &counts() const { return Counts; }
 
 private:
   Refusal refuse(QueuedRequest Request, RefusalReason Reason, double Wait,
                  Millis Now);
-  double wait(double CostAhead) const;
+  double estimatedWait(double CostAhead) const;
   std::optional<Refusal> refuseOnArrival(const QueuedRequest &Request,
                                          Millis Now);
 
-  std::unique_ptr<QueueDiscipline> Order;
+  std::unique_ptr<QueueDiscipline> Discipline;
   std::size_t QueueLimit;
-  CostEstimate Costs;
-  ReturnTimes Returns;
+  HoldTimeEstimate Costs;
+  RetrySchedule RetryTimes;
   AdmissionCounts Counts;
   std::size_t Running = 0;
   /// The last number of running ones that wasn't 0.
-  std::size_t Parallel = 1;
+  std::size_t LastConcurrency = 1;
 };
 
 } // namespace corianderdyke
--- a/Source/Admission/Concurrency.h
+++ b/Source/Admission/Concurrency.h
@@ -29,23 +29,23 @@
 
   auto operator<=>(const TargetCapacity &) const = default;
 
-  std::uint32_t statements() const {
+  std::uint32_t maxStatements() const {
     return std::min(Slots * StatementsPerSlot, Connections);
   }
 };
 
 /// Statements that may be under way with \p Rights connections.
-inline std::uint32_t statementsAtOnce(std::uint32_t Rights,
-                                      const TargetCapacity &Of) {
+inline std::uint32_t maxConcurrentStatements(std::uint32_t Rights,
+                                             const TargetCapacity &Capacity) {
   const std::uint32_t Part =
-      Rights * Of.statements() / std::max(Of.Connections, 1U);
+      Rights * Capacity.maxStatements() / std::max(Capacity.Connections, 1U);
   return std::min(Rights, std::max(Part, 1U));
 }
 
 /// Connections that a proxy wants for \p Statements, sent and waiting.
 inline std::uint32_t connectionsFor(std::uint32_t Statements,
                                     const TargetCapacity &Of) {
-  const std::uint32_t AtOnce = std::max(Of.statements(), 1U);
+  const std::uint32_t AtOnce = std::max(Of.maxStatements(), 1U);
   return (std::min(Statements, AtOnce) * Of.Connections + AtOnce - 1) / AtOnce;
 }
 
--- a/Source/Admission/DatabaseQueues.cpp
+++ b/Source/Admission/DatabaseQueues.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-WeightOf lookUp(const std::map<std::string, double> &In) {
+WeightFunction lookUp(const std::map<std::string, double> &In) {
   return [&In](const std::string &Name) {
     const auto Found = In.find(Name);
     return Found == In.end() ? 1.0 : Found->second;
@@ -21,16 +21,16 @@
 void DatabaseQueues::update(const Manifest &Current) {
   Shares.clear();
   for (const OrganisationPolicy &Each : Current.Organisations)
-    Shares[Each.Name] = Each.Share;
+    Shares[Each.Name] = Each.Weight;
   Weights.clear();
-  for (const KindPolicy &Each : Current.Kinds)
+  for (const RequestKindPolicy &Each : Current.Kinds)
     Weights[Each.Name] = Each.Weight;
   QueueLimit = Current.Limits.QueuePerDatabase;
   for (auto &[Where, Each] : Controllers)
     Each->setQueueLimit(QueueLimit);
 }
 
-AdmissionController &DatabaseQueues::controller(const Place &Where) {
+AdmissionController &DatabaseQueues::controller(const QueueKey &Where) {
   std::unique_ptr<AdmissionController> &Found = Controllers[Where];
   if (!Found)
     Found = std::make_unique<AdmissionController>(
@@ -44,21 +44,22 @@
     Requests.erase(Each.Request.Id);
 }
 
-std::vector<Refusal> DatabaseQueues::arrive(const AdmissionRequest &Request,
-                                            Millis Now) {
-  const Place Where(Request.Database, Request.Mode);
+std::vector<Refusal> DatabaseQueues::admit(const AdmissionRequest &Request,
+                                           Millis Now) {
+  const QueueKey Where(Request.Database, Request.Mode);
   Requests[Request.Id] = {Where, std::nullopt, Millis()};
   auto Refused =
-      controller(Where).arrive({Request.Id, Request.Organisation, Request.Kind,
-                                Now, Request.DeadlineAt, 0, 0},
-                               Now);
+      controller(Where).admit({Request.Id, Request.Organisation, Request.Kind,
+                               Now, Request.DeadlineAt, 0, 0},
+                              Now);
   forget(Refused);
   return Refused;
 }
 
 std::optional<std::uint64_t>
-DatabaseQueues::next(const std::string &Database, const Fits &CanRun,
-                     Millis Now, std::vector<Refusal> &GivenUp) {
+DatabaseQueues::next(const std::string &Database,
+                     const RunnablePredicate &CanRun, Millis Now,
+                     std::vector<Refusal> &GivenUp) {
   for (const Access Mode : {Access::Write, Access::Read}) {
     const auto Found = Controllers.find({Database, Mode});
     if (Found == Controllers.end())
@@ -69,22 +70,22 @@
     forget(GivenUp);
     if (!Next)
       continue;
-    Known &Of = Requests[Next->Id];
-    Of.Sent = *Next;
+    RequestState &Of = Requests[Next->Id];
+    Of.Running = *Next;
     Of.SentAt = Now;
     return Next->Id;
   }
   return std::nullopt;
 }
 
-void DatabaseQueues::leave(std::uint64_t Id, bool IsAnswered, Millis Now) {
+void DatabaseQueues::remove(std::uint64_t Id, bool IsAnswered, Millis Now) {
   const auto Found = Requests.find(Id);
   if (Found == Requests.end())
     return;
-  const Known Of = std::move(Found->second);
+  const RequestState Of = std::move(Found->second);
   Requests.erase(Found);
-  AdmissionController &From = controller(Of.Where);
-  if (!Of.Sent) {
+  AdmissionController &From = controller(Of.Queue);
+  if (!Of.Running) {
     From.remove(Id);
     return;
   }
@@ -92,13 +93,13 @@
   if (IsAnswered)
     Spent = static_cast<double>(
         std::max((Now - Of.SentAt).count(), std::int64_t(1)));
-  From.finished(*Of.Sent, Spent);
+  From.complete(*Of.Running, Spent);
 }
 
-std::vector<Refusal> DatabaseQueues::giveUp(Millis Now) {
+std::vector<Refusal> DatabaseQueues::shedUnservable(Millis Now) {
   std::vector<Refusal> Out;
   for (auto &[Where, Each] : Controllers)
-    for (Refusal &One : Each->giveUp(Now))
+    for (Refusal &One : Each->shedUnservable(Now))
       Out.push_back(std::move(One));
   forget(Out);
   return Out;
--- a/Source/Admission/DatabaseQueues.h
+++ b/Source/Admission/DatabaseQueues.h
@@ -34,7 +34,7 @@
 
 class DatabaseQueues {
 public:
-  using Fits = std::function<bool(std::uint64_t Id)>;
+  using RunnablePredicate = std::function<bool(std::uint64_t Id)>;
 
   explicit DatabaseQueues(std::uint64_t Seed) : Seed(Seed) {}
 
@@ -42,42 +42,42 @@
   void update(const Manifest &Current);
 
   /// Takes a request in; the refusals that follow, its own or another's.
-  std::vector<Refusal> arrive(const AdmissionRequest &Request, Millis Now);
+  std::vector<Refusal> admit(const AdmissionRequest &Request, Millis Now);
 
   /// The next request of a database to send; it runs until it leaves.
   std::optional<std::uint64_t> next(const std::string &Database,
-                                    const Fits &CanRun, Millis Now,
+                                    const RunnablePredicate &CanRun, Millis Now,
                                     std::vector<Refusal> &GivenUp);
 
   /// A request holds no connection any more, or waits no longer. Harmless
   /// for one that left before. \p IsAnswered: a target took it and answered.
-  void leave(std::uint64_t Id, bool IsAnswered, Millis Now);
+  void remove(std::uint64_t Id, bool IsAnswered, Millis Now);
 
   /// Those that can't be served in time any more.
-  std::vector<Refusal> giveUp(Millis Now);
+  std::vector<Refusal> shedUnservable(Millis Now);
 
   std::size_t queued(const std::string &Database, Access Mode) const;
   std::vector<QueueStatus> status() const;
 
 private:
-  using Place = std::pair<std::string, Access>;
+  using QueueKey = std::pair<std::string, Access>;
 
-  struct Known {
-    Place Where;
+  struct RequestState {
+    QueueKey Queue;
     /// Set while it runs.
-    std::optional<QueuedRequest> Sent;
+    std::optional<QueuedRequest> Running;
     Millis SentAt;
   };
 
-  AdmissionController &controller(const Place &Where);
+  AdmissionController &controller(const QueueKey &Where);
   void forget(const std::vector<Refusal> &Refused);
 
   std::uint64_t Seed;
   std::size_t QueueLimit = LimitPolicy().QueuePerDatabase;
   std::map<std::string, double> Shares;
   std::map<std::string, double> Weights;
-  std::map<Place, std::unique_ptr<AdmissionController>> Controllers;
-  std::map<std::uint64_t, Known> Requests;
+  std::map<QueueKey, std::unique_ptr<AdmissionController>> Controllers;
+  std::map<std::uint64_t, RequestState> Requests;
 };
 
 } // namespace corianderdyke
--- a/Source/Admission/FairQueue.cpp
+++ b/Source/Admission/FairQueue.cpp
@@ -26,7 +26,7 @@
     if (IsWaiting(Each->second))
       Out.push_back(Each);
   std::stable_sort(Out.begin(), Out.end(), [](const auto &A, const auto &B) {
-    return A->second.Time < B->second.Time;
+    return A->second.VirtualTime < B->second.VirtualTime;
   });
   return Out;
 }
@@ -37,8 +37,8 @@
   return std::max(Share(Organisation), LeastWeight);
 }
 
-double FairQueue::charge(const QueuedRequest &For) const {
-  return Service.of({For.Organisation, For.Kind}).value_or(For.Cost);
+double FairQueue::estimateCharge(const QueuedRequest &For) const {
+  return Service.serviceTime({For.Organisation, For.Kind}).value_or(For.Cost);
 }
 
 double FairQueue::weightOf(const std::string &Kind) const {
@@ -46,12 +46,12 @@
 }
 
 void FairQueue::push(QueuedRequest Request) {
-  Member &Of = Members[Request.Organisation];
+  OrganisationState &Of = Organisations[Request.Organisation];
   if (Of.Length == 0)
-    Of.Time = std::max(Of.Time, Time);
+    Of.VirtualTime = std::max(Of.VirtualTime, VirtualTime);
   Flow &To = Of.Flows[Request.Kind];
   if (To.Requests.empty())
-    To.Time = std::max(To.Time, Of.KindTime);
+    To.VirtualTime = std::max(To.VirtualTime, Of.KindVirtualTime);
   ++Length;
   ++Of.Length;
   Cost += Request.Cost;
@@ -60,8 +60,8 @@
   To.Requests.push_back(std::move(Request));
 }
 
-void FairQueue::takeOut(Member &Of, Flow &From,
-                        std::deque<QueuedRequest>::iterator At) {
+void FairQueue::erase(OrganisationState &Of, Flow &From,
+                      std::deque<QueuedRequest>::iterator At) {
   --Length;
   --Of.Length;
   Cost -= At->Cost;
@@ -70,22 +70,24 @@
   From.Requests.erase(At);
 }
 
-std::optional<QueuedRequest> FairQueue::pop(const Fits &CanRun) {
-  const auto Waits = [](const Member &Each) { return Each.Length > 0; };
+std::optional<QueuedRequest> FairQueue::pop(const RunnablePredicate &CanRun) {
+  const auto Waits = [](const OrganisationState &Each) {
+    return Each.Length > 0;
+  };
   const auto Holds = [](const Flow &Each) { return !Each.Requests.empty(); };
-  for (const auto &Found : byTime(Members, Waits)) {
-    Member &Of = Found->second;
+  for (const auto &Found : byTime(Organisations, Waits)) {
+    OrganisationState &Of = Found->second;
     for (const auto &Inner : byTime(Of.Flows, Holds)) {
       Flow &From = Inner->second;
       if (!CanRun(From.Requests.front()))
         continue;
       QueuedRequest Out = From.Requests.front();
-      takeOut(Of, From, From.Requests.begin());
-      Time = std::max(Time, Of.Time);
-      Of.KindTime = std::max(Of.KindTime, From.Time);
-      Out.Charged = charge(Out);
-      Of.Time += Out.Charged / shareOf(Out.Organisation);
-      From.Time += Out.Charged / weightOf(Out.Kind);
+      erase(Of, From, From.Requests.begin());
+      VirtualTime = std::max(VirtualTime, Of.VirtualTime);
+      Of.KindVirtualTime = std::max(Of.KindVirtualTime, From.VirtualTime);
+      Out.Charged = estimateCharge(Out);
+      Of.VirtualTime += Out.Charged / shareOf(Out.Organisation);
+      From.VirtualTime += Out.Charged / weightOf(Out.Kind);
       ++Of.Running;
       return Out;
     }
@@ -93,35 +95,36 @@
   return std::nullopt;
 }
 
-void FairQueue::finished(const QueuedRequest &Request, double Spent) {
-  const auto Found = Members.find(Request.Organisation);
-  if (Found == Members.end())
+void FairQueue::complete(const QueuedRequest &Request, double Spent) {
+  const auto Found = Organisations.find(Request.Organisation);
+  if (Found == Organisations.end())
     return;
-  Member &Of = Found->second;
+  OrganisationState &Of = Found->second;
   if (Of.Running > 0)
     --Of.Running;
-  const double Due = charged(Request, Spent);
+  const double Due = recordCharge(Request, Spent);
   const double Gain =
       std::min(Due / std::max(MeanCharge, 1.0) / UseWindow, 0.5);
-  for (auto &[Name, Each] : Members)
-    Each.Use += ((Name == Request.Organisation ? 1 : 0) - Each.Use) * Gain;
+  for (auto &[Name, Each] : Organisations)
+    Each.RecentUse +=
+        ((Name == Request.Organisation ? 1 : 0) - Each.RecentUse) * Gain;
   const double Correction = Due - Request.Charged;
-  Of.Time += Correction / shareOf(Request.Organisation);
-  Of.Flows[Request.Kind].Time += Correction / weightOf(Request.Kind);
+  Of.VirtualTime += Correction / shareOf(Request.Organisation);
+  Of.Flows[Request.Kind].VirtualTime += Correction / weightOf(Request.Kind);
 }
 
 /// What a statement costs in the end; nothing where it wasn't run.
-double FairQueue::charged(const QueuedRequest &Request, double Spent) {
+double FairQueue::recordCharge(const QueuedRequest &Request, double Spent) {
   if (Spent <= 0)
     return 0;
   Service.observe({Request.Organisation, Request.Kind}, Spent);
-  const double Due = charge(Request);
+  const double Due = estimateCharge(Request);
   MeanCharge += (Due - MeanCharge) / UseWindow;
   return Due;
 }
 
 std::optional<QueuedRequest> FairQueue::remove(std::uint64_t Id) {
-  for (auto &[Name, Of] : Members)
+  for (auto &[Name, Of] : Organisations)
     for (auto &[Kind, From] : Of.Flows) {
       const auto Found =
           std::find_if(From.Requests.begin(), From.Requests.end(),
@@ -129,24 +132,24 @@
       if (Found == From.Requests.end())
         continue;
       QueuedRequest Out = *Found;
-      takeOut(Of, From, Found);
+      erase(Of, From, Found);
       return Out;
     }
   return std::nullopt;
 }
 
 std::optional<std::uint64_t>
-FairQueue::displacedBy(const std::string &Organisation) const {
+FairQueue::displacementVictim(const std::string &Organisation) const {
   // The flooding organisation fills the queue first; without displacement
   // every other caller would find it full.
   const auto Crowding = [this](const std::string &Name, std::size_t Waiting) {
     return static_cast<double>(Waiting) / shareOf(Name);
   };
-  const auto Own = Members.find(Organisation);
-  double Most =
-      Crowding(Organisation, Own == Members.end() ? 1 : Own->second.Length + 1);
-  const Member *Worst = nullptr;
-  for (const auto &[Name, Each] : Members) {
+  const auto Own = Organisations.find(Organisation);
+  double Most = Crowding(
+      Organisation, Own == Organisations.end() ? 1 : Own->second.Length + 1);
+  const OrganisationState *Worst = nullptr;
+  for (const auto &[Name, Each] : Organisations) {
     if (Name == Organisation || Crowding(Name, Each.Length) <= Most)
       continue;
     Most = Crowding(Name, Each.Length);
@@ -164,9 +167,9 @@
 
 double FairQueue::activeShares(const std::string &Organisation) const {
   double Sum = shareOf(Organisation);
-  for (const auto &[Name, Each] : Members)
+  for (const auto &[Name, Each] : Organisations)
     if (Name != Organisation &&
-        (Each.Length > 0 || Each.Running > 0 || Each.Use > LeastUse))
+        (Each.Length > 0 || Each.Running > 0 || Each.RecentUse > LeastUse))
       Sum += shareOf(Name);
   return Sum;
 }
@@ -175,14 +178,14 @@
 /// other what it used lately. By who waits at this moment alone, a flooding
 /// organisation would count on all of the database whenever the others'
 /// queues are empty, and be refused after a long wait instead of at once.
-double FairQueue::portion(const std::string &Organisation) const {
+double FairQueue::expectedShare(const std::string &Organisation) const {
   const double Shares = activeShares(Organisation);
   double Left = 1;
-  for (const auto &[Name, Each] : Members) {
+  for (const auto &[Name, Each] : Organisations) {
     if (Name == Organisation)
       continue;
     const double Part = shareOf(Name) / Shares;
-    Left -= Each.Length > 0 ? Part : std::min(Part, Each.Use);
+    Left -= Each.Length > 0 ? Part : std::min(Part, Each.RecentUse);
   }
   return std::max(Left, shareOf(Organisation) / Shares);
 }
@@ -190,10 +193,11 @@
 /// A flow's turn comes at the pace of its weight among the busy ones. Of each
 /// other organisation its share goes first, or less where its backlog and
 /// what it goes on offering are less.
-double FairQueue::ahead(const std::string &Organisation,
-                        const std::string &Kind, double InFlow) const {
-  const auto Found = Members.find(Organisation);
-  if (Found == Members.end())
+double FairQueue::estimateCostAhead(const std::string &Organisation,
+                                    const std::string &Kind,
+                                    double InFlow) const {
+  const auto Found = Organisations.find(Organisation);
+  if (Found == Organisations.end())
     return 0;
   double Weights = weightOf(Kind);
   for (const auto &[Name, Each] : Found->second.Flows)
@@ -205,11 +209,11 @@
   double Total = Own * Shares / shareOf(Organisation);
   for (int Turn = 0; Turn < EstimateTurns; ++Turn) {
     double Next = Own;
-    for (const auto &[Name, Each] : Members) {
+    for (const auto &[Name, Each] : Organisations) {
       const double Part = shareOf(Name) / Shares;
       if (Name != Organisation)
         Next += std::min(Part * Total,
-                         Each.Cost + std::min(Part, Each.Use) * Total);
+                         Each.Cost + std::min(Part, Each.RecentUse) * Total);
     }
     Total = Next;
   }
@@ -218,22 +222,22 @@
 
 double FairQueue::costAhead(const std::string &Organisation,
                             const std::string &Kind) const {
-  const auto Found = Members.find(Organisation);
-  if (Found == Members.end())
+  const auto Found = Organisations.find(Organisation);
+  if (Found == Organisations.end())
     return 0;
   const auto Inner = Found->second.Flows.find(Kind);
   const double InFlow =
       Inner == Found->second.Flows.end() ? 0 : Inner->second.Cost;
-  return ahead(Organisation, Kind, InFlow);
+  return estimateCostAhead(Organisation, Kind, InFlow);
 }
 
-std::vector<QueueDiscipline::Ahead> FairQueue::waiting() const {
-  std::vector<Ahead> Out;
-  for (const auto &[Name, Of] : Members)
+std::vector<QueueDiscipline::WaitingRequest> FairQueue::waiting() const {
+  std::vector<WaitingRequest> Out;
+  for (const auto &[Name, Of] : Organisations)
     for (const auto &[Kind, From] : Of.Flows) {
       double InFlow = 0;
       for (const QueuedRequest &Each : From.Requests) {
-        Out.push_back({Each, ahead(Name, Kind, InFlow)});
+        Out.push_back({Each, estimateCostAhead(Name, Kind, InFlow)});
         InFlow += Each.Cost;
       }
     }
--- a/Source/Admission/FairQueue.h
+++ b/Source/Admission/FairQueue.h
@@ -17,7 +17,7 @@
 #define CORIANDERDYKE_ADMISSION_FAIRQUEUE_H
 
 #include "Admission/QueueDiscipline.h"
-#include "Admission/ServiceEstimate.h"
+#include "Admission/ServiceTimeEstimate.h"
 
 #include <deque>
 #include <map>
@@ -26,19 +26,19 @@
 
 class FairQueue final : public QueueDiscipline {
 public:
-  FairQueue(WeightOf Share, WeightOf KindWeight)
+  FairQueue(WeightFunction Share, WeightFunction KindWeight)
       : Share(std::move(Share)), KindWeight(std::move(KindWeight)) {}
 
   void push(QueuedRequest Request) override;
-  std::optional<QueuedRequest> pop(const Fits &CanRun) override;
-  void finished(const QueuedRequest &Request, double Spent) override;
+  std::optional<QueuedRequest> pop(const RunnablePredicate &CanRun) override;
+  void complete(const QueuedRequest &Request, double Spent) override;
   std::optional<QueuedRequest> remove(std::uint64_t Id) override;
   std::optional<std::uint64_t>
-  displacedBy(const std::string &Organisation) const override;
+  displacementVictim(const std::string &Organisation) const override;
   double costAhead(const std::string &Organisation,
                    const std::string &Kind) const override;
-  double portion(const std::string &Organisation) const override;
-  std::vector<Ahead> waiting() const override;
+  double expectedShare(const std::string &Organisation) const override;
+  std::vector<WaitingRequest> waiting() const override;
   std::size_t size() const override { return Length; }
 
 private:
@@ -46,38 +46,40 @@
   struct Flow {
     std::deque<QueuedRequest> Requests;
     double Cost = 0;
-    double Time = 0;
+    double VirtualTime = 0;
   };
 
-  struct Member {
+  struct OrganisationState {
     std::map<std::string, Flow> Flows;
     std::size_t Length = 0;
     double Cost = 0;
-    double Time = 0;
-    double KindTime = 0; ///< Virtual time of its kinds.
+    double VirtualTime = 0;
+    double KindVirtualTime = 0; ///< Virtual time of its kinds.
     std::size_t Running = 0;
-    double Use = 0; ///< Recent part of the time that connections were held.
+    double RecentUse =
+        0; ///< Recent part of the time that connections were held.
   };
 
-  double charge(const QueuedRequest &For) const;
-  double charged(const QueuedRequest &Request, double Spent);
+  double estimateCharge(const QueuedRequest &For) const;
+  double recordCharge(const QueuedRequest &Request, double Spent);
   double shareOf(const std::string &Organisation) const;
   double weightOf(const std::string &Kind) const;
   /// Shares of \p Organisation and of all that wait, run or ran lately.
   double activeShares(const std::string &Organisation) const;
-  double ahead(const std::string &Organisation, const std::string &Kind,
-               double InFlow) const;
-  void takeOut(Member &Of, Flow &From, std::deque<QueuedRequest>::iterator At);
+  double estimateCostAhead(const std::string &Organisation,
+                           const std::string &Kind, double InFlow) const;
+  void erase(OrganisationState &Of, Flow &From,
+             std::deque<QueuedRequest>::iterator At);
 
-  WeightOf Share;
-  WeightOf KindWeight;
-  ServiceEstimate Service;
-  std::map<std::string, Member> Members;
+  WeightFunction Share;
+  WeightFunction KindWeight;
+  ServiceTimeEstimate Service;
+  std::map<std::string, OrganisationState> Organisations;
   std::size_t Length = 0;
   double Cost = 0;
   double MeanCharge = 1;
   /// Never goes back: the start of the last request that was sent.
-  double Time = 0;
+  double VirtualTime = 0;
 };
 
 } // namespace corianderdyke
--- a/Source/Admission/FirstComeQueue.cpp
+++ b/Source/Admission/FifoQueue.cpp
@@ -1,17 +1,17 @@
 /// \file
 /// The plain queue: first come, first served. A baseline for measurements.
 
-#include "Admission/FirstComeQueue.h"
+#include "Admission/FifoQueue.h"
 
 #include <algorithm>
 
 namespace corianderdyke {
 
-void FirstComeQueue::push(QueuedRequest Request) {
+void FifoQueue::push(QueuedRequest Request) {
   Requests.push_back(std::move(Request));
 }
 
-std::optional<QueuedRequest> FirstComeQueue::pop(const Fits &CanRun) {
+std::optional<QueuedRequest> FifoQueue::pop(const RunnablePredicate &CanRun) {
   const auto Found = std::find_if(Requests.begin(), Requests.end(), CanRun);
   if (Found == Requests.end())
     return std::nullopt;
@@ -20,29 +20,28 @@
   return Out;
 }
 
-void FirstComeQueue::finished(const QueuedRequest &, double) {}
+void FifoQueue::complete(const QueuedRequest &, double) {}
 
-std::optional<QueuedRequest> FirstComeQueue::remove(std::uint64_t Id) {
+std::optional<QueuedRequest> FifoQueue::remove(std::uint64_t Id) {
   return pop([Id](const QueuedRequest &Each) { return Each.Id == Id; });
 }
 
 std::optional<std::uint64_t>
-FirstComeQueue::displacedBy(const std::string &) const {
+FifoQueue::displacementVictim(const std::string &) const {
   return std::nullopt;
 }
 
-double FirstComeQueue::costAhead(const std::string &,
-                                 const std::string &) const {
+double FifoQueue::costAhead(const std::string &, const std::string &) const {
   double Sum = 0;
   for (const QueuedRequest &Each : Requests)
     Sum += Each.Cost;
   return Sum;
 }
 
-double FirstComeQueue::portion(const std::string &) const { return 1; }
+double FifoQueue::expectedShare(const std::string &) const { return 1; }
 
-std::vector<QueueDiscipline::Ahead> FirstComeQueue::waiting() const {
-  std::vector<Ahead> Out;
+std::vector<QueueDiscipline::WaitingRequest> FifoQueue::waiting() const {
+  std::vector<WaitingRequest> Out;
   double Sum = 0;
   for (const QueuedRequest &Each : Requests) {
     Out.push_back({Each, Sum});
--- a/Source/Admission/FirstComeQueue.h
+++ b/Source/Admission/FifoQueue.h
@@ -1,8 +1,8 @@
 /// \file
 /// The plain queue: first come, first served. A baseline for measurements.
 
-#ifndef CORIANDERDYKE_ADMISSION_FIRSTCOMEQUEUE_H
-#define CORIANDERDYKE_ADMISSION_FIRSTCOMEQUEUE_H
+#ifndef CORIANDERDYKE_ADMISSION_FIFOQUEUE_H
+#define CORIANDERDYKE_ADMISSION_FIFOQUEUE_H
 
 #include "Admission/QueueDiscipline.h"
 
@@ -11,18 +11,18 @@
 namespace corianderdyke {
 
 /// Under a flood by one organisation the others wait behind all of it.
-class FirstComeQueue final : public QueueDiscipline {
+class FifoQueue final : public QueueDiscipline {
 public:
   void push(QueuedRequest Request) override;
-  std::optional<QueuedRequest> pop(const Fits &CanRun) override;
-  void finished(const QueuedRequest &Request, double Spent) override;
+  std::optional<QueuedRequest> pop(const RunnablePredicate &CanRun) override;
+  void complete(const QueuedRequest &Request, double Spent) override;
   std::optional<QueuedRequest> remove(std::uint64_t Id) override;
   std::optional<std::uint64_t>
-  displacedBy(const std::string &Organisation) const override;
+  displacementVictim(const std::string &Organisation) const override;
   double costAhead(const std::string &Organisation,
                    const std::string &Kind) const override;
-  double portion(const std::string &Organisation) const override;
-  std::vector<Ahead> waiting() const override;
+  double expectedShare(const std::string &Organisation) const override;
+  std::vector<WaitingRequest> waiting() const override;
   std::size_t size() const override { return Requests.size(); }
 
 private:
--- a/Source/Admission/CostEstimate.h
+++ b/Source/Admission/HoldTimeEstimate.h
@@ -1,8 +1,8 @@
 /// \file
 /// How long statements of each kind hold a connection.
 
-#ifndef CORIANDERDYKE_ADMISSION_COSTESTIMATE_H
-#define CORIANDERDYKE_ADMISSION_COSTESTIMATE_H
+#ifndef CORIANDERDYKE_ADMISSION_HOLDTIMEESTIMATE_H
+#define CORIANDERDYKE_ADMISSION_HOLDTIMEESTIMATE_H
 
 #include <map>
 #include <string>
@@ -12,14 +12,14 @@
 /// A moving mean with a gain of 1/8, which round-trip estimates use since
 /// TCP: it halves an old error in five statements and a single outlier moves
 /// it by an eighth.
-class CostEstimate {
+class HoldTimeEstimate {
 public:
   /// What a kind costs before any of it was seen.
-  static constexpr double FirstCost = 5;
+  static constexpr double InitialHoldTime = 5;
 
-  double of(const std::string &Kind) const {
+  double holdTime(const std::string &Kind) const {
     const auto Found = Means.find(Kind);
-    return Found == Means.end() ? FirstCost : Found->second;
+    return Found == Means.end() ? InitialHoldTime : Found->second;
   }
 
   void observe(const std::string &Kind, double Spent) {
--- a/Source/Admission/QueueDiscipline.h
+++ b/Source/Admission/QueueDiscipline.h
@@ -31,22 +31,22 @@
 };
 
 /// The weight of an organisation, or of one of its kinds.
-using WeightOf = std::function<double(const std::string &Name)>;
+using WeightFunction = std::function<double(const std::string &Name)>;
 
 /// Abstract, so that the experiment runs the baselines on the same loads.
 class QueueDiscipline {
 public:
-  using Fits = std::function<bool(const QueuedRequest &)>;
+  using RunnablePredicate = std::function<bool(const QueuedRequest &)>;
 
   virtual ~QueueDiscipline() = default;
 
   virtual void push(QueuedRequest Request) = 0;
 
   /// Takes out the next request that \p CanRun; nothing where none can.
-  virtual std::optional<QueuedRequest> pop(const Fits &CanRun) = 0;
+  virtual std::optional<QueuedRequest> pop(const RunnablePredicate &CanRun) = 0;
 
   /// A request that pop() gave has held its connection for \p Spent.
-  virtual void finished(const QueuedRequest &Request, double Spent) = 0;
+  virtual void complete(const QueuedRequest &Request, double Spent) = 0;
 
   /// Takes out a request that nobody waits for any more.
   virtual std::optional<QueuedRequest> remove(std::uint64_t Id) = 0;
@@ -54,7 +54,7 @@
   /// The request that gives way to one of \p Organisation when the queue is
   /// full; nothing where the newcomer itself is the one to refuse.
   virtual std::optional<std::uint64_t>
-  displacedBy(const std::string &Organisation) const = 0;
+  displacementVictim(const std::string &Organisation) const = 0;
 
   /// Expected cost of what is sent before a newcomer of this organisation
   /// and kind.
@@ -63,14 +63,14 @@
 
   /// The part of the database that an organisation can count on now, from 0
   /// to 1.
-  virtual double portion(const std::string &Organisation) const = 0;
+  virtual double expectedShare(const std::string &Organisation) const = 0;
 
   /// Every waiting request with the expected cost of what is sent before it.
-  struct Ahead {
+  struct WaitingRequest {
     QueuedRequest Request;
-    double Cost = 0;
+    double CostAhead = 0;
   };
-  virtual std::vector<Ahead> waiting() const = 0;
+  virtual std::vector<WaitingRequest> waiting() const = 0;
 
   virtual std::size_t size() const = 0;
 };
--- a/Source/Admission/RetryBudget.cpp
+++ b/Source/Admission/RetryBudget.cpp
@@ -13,16 +13,16 @@
 
 } // namespace
 
-void RetryBudget::noteFirstTry() {
-  Level = std::min(Level + RatioPercent, Burst * OneRetry);
+void RetryBudget::recordFirstAttempt() {
+  Tokens = std::min(Tokens + RatioPercent, Burst * OneRetry);
 }
 
-bool RetryBudget::take() {
-  if (Level < OneRetry) {
+bool RetryBudget::tryTake() {
+  if (Tokens < OneRetry) {
     ++Refused;
     return false;
   }
-  Level -= OneRetry;
+  Tokens -= OneRetry;
   ++Taken;
   return true;
 }
--- a/Source/Admission/RetryBudget.h
+++ b/Source/Admission/RetryBudget.h
@@ -23,17 +23,17 @@
   /// Retries that are allowed after a quiet time, before there is any load.
   static constexpr std::uint32_t Burst = 10;
 
-  void noteFirstTry();
+  void recordFirstAttempt();
 
   /// True where a retry may be sent; it's paid for then.
-  bool take();
+  bool tryTake();
 
   std::uint64_t taken() const { return Taken; }
   std::uint64_t refused() const { return Refused; }
 
 private:
   /// In hundredths of a retry.
-  std::uint32_t Level = Burst * 100;
+  std::uint32_t Tokens = Burst * 100;
   std::uint64_t Taken = 0;
   std::uint64_t Refused = 0;
 };
--- a/Source/Admission/ReturnTimes.cpp
+++ b/Source/Admission/RetrySchedule.cpp
@@ -1,24 +1,24 @@
 /// \file
 /// When refused callers are told to come back.
 
-#include "Admission/ReturnTimes.h"
+#include "Admission/RetrySchedule.h"
 
 #include <algorithm>
 
 namespace corianderdyke {
 
-double ReturnTimes::uniform() {
+double RetrySchedule::uniform() {
   constexpr double Range = 18446744073709551616.0;
   return static_cast<double>(Random()) / Range;
 }
 
-Millis ReturnTimes::book(const std::string &Organisation, double Wait,
-                         double Pace, Millis Now) {
+Millis RetrySchedule::reserve(const std::string &Organisation, double Wait,
+                              double Interval, Millis Now) {
   const auto Start = static_cast<double>(Now.count());
-  const auto Most = static_cast<double>(Longest.count());
+  const auto Most = static_cast<double>(MaxRetryAfter.count());
   double &Next = NextAt[Organisation];
-  Next = std::max(Next, Start + Wait) + Pace;
-  double Span = Next - Start + uniform() * Pace;
+  Next = std::max(Next, Start + Wait) + Interval;
+  double Span = Next - Start + uniform() * Interval;
   if (Span > Most) {
     Next = std::min(Next, Start + Most);
     Span = Most * (1 + uniform()) / 2;
--- a/Source/Admission/ReturnTimes.h
+++ b/Source/Admission/RetrySchedule.h
@@ -10,8 +10,8 @@
 /// number. Several proxies book each for itself; within one pace the moment
 /// is random, so that their bookings don't fall together.
 
-#ifndef CORIANDERDYKE_ADMISSION_RETURNTIMES_H
-#define CORIANDERDYKE_ADMISSION_RETURNTIMES_H
+#ifndef CORIANDERDYKE_ADMISSION_RETRYSCHEDULE_H
+#define CORIANDERDYKE_ADMISSION_RETRYSCHEDULE_H
 
 #include "Common/Millis.h"
 
@@ -22,18 +22,18 @@
 
 namespace corianderdyke {
 
-class ReturnTimes {
+class RetrySchedule {
 public:
   /// A caller is never sent away for longer: by then the load has changed.
   /// Past it the moments are random over the last half of the span.
-  static constexpr Millis Longest = Millis(5000);
+  static constexpr Millis MaxRetryAfter = Millis(5000);
 
-  explicit ReturnTimes(std::uint64_t Seed) : Random(Seed) {}
+  explicit RetrySchedule(std::uint64_t Seed) : Random(Seed) {}
 
   /// Books a place no earlier than \p Wait milliseconds from now, the
-  /// organisation's places being \p Pace milliseconds apart.
-  Millis book(const std::string &Organisation, double Wait, double Pace,
-              Millis Now);
+  /// organisation's places being \p Interval milliseconds apart.
+  Millis reserve(const std::string &Organisation, double Wait, double Interval,
+                 Millis Now);
 
 private:
   double uniform();
--- a/Source/Admission/ServiceEstimate.cpp
+++ b/Source/Admission/ServiceTimeEstimate.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// What statements cost a target, told apart from how long they wait in it.
 
-#include "Admission/ServiceEstimate.h"
+#include "Admission/ServiceTimeEstimate.h"
 
 #include <algorithm>
 
@@ -9,25 +9,26 @@
 
 namespace {
 
-/// As in CostEstimate.
+/// As in HoldTimeEstimate.
 constexpr double Gain = 0.125;
 
 } // namespace
 
-void ServiceEstimate::observe(const Flow &Of, double Spent) {
-  Seen &To = Flows[Of];
+void ServiceTimeEstimate::observe(const FlowKey &Of, double Spent) {
+  FlowSamples &To = Flows[Of];
   To.Mean = To.Count == 0 ? Spent : To.Mean + (Spent - To.Mean) * Gain;
-  To.Latest[To.Count % Kept] = Spent;
+  To.Latest[To.Count % WindowSize] = Spent;
   ++To.Count;
 }
 
-double ServiceEstimate::Seen::least() const {
+double ServiceTimeEstimate::FlowSamples::least() const {
   const auto End =
-      Latest.begin() + static_cast<std::ptrdiff_t>(std::min(Count, Kept));
+      Latest.begin() + static_cast<std::ptrdiff_t>(std::min(Count, WindowSize));
   return *std::min_element(Latest.begin(), End);
 }
 
-std::optional<double> ServiceEstimate::of(const Flow &Which) const {
+std::optional<double>
+ServiceTimeEstimate::serviceTime(const FlowKey &Which) const {
   const auto Found = Flows.find(Which);
   if (Found == Flows.end())
     return std::nullopt;
--- a/Source/Admission/ServiceEstimate.h
+++ b/Source/Admission/ServiceTimeEstimate.h
@@ -15,8 +15,8 @@
 /// very uneven statements is charged too little; with the tenth part of the
 /// latest instead, the lookups got 454.
 
-#ifndef CORIANDERDYKE_ADMISSION_SERVICEESTIMATE_H
-#define CORIANDERDYKE_ADMISSION_SERVICEESTIMATE_H
+#ifndef CORIANDERDYKE_ADMISSION_SERVICETIMEESTIMATE_H
+#define CORIANDERDYKE_ADMISSION_SERVICETIMEESTIMATE_H
 
 #include <array>
 #include <cstddef>
@@ -27,28 +27,28 @@
 
 namespace corianderdyke {
 
-class ServiceEstimate {
+class ServiceTimeEstimate {
 public:
   /// An organisation's name and that of its kind.
-  using Flow = std::pair<std::string, std::string>;
+  using FlowKey = std::pair<std::string, std::string>;
 
-  void observe(const Flow &Of, double Spent);
+  void observe(const FlowKey &Of, double Spent);
 
   /// Nothing before the flow's first statement has ended.
-  std::optional<double> of(const Flow &Which) const;
+  std::optional<double> serviceTime(const FlowKey &Which) const;
 
 private:
-  static constexpr std::size_t Kept = 32;
+  static constexpr std::size_t WindowSize = 32;
 
-  struct Seen {
+  struct FlowSamples {
     double Mean = 0;
-    std::array<double, Kept> Latest = {};
+    std::array<double, WindowSize> Latest = {};
     std::size_t Count = 0;
 
     double least() const;
   };
 
-  std::map<Flow, Seen> Flows;
+  std::map<FlowKey, FlowSamples> Flows;
 };
 
 } // namespace corianderdyke
--- a/Source/Admission/StaticSplitQueue.cpp
+++ b/Source/Admission/StaticSplitQueue.cpp
@@ -7,7 +7,8 @@
 
 namespace corianderdyke {
 
-std::optional<QueuedRequest> StaticSplitQueue::pop(const Fits &CanRun) {
+std::optional<QueuedRequest>
+StaticSplitQueue::pop(const RunnablePredicate &CanRun) {
   auto Out = Inner.pop([&](const QueuedRequest &Each) {
     const double Part =
         Portion(Each.Organisation) * static_cast<double>(Connections);
@@ -19,9 +20,9 @@
   return Out;
 }
 
-void StaticSplitQueue::finished(const QueuedRequest &Request, double Spent) {
+void StaticSplitQueue::complete(const QueuedRequest &Request, double Spent) {
   --Running[Request.Organisation];
-  Inner.finished(Request, Spent);
+  Inner.complete(Request, Spent);
 }
 
 } // namespace corianderdyke
--- a/Source/Admission/StaticSplitQueue.h
+++ b/Source/Admission/StaticSplitQueue.h
@@ -13,33 +13,35 @@
 public:
   /// \p Portion of the \p Connections belongs to each organisation; a part
   /// of less than one connection counts as one.
-  StaticSplitQueue(WeightOf Portion, std::size_t Connections)
+  StaticSplitQueue(WeightFunction Portion, std::size_t Connections)
       : Portion(std::move(Portion)), Connections(Connections),
         Inner([](const std::string &) { return 1.0; },
               [](const std::string &) { return 1.0; }) {}
 
   void push(QueuedRequest Request) override { Inner.push(std::move(Request)); }
-  std::optional<QueuedRequest> pop(const Fits &CanRun) override;
-  void finished(const QueuedRequest &Request, double Spent) override;
+  std::optional<QueuedRequest> pop(const RunnablePredicate &CanRun) override;
+  void complete(const QueuedRequest &Request, double Spent) override;
   std::optional<QueuedRequest> remove(std::uint64_t Id) override {
     return Inner.remove(Id);
   }
   std::optional<std::uint64_t>
-  displacedBy(const std::string &Organisation) const override {
-    return Inner.displacedBy(Organisation);
+  displacementVictim(const std::string &Organisation) const override {
+    return Inner.displacementVictim(Organisation);
   }
   double costAhead(const std::string &Organisation,
                    const std::string &Kind) const override {
     return Inner.costAhead(Organisation, Kind);
   }
-  double portion(const std::string &Organisation) const override {
+  double expectedShare(const std::string &Organisation) const override {
     return Portion(Organisation);
   }
-  std::vector<Ahead> waiting() const override { return Inner.waiting(); }
+  std::vector<WaitingRequest> waiting() const override {
+    return Inner.waiting();
+  }
   std::size_t size() const override { return Inner.size(); }
 
 private:
-  WeightOf Portion;
+  WeightFunction Portion;
   std::size_t Connections;
   FairQueue Inner;
   std::map<std::string, std::size_t> Running;
--- a/Source/App/CommandLine.cpp
+++ b/Source/App/CommandLine.cpp
@@ -26,7 +26,7 @@
   bool IsManifest = false;
   bool Wait = false;
   int Result = Success;
-  EdgeFactory MakeEdge;
+  ProtocolAdapterFactory MakeAdapter;
 };
 
 constexpr std::int64_t ApplyBoundMs = 10000;
@@ -44,7 +44,7 @@
 }
 
 void addPatience(CLI::App &To, CommandState &State) {
-  To.add_option("--patience-ms", State.Options.PatienceMs,
+  To.add_option("--patience-ms", State.Options.TimeoutMs,
                 "How long to look for a process that answers, in ms")
       ->check(CLI::Range(0, 600000))
       ->capture_default_str();
@@ -87,7 +87,7 @@
                  "run Examples/riga/entry-1.toml");
   Run->add_option("settings", State.File, "Settings file")->required();
   Run->callback(
-      [&State] { State.Result = runProcess(State.File, State.MakeEdge); });
+      [&State] { State.Result = runProcess(State.File, State.MakeAdapter); });
 
   CLI::App *Check =
       addCommand(App, "check", "Checks a settings file or a manifest",
@@ -107,7 +107,7 @@
       ->add_option("name", State.Name, "settings, manifest, events or metrics")
       ->required()
       ->check(CLI::IsMember({"settings", "manifest", "events", "metrics"}));
-  Catalogue->callback([&State] { State.Result = showCatalogue(State.Name); });
+  Catalogue->callback([&State] { State.Result = printCatalogue(State.Name); });
 
   CLI::App *Version =
       addCommand(App, "version", "Shows the version", "version");
@@ -240,13 +240,14 @@
 
 } // namespace
 
-int runCommandLine(int Count, char **Words, EdgeFactory MakeEdge) {
+int runCommandLine(int Count, char **Words,
+                   ProtocolAdapterFactory MakeAdapter) {
   CLI::App App("A database proxy with session consistency", "corianderdyke");
   App.require_subcommand(1);
   App.footer("Example: corianderdyke run Examples/riga/entry-1.toml\n"
              "The manual tells the exit codes: Help/command/exit-codes.md.");
   CommandState State;
-  State.MakeEdge = std::move(MakeEdge);
+  State.MakeAdapter = std::move(MakeAdapter);
   if (const char *Key = std::getenv("CORIANDERDYKE_OPERATOR_KEY"))
     State.Options.Key = Key;
   addFileCommands(App, State);
@@ -257,7 +258,7 @@
   try {
     App.parse(Count, Words);
   } catch (const CLI::ParseError &Problem) {
-    return App.exit(Problem) == 0 ? Success : BadUsage;
+    return App.exit(Problem) == 0 ? Success : UsageError;
   }
   return State.Result;
 }
--- a/Source/App/CommandLine.h
+++ b/Source/App/CommandLine.h
@@ -9,7 +9,7 @@
 namespace corianderdyke {
 
 /// Runs the command that the words name; the exit code.
-int runCommandLine(int Count, char **Words, EdgeFactory MakeEdge);
+int runCommandLine(int Count, char **Words, ProtocolAdapterFactory MakeAdapter);
 
 } // namespace corianderdyke
 
--- a/Source/App/CrashReport.cpp
+++ b/Source/App/CrashReport.cpp
@@ -166,7 +166,7 @@
 
 } // namespace
 
-void reportCrashes() {
+void installCrashHandler() {
   // The first call loads a library, which a handler must not.
   std::array<void *, 1> Unused = {};
   backtrace(Unused.data(), 1);
--- a/Source/App/CrashReport.h
+++ b/Source/App/CrashReport.h
@@ -13,7 +13,7 @@
 /// into the program that addr2line understands; those in libraries have the
 /// library's name before them. The line has no time: formatting one isn't safe
 /// inside a signal handler.
-void reportCrashes();
+void installCrashHandler();
 
 } // namespace corianderdyke
 
--- a/Source/App/FileCommands.cpp
+++ b/Source/App/FileCommands.cpp
@@ -9,7 +9,7 @@
 #include "App/SteeringProcess.h"
 #include "Common/JsonText.h"
 #include "Logs/LogEvents.h"
-#include "Loop/HeldSignals.h"
+#include "Loop/BlockedSignals.h"
 #include "Manifest/ManifestFile.h"
 #include "Operators/StatusReport.h"
 
@@ -24,13 +24,13 @@
   if (Json)
     std::cout << jsonText({{"findings", findingsReport(Found)}}, 2) << "\n";
   else
-    std::cerr << text(Found);
-  return BadFile;
+    std::cerr << refusalText(Found);
+  return InvalidFile;
 }
 
 int report(const Error &Problem) {
   std::cerr << Problem.Message << "\n";
-  return BadFile;
+  return InvalidFile;
 }
 
 template <class T> int runMade(Expected<std::unique_ptr<T>> Made) {
@@ -43,17 +43,19 @@
 
 } // namespace
 
-int runProcess(const std::string &SettingsFile, const EdgeFactory &MakeEdge) {
-  holdSignals({SIGTERM, SIGINT, SIGHUP});
+int runProcess(const std::string &SettingsFile,
+               const ProtocolAdapterFactory &MakeAdapter) {
+  blockSignals({SIGTERM, SIGINT, SIGHUP});
   const auto Text = readFile(SettingsFile);
   if (!Text)
     return report(Text.error());
   const auto Options = parseSettings(SettingsFile, *Text);
   if (!Options)
     return report(Options.error(), false);
-  setUpLogs(Options->JsonLogs, static_cast<Severity>(Options->Level));
-  if (Options->Lead == Leadership::Targets)
-    return runMade(SteeringProcess::make(*Options, SettingsFile, MakeEdge()));
+  configureLogging(Options->JsonLogs, static_cast<Severity>(Options->Level));
+  if (Options->Fencing == FencingMode::Targets)
+    return runMade(
+        SteeringProcess::make(*Options, SettingsFile, MakeAdapter()));
   return runMade(Process::make(*Options, SettingsFile, *Text));
 }
 
@@ -93,7 +95,7 @@
   return Success;
 }
 
-int showCatalogue(const std::string &Name) {
+int printCatalogue(const std::string &Name) {
   if (Name == "settings")
     std::cout << settingKeys().markdown();
   else if (Name == "manifest")
--- a/Source/App/FileCommands.h
+++ b/Source/App/FileCommands.h
@@ -10,20 +10,22 @@
 
 namespace corianderdyke {
 
-class Edge;
+class ProtocolAdapter;
 
 /// Makes the adapter to the protocols of the site.
-using EdgeFactory = std::function<std::unique_ptr<Edge>()>;
+using ProtocolAdapterFactory =
+    std::function<std::unique_ptr<ProtocolAdapter>()>;
 
 // Each returns an exit code.
 
-int runProcess(const std::string &SettingsFile, const EdgeFactory &MakeEdge);
+int runProcess(const std::string &SettingsFile,
+               const ProtocolAdapterFactory &MakeAdapter);
 int checkSettings(const std::string &File, bool Json);
 int checkManifest(const std::string &File, bool Json);
 
 /// Prints the Markdown table of "settings", "manifest", "events" or
 /// "metrics".
-int showCatalogue(const std::string &Name);
+int printCatalogue(const std::string &Name);
 
 } // namespace corianderdyke
 
--- a/Source/App/Main.cpp
+++ b/Source/App/Main.cpp
@@ -3,10 +3,10 @@
 
 #include "App/CommandLine.h"
 #include "App/CrashReport.h"
-#include "PlatformEdge.h"
+#include "PlatformAdapter.h"
 
 int main(int Count, char **Words) {
-  corianderdyke::reportCrashes();
-  return corianderdyke::runCommandLine(Count, Words,
-                                       corianderdyke::platform::makeEdge);
+  corianderdyke::installCrashHandler();
+  return corianderdyke::runCommandLine(
+      Count, Words, corianderdyke::platform::makeProtocolAdapter);
 }
--- a/Source/App/OperatorClient.cpp
+++ b/Source/App/OperatorClient.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-Expected<HttpResponse> OperatorClient::askOne(const Endpoint &Host,
+Expected<HttpResponse> OperatorClient::sendTo(const Endpoint &Host,
                                               const HttpRequest &Request) {
   EventHttpConnector Connector(Loop);
   const auto Connection = Connector.connect(Host);
@@ -30,13 +30,13 @@
   return Out;
 }
 
-Expected<HttpResponse> OperatorClient::ask(const HttpRequest &Request) {
+Expected<HttpResponse> OperatorClient::send(const HttpRequest &Request) {
   const SystemClock Time;
-  const Millis Until = Time.now() + Patience;
+  const Millis Until = Time.now() + Timeout;
   std::string Last;
   while (true) {
     for (const Endpoint &Host : Hosts) {
-      auto Answer = askOne(Host, Request);
+      auto Answer = sendTo(Host, Request);
       if (Answer && Answer->Status != StatusMisdirected)
         return Answer;
       Last = Host.text() + ": " +
@@ -46,11 +46,11 @@
       return fail(ErrorCode::Unavailable,
                   "no process answered that can; the last one asked was " +
                       Last);
-    pause(Pause);
+    runLoopFor(Pause);
   }
 }
 
-void OperatorClient::pause(Millis Span) {
+void OperatorClient::runLoopFor(Millis Span) {
   Loop.after(Span, [this] { Loop.stop(); });
   Loop.run();
 }
--- a/Source/App/OperatorClient.h
+++ b/Source/App/OperatorClient.h
@@ -13,22 +13,22 @@
 
 class OperatorClient {
 public:
-  OperatorClient(std::vector<Endpoint> Hosts, Millis Patience)
-      : Hosts(std::move(Hosts)), Patience(Patience) {}
+  OperatorClient(std::vector<Endpoint> Hosts, Millis Timeout)
+      : Hosts(std::move(Hosts)), Timeout(Timeout) {}
 
   /// Asks one process after another until one answers that can: a control
   /// host that doesn't lead passes the question on. Unavailable where none
   /// does in time.
-  Expected<HttpResponse> ask(const HttpRequest &Request);
+  Expected<HttpResponse> send(const HttpRequest &Request);
 
-  void pause(Millis Span);
+  void runLoopFor(Millis Span);
 
 private:
-  Expected<HttpResponse> askOne(const Endpoint &Host,
+  Expected<HttpResponse> sendTo(const Endpoint &Host,
                                 const HttpRequest &Request);
 
   std::vector<Endpoint> Hosts;
-  Millis Patience;
+  Millis Timeout;
   EventLoop Loop;
 };
 
--- a/Source/App/OperatorCommands.cpp
+++ b/Source/App/OperatorCommands.cpp
@@ -65,11 +65,11 @@
   Request.Headers[operator_header::Name] = Options.Operator;
   if (!Key->empty())
     Request.Headers[operator_header::Key] = *Key;
-  return OperatorClient(*Hosts, Millis(Options.PatienceMs)).ask(Request);
+  return OperatorClient(*Hosts, Millis(Options.TimeoutMs)).send(Request);
 }
 
 int exitCodeOf(const Error &Problem) {
-  return Problem.Code == ErrorCode::Unavailable ? Unreachable : BadFile;
+  return Problem.Code == ErrorCode::Unavailable ? Unreachable : InvalidFile;
 }
 
 HttpRequest post(const std::string &Path) {
@@ -81,7 +81,7 @@
 
 } // namespace
 
-int OperatorCommands::run(HttpRequest Request, Rendering Render) const {
+int OperatorCommands::run(HttpRequest Request, Renderer Render) const {
   const auto Answer = send(Options, std::move(Request));
   if (!Answer)
     return report(Answer.error(), exitCodeOf(Answer.error()));
@@ -120,19 +120,19 @@
 int OperatorCommands::manifestHistory() const {
   HttpRequest Request;
   Request.Path = "/v1/manifest/history";
-  return run(std::move(Request), &historyText);
+  return run(std::move(Request), &manifestHistoryText);
 }
 
 int OperatorCommands::sendManifest(const std::string &Path,
                                    const std::string &File,
-                                   Rendering Render) const {
+                                   Renderer Render) const {
   const auto Text = readFile(File);
   if (!Text)
-    return report(Text.error(), BadFile);
+    return report(Text.error(), InvalidFile);
   // Checked here first, so that faults are told without a running system.
   if (const auto Parsed = parseManifest(File, *Text); !Parsed) {
-    std::cerr << text(Parsed.error());
-    return BadFile;
+    std::cerr << refusalText(Parsed.error());
+    return InvalidFile;
   }
   HttpRequest Request = post(Path);
   Request.Headers[operator_header::ManifestFile] = File;
@@ -141,12 +141,12 @@
 }
 
 int OperatorCommands::compareManifest(const std::string &File) const {
-  return sendManifest("/v1/manifest/diff", File, &differenceText);
+  return sendManifest("/v1/manifest/diff", File, &manifestDifferenceText);
 }
 
 int OperatorCommands::applyManifest(const std::string &File, bool Wait,
                                     Millis Bound) const {
-  const int Result = sendManifest("/v1/manifest", File, &acceptedText);
+  const int Result = sendManifest("/v1/manifest", File, &manifestAcceptedText);
   return Result == Success && Wait ? waitUntilInForce(File, Bound) : Result;
 }
 
@@ -215,11 +215,11 @@
   HttpRequest Request;
   Request.Path = "/healthz";
   while (Time.now() < Until) {
-    if (!Client.ask(Request)) {
+    if (!Client.send(Request)) {
       std::cout << (Options.Json ? "" : "stopped\n");
       return Success;
     }
-    Client.pause(AskAgainAfter);
+    Client.runLoopFor(AskAgainAfter);
   }
   std::cerr << "still running after " << Bound.count() << " ms\n";
   return Failure;
--- a/Source/App/OperatorCommands.h
+++ b/Source/App/OperatorCommands.h
@@ -20,13 +20,13 @@
   std::string Key;
   std::string KeyFile;
   bool Json = false;
-  std::int64_t PatienceMs = 10000;
+  std::int64_t TimeoutMs = 10000;
 };
 
 /// Each returns an exit code.
 class OperatorCommands {
 public:
-  using Rendering = std::string (*)(const nlohmann::json &);
+  using Renderer = std::string (*)(const nlohmann::json &);
 
   explicit OperatorCommands(const OperatorOptions &Options)
       : Options(Options) {}
@@ -45,9 +45,9 @@
   int drainProxy(Millis Bound) const;
 
 private:
-  int run(HttpRequest Request, Rendering Render) const;
+  int run(HttpRequest Request, Renderer Render) const;
   int sendManifest(const std::string &Path, const std::string &File,
-                   Rendering Render) const;
+                   Renderer Render) const;
   int waitUntilInForce(const std::string &File, Millis Bound) const;
 
   const OperatorOptions &Options;
--- a/Source/App/Process.cpp
+++ b/Source/App/Process.cpp
@@ -29,8 +29,8 @@
 }
 
 Expected<void> Process::open() {
-  auto Transport = SocketTransport::listen(Loop, Options.Peers, Options.Name,
-                                           Options.PeerKey);
+  auto Transport = SocketTransport::listen(Loop, Options.PeerEndpoint,
+                                           Options.Name, Options.PeerKey);
   if (!Transport)
     return tl::unexpected(Transport.error());
   Peers = std::move(*Transport);
@@ -39,11 +39,13 @@
       return Done;
   if (Options.IsProxy)
     Proxy = std::make_unique<ProxyNode>(
-        Options, ProxyPorts{Time, Loop, *Peers, Connector}, randomNumber());
+        Options, ProxyDependencies{Time, Loop, *Peers, Connector},
+        randomNumber());
   Operators = std::make_unique<OperatorService>(
       OperatorSources{
           Time, *Peers, Control.get(), Proxy.get(),
-          ProcessDelays{&Loop.timerDelays(), Disk ? &Disk->syncs() : nullptr}},
+          ProcessLatencies{&Loop.timerLatency(),
+                           Disk ? &Disk->syncDurations() : nullptr}},
       Options.OperatorKey);
   return openListeners();
 }
@@ -58,19 +60,20 @@
   if (auto Loaded = Log->load(freshDiskId()); !Loaded)
     return Loaded;
   Control = std::make_unique<ControlNode>(
-      Options, ControlPorts{Time, Loop, *Peers, Connector}, *Log,
+      Options, ControlDependencies{Time, Loop, *Peers, Connector}, *Log,
       randomNumber());
   return {};
 }
 
 Expected<void> Process::openListeners() {
-  auto Opened = EventHttpServer::listen(Loop, Options.Operators, *Operators);
+  auto Opened =
+      EventHttpServer::listen(Loop, Options.OperatorEndpoint, *Operators);
   if (!Opened)
     return tl::unexpected(Opened.error());
   OperatorPort = std::move(*Opened);
   if (!Proxy)
     return {};
-  auto Callers = EventHttpServer::listen(Loop, Options.Callers, *Proxy);
+  auto Callers = EventHttpServer::listen(Loop, Options.CallerEndpoint, *Proxy);
   if (!Callers)
     return tl::unexpected(Callers.error());
   CallerPort = std::move(*Callers);
@@ -89,7 +92,7 @@
     Control->signalLeadership().connect([](bool Leads) {
       logEvent(Leads ? EventId::LeadershipGained : EventId::LeadershipLost, {});
     });
-    Control->signalDisk().connect([](const std::string &Refusal) {
+    Control->signalDiskStatus().connect([](const std::string &Refusal) {
       logEvent(Refusal.empty() ? EventId::DiskUsable : EventId::DiskRefuses,
                {{"error", Refusal}});
     });
@@ -112,7 +115,7 @@
   Stopping = true;
   logEvent(EventId::Stopping, {{"reason", Reason}});
   Operators->beginStopping();
-  const Millis Until = Time.now() + Options.StopNotice + Options.StopBound;
+  const Millis Until = Time.now() + Options.DrainDelay + Options.StopTimeout;
   if (!Proxy) {
     stopWhenIdle(Until);
     return;
@@ -120,16 +123,16 @@
   // Callers that keep their connection are asked to leave with their next
   // answer. New ones are still served, since the balancer sends them until it
   // has seen that this process isn't ready.
-  CallerPort->closeAfterAnswers();
-  Loop.after(Options.StopNotice, [this] { CallerPort->stopListening(); });
+  CallerPort->closeConnectionsAfterResponse();
+  Loop.after(Options.DrainDelay, [this] { CallerPort->stopListening(); });
   Proxy->drain([this, Until] { stopWhenIdle(Until); });
   Loop.after(Until - Time.now(), [this, Until] { stopWhenIdle(Until); });
 }
 
 std::size_t Process::unfinished() const {
-  std::size_t Out = OperatorPort->unanswered();
+  std::size_t Out = OperatorPort->pendingRequests();
   if (CallerPort)
-    Out += CallerPort->unanswered();
+    Out += CallerPort->pendingRequests();
   if (Proxy)
     Out += Proxy->statements().openTransactions();
   return Out;
@@ -144,7 +147,7 @@
   if (Left > 0)
     logEvent(EventId::StopBoundReached, {{"unfinished", std::to_string(Left)}});
   if (Proxy)
-    Proxy->giveBackRights();
+    Proxy->releaseRights();
   Loop.stop();
 }
 
@@ -160,14 +163,14 @@
       logEvent(EventId::SettingsRefused, {{"error", Each.text()}});
     return;
   }
-  setUpLogs(Parsed->JsonLogs, static_cast<Severity>(Parsed->Level));
+  configureLogging(Parsed->JsonLogs, static_cast<Severity>(Parsed->Level));
   // Text stays what the process started with but for the keys that reload,
   // so that each change that waits for a restart is told again each time.
-  for (const ItemDifference &Each : differences(settingKeys(), Text, *New)) {
+  for (const ItemDifference &Each : diffDocuments(settingKeys(), Text, *New)) {
     const std::size_t Dot = Each.Item.find('.');
     const KeyDescription *Key = settingKeys().find(
         "[" + Each.Item.substr(0, Dot) + "]", Each.Item.substr(Dot + 1));
-    const bool Reloads = Key != nullptr && Key->Reloads;
+    const bool Reloads = Key != nullptr && Key->IsReloadable;
     const bool Secret = Each.Item.rfind("keys.", 0) == 0;
     logEvent(Reloads ? EventId::SettingsReloaded : EventId::RestartNeeded,
              {{"key", Each.Item},
@@ -182,7 +185,7 @@
   for (const int Signal : {SIGTERM, SIGINT})
     Loop.onSignal(Signal, [this] { beginStop("signal"); });
   Loop.onSignal(SIGHUP, [this] { reload(); });
-  Operators->signalDrainAsked().connect([this] { beginStop("operator"); });
+  Operators->signalDrainRequested().connect([this] { beginStop("operator"); });
   logEvent(EventId::Started, {{"name", Options.Name}});
   if (Control)
     Control->start();
--- a/Source/App/StatementLogs.cpp
+++ b/Source/App/StatementLogs.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-std::string text(Millis Span) { return std::to_string(Span.count()); }
+std::string refusalText(Millis Span) { return std::to_string(Span.count()); }
 
-std::string text(const std::optional<LogPosition> &Position) {
+std::string refusalText(const std::optional<LogPosition> &Position) {
   return Position ? std::to_string(Position->Term) + "." +
                         std::to_string(Position->Number)
                   : "";
@@ -19,19 +19,20 @@
 
 /// What decided where a statement goes.
 LogFields fieldsOf(const SessionJob &Job, Millis Now) {
-  return {{"id", Job.What.Id},
-          {"route", Job.Route.Name},
-          {"group", Job.Route.Group},
-          {"place", Job.Where == Placement::Leader ? "leader" : "replica"},
-          {"floor", text(Job.Floor)},
-          {"tries", std::to_string(Job.Tries)},
-          {"since_ms", text(Now - Job.ArrivedAt)},
-          {"left_ms", text(Job.DeadlineAt - Now)}};
+  return {
+      {"id", Job.Stmt.Id},
+      {"route", Job.Route.Name},
+      {"group", Job.Route.Group},
+      {"place", Job.Destination == Placement::Primary ? "leader" : "replica"},
+      {"floor", refusalText(Job.Floor)},
+      {"tries", std::to_string(Job.Tries)},
+      {"since_ms", refusalText(Now - Job.ArrivedAt)},
+      {"left_ms", refusalText(Job.DeadlineAt - Now)}};
 }
 
 } // namespace
 
-const char *refusalWord(RefusalCode Code) {
+const char *refusalCodeName(RefusalCode Code) {
   switch (Code) {
   case RefusalCode::Busy:
     return "busy";
@@ -65,33 +66,33 @@
   return "unknown";
 }
 
-void logStatements(SessionPipeline &Of, const Clock &Time) {
-  Of.signalRefused().connect(
-      [&Of](const CallerSession &Session, const Statement &What,
-            const StatementRefusal &Why, const std::string &Grounds) {
-        if (wantsEvent(EventId::StatementRefused))
+void subscribeStatementLogs(SessionPipeline &Pipeline, const Clock &Time) {
+  Pipeline.signalRefused().connect(
+      [&Pipeline](const CallerSession &Session, const Statement &What,
+                  const StatementRefusal &Why, const std::string &Grounds) {
+        if (admitEvent(EventId::StatementRefused))
           logEvent(EventId::StatementRefused,
                    {{"id", What.Id},
                     {"database", Session.Database},
                     {"session", std::to_string(Session.Id)},
                     {"organisation", Session.Organisation},
-                    {"plan", std::to_string(Of.plan().Version)},
-                    {"code", refusalWord(Why.Code)},
-                    {"why", Why.Why},
+                    {"plan", std::to_string(Pipeline.plan().Version)},
+                    {"code", refusalCodeName(Why.Code)},
+                    {"why", Why.Reason},
                     {"grounds", Grounds}});
       });
-  Of.signalMoved().connect(
+  Pipeline.signalRetried().connect(
       [&Time](const SessionJob &Job, const StatementRefusal &Why) {
-        if (!wantsEvent(EventId::StatementMoved))
+        if (!admitEvent(EventId::StatementMoved))
           return;
         LogFields Fields = fieldsOf(Job, Time.now());
-        Fields.emplace_back("code", refusalWord(Why.Code));
-        Fields.emplace_back("why", Why.Why);
+        Fields.emplace_back("code", refusalCodeName(Why.Code));
+        Fields.emplace_back("why", Why.Reason);
         logEvent(EventId::StatementMoved, Fields);
       });
-  Of.signalServed().connect(
+  Pipeline.signalServed().connect(
       [&Time](const SessionJob &Job, const std::string &Target) {
-        if (!wantsEvent(EventId::StatementServed))
+        if (!admitEvent(EventId::StatementServed))
           return;
         LogFields Fields = fieldsOf(Job, Time.now());
         Fields.emplace_back("target", Target);
--- a/Source/App/StatementLogs.h
+++ b/Source/App/StatementLogs.h
@@ -9,11 +9,11 @@
 namespace corianderdyke {
 
 /// A refusal's code as logs and metrics have it.
-const char *refusalWord(RefusalCode Code);
+const char *refusalCodeName(RefusalCode Code);
 
 /// Writes a line with the caller's id for each refusal, move and result that
-/// \p Of tells, within the bounds of the catalogue.
-void logStatements(SessionPipeline &Of, const Clock &Time);
+/// \p Pipeline tells, within the bounds of the catalogue.
+void subscribeStatementLogs(SessionPipeline &Pipeline, const Clock &Time);
 
 } // namespace corianderdyke
 
--- a/Source/App/SteeringMetrics.cpp
+++ b/Source/App/SteeringMetrics.cpp
@@ -15,7 +15,7 @@
 constexpr int StatusNotFound = 404;
 
 const char *outcomeOf(const SessionJob &Job) {
-  if (Job.What.Kind == StatementKind::Commit)
+  if (Job.Stmt.Kind == StatementKind::Commit)
     return "commit";
   return Job.Writes ? "write" : "read";
 }
@@ -32,10 +32,10 @@
     From.Pipeline->signalRefused().connect(
         [this](const CallerSession &, const Statement &,
                const StatementRefusal &Why,
-               const std::string &) { ++Refusals[refusalWord(Why.Code)]; });
+               const std::string &) { ++Refusals[refusalCodeName(Why.Code)]; });
   }
   if (From.Control != nullptr)
-    From.Control->promotions().signalStep().connect(
+    From.Control->promotionCoordinator().signalStep().connect(
         [this](const std::string &, const std::string &What,
                const std::string &) { ++Steps[What]; });
 }
@@ -75,7 +75,7 @@
   Count("corianderdyke_reads_total", "served_by", "replica",
         Counts.ReadsByReplica);
   Count("corianderdyke_reads_total", "served_by", "primary",
-        Counts.ReadsByLeader);
+        Counts.ReadsByPrimary);
   Count("corianderdyke_statements_total", "outcome", "not-run", Counts.NotRun);
   Count("corianderdyke_statements_total", "outcome", "unknown", Counts.Unknown);
   Count("corianderdyke_statements_total", "outcome", "failed", Counts.Failed);
@@ -118,7 +118,7 @@
 
 void SteeringMetrics::addControl(MetricSet &To) const {
   const Consensus &Agreement = From.Control->consensus();
-  addElections(To, Agreement);
+  addElectionMetrics(To, Agreement);
   To.add("corianderdyke_control_leader", From.Control->leads() ? 1 : 0);
   To.add("corianderdyke_control_term", static_cast<double>(Agreement.term()));
   To.add("corianderdyke_control_revision",
@@ -126,7 +126,7 @@
   To.add("corianderdyke_control_voters",
          static_cast<double>(Agreement.voters().size()));
   To.add("corianderdyke_proxies",
-         static_cast<double>(From.Control->followers()));
+         static_cast<double>(From.Control->subscriberCount()));
   To.add("corianderdyke_plan_version",
          static_cast<double>(From.Control->state().plan().Version));
   for (const auto &[Step, Each] : Steps)
--- a/Source/App/SteeringMetrics.h
+++ b/Source/App/SteeringMetrics.h
@@ -8,8 +8,8 @@
 #include "Http/HttpServer.h"
 #include "Operators/MetricSet.h"
 #include "Relay/TargetBroker.h"
-#include "Steering/ControlFeed.h"
-#include "Steering/Edge.h"
+#include "Steering/ControlClient.h"
+#include "Steering/ProtocolAdapter.h"
 #include "Steering/SteeringNode.h"
 
 namespace corianderdyke {
@@ -21,10 +21,10 @@
   SessionPipeline *Pipeline = nullptr;
   const TargetBroker *Broker = nullptr;
   const QuotaSeats *Quotas = nullptr;
-  const ControlFeed *Feed = nullptr;
+  const ControlClient *Feed = nullptr;
   SteeringNode *Control = nullptr;
   std::function<bool()> IsReady;
-  ProcessDelays Delays = {};
+  ProcessLatencies Delays = {};
 };
 
 /// Serves "/metrics" in the Prometheus text format.
--- a/Source/App/SteeringProcess.cpp
+++ b/Source/App/SteeringProcess.cpp
@@ -33,21 +33,21 @@
 
 Expected<std::unique_ptr<SteeringProcess>>
 SteeringProcess::make(const Settings &Options, std::string File,
-                      std::unique_ptr<Edge> Outer) {
+                      std::unique_ptr<ProtocolAdapter> Adapter) {
   std::unique_ptr<SteeringProcess> Made(
-      new SteeringProcess(Options, std::move(File), std::move(Outer)));
+      new SteeringProcess(Options, std::move(File), std::move(Adapter)));
   if (auto Done = Made->open(); !Done)
     return tl::unexpected(Done.error());
   return Made;
 }
 
 Expected<void> SteeringProcess::open() {
-  auto Transport = SocketTransport::listen(Loop, Options.Peers, Options.Name,
-                                           Options.PeerKey);
+  auto Transport = SocketTransport::listen(Loop, Options.PeerEndpoint,
+                                           Options.Name, Options.PeerKey);
   if (!Transport)
     return tl::unexpected(Transport.error());
   Peers = std::move(*Transport);
-  Targets = Outer->targets(Loop);
+  Targets = Adapter->makeTargetConnector(Loop);
   if (Options.IsControl)
     if (auto Done = openControl(); !Done)
       return Done;
@@ -61,10 +61,11 @@
   Metrics = std::make_unique<SteeringMetrics>(SteeringSources{
       Time, *Peers, Pipeline.get(), Broker.get(), Quotas.get(), Feed.get(),
       Control.get(), [this] { return isReady(); },
-      ProcessDelays{&Loop.timerDelays(), Disk ? &Disk->syncs() : nullptr}});
-  if (Options.Operators.Port == 0)
+      ProcessLatencies{&Loop.timerLatency(),
+                       Disk ? &Disk->syncDurations() : nullptr}});
+  if (Options.OperatorEndpoint.Port == 0)
     return {};
-  auto Opened = listen(Options.Operators, *Metrics);
+  auto Opened = listen(Options.OperatorEndpoint, *Metrics);
   if (!Opened)
     return tl::unexpected(Opened.error());
   MetricsPort = std::move(*Opened);
@@ -72,7 +73,7 @@
 }
 
 bool SteeringProcess::isReady() const {
-  return Pipeline && !Stopping && Feed->isProven() &&
+  return Pipeline && !Stopping && Feed->isConfirmed() &&
          Pipeline->plan().Version > 0;
 }
 
@@ -90,22 +91,24 @@
   Log.emplace(*Records);
   if (auto Loaded = Log->load(std::to_string(randomNumber())); !Loaded)
     return Loaded;
-  Orders = Outer->orders(Loop, *Targets);
-  Promotions =
-      Outer->promotions(Loop, Connector, {Options.Promotions, Options.Name});
+  TargetCommands = Adapter->makeTargetCommandPort(Loop, *Targets);
+  Promotions = Adapter->makePromotionPort(
+      Loop, Connector, {Options.PromotionEndpoint, Options.Name});
   SteeringOptions Given;
-  Given.Name = Options.Peers.Address;
-  Given.Process = Options.Name;
-  Given.PeerPort = Options.Peers.Port;
+  Given.Name = Options.PeerEndpoint.Address;
+  Given.ProcessName = Options.Name;
+  Given.PeerPort = Options.PeerEndpoint.Port;
   Given.Seeds = addressesOf(Options.Seeds);
-  Given.MayFound = Options.MayFound;
-  Given.LostDisksBorne = Options.LostDisksBorne;
+  Given.MayBootstrap = Options.MayBootstrap;
+  Given.ToleratedDiskLosses = Options.ToleratedDiskLosses;
   Given.KeySecret = Options.PeerKey;
   Control = std::make_unique<SteeringNode>(
-      Given, SteeringPorts{Time, Loop, *Peers, *Orders, *Promotions}, *Log,
-      randomNumber());
-  DirectoryCalls = Outer->directory(*Control, Options.Directory);
-  auto Opened = listen(Options.Directory, *DirectoryCalls);
+      Given,
+      SteeringDependencies{Time, Loop, *Peers, *TargetCommands, *Promotions},
+      *Log, randomNumber());
+  DirectoryCalls =
+      Adapter->makeDirectoryService(*Control, Options.DirectoryEndpoint);
+  auto Opened = listen(Options.DirectoryEndpoint, *DirectoryCalls);
   if (!Opened)
     return tl::unexpected(Opened.error());
   DirectoryPort = std::move(*Opened);
@@ -113,51 +116,57 @@
 }
 
 Expected<void> SteeringProcess::openRelay() {
-  auto Opened = SocketPeerStreams::listen(Loop, Options.Relay, Options.PeerKey);
+  auto Opened =
+      SocketPeerStreams::listen(Loop, Options.RelayEndpoint, Options.PeerKey);
   if (!Opened)
     return tl::unexpected(Opened.error());
   Streams = std::move(*Opened);
-  Frames = std::make_unique<RelayFrames>();
+  Frames = std::make_unique<RelayCodec>();
   Broker = std::make_unique<TargetBroker>(Time, Loop, *Targets);
-  Shared = std::make_unique<SharedConnector>(
-      SharedConnector::Ports{Time, Loop, *Targets, *Broker, *Streams, *Frames,
-                             Floors},
+  ConnectionSharing = std::make_unique<SharedConnector>(
+      SharedConnector::Dependencies{Time, Loop, *Targets, *Broker, *Streams,
+                                    *Frames, SessionFloors},
       Options.Name);
-  Relay = std::make_unique<RelayHost>(Time, Loop, *Streams, *Frames, *Broker,
-                                      Floors);
+  Relay = std::make_unique<RelayServer>(Time, Loop, *Streams, *Frames, *Broker,
+                                        SessionFloors);
   return {};
 }
 
 Expected<void> SteeringProcess::openProxy() {
-  if (Options.Relay.Port != 0)
+  if (Options.RelayEndpoint.Port != 0)
     if (auto Done = openRelay(); !Done)
       return Done;
-  TargetConnector &Connections = Shared ? *Shared : *Targets;
+  TargetConnector &Connections =
+      ConnectionSharing ? *ConnectionSharing : *Targets;
   const ProcessId Self{Options.Name, randomNumber()};
   Quotas = std::make_unique<QuotaSeats>(
-      Self, QuotaTolerance{Options.QuotaOverage, Options.QuotaSlack,
-                           Options.QuotaWindow});
+      Self,
+      QuotaTolerance{Options.QuotaOverageRatio, Options.QuotaOverageOperations,
+                     Options.QuotaWindow});
   Permits = std::make_unique<OperationPermits>(
-      OperationPermits::Ports{Time, Loop, *Peers}, Options.Name,
-      Options.Peers.Port, *Quotas);
+      OperationPermits::Dependencies{Time, Loop, *Peers}, Options.Name,
+      Options.PeerEndpoint.Port, *Quotas);
   Pipeline = std::make_unique<SessionPipeline>(
-      SessionPipeline::Ports{Time, Loop, Connections, Floors,
-                             [this] { return Feed && Feed->isCurrent(); },
-                             Options.PeerKey, Permits.get()},
-      Options.Where);
-  Feed = std::make_unique<ControlFeed>(
-      FeedOptions{Self,
-                  Options.Peers.Port,
-                  addressesOf(Options.Seeds),
-                  {Options.Name, Options.Relay, Options.Where.FailureDomain}},
+      SessionPipeline::Dependencies{
+          Time, Loop, Connections, SessionFloors,
+          [this] { return Feed && Feed->isCurrent(); }, Options.PeerKey,
+          Permits.get()},
+      Options.OwnLocality);
+  Feed = std::make_unique<ControlClient>(
+      ControlClientOptions{Self,
+                           Options.PeerEndpoint.Port,
+                           addressesOf(Options.Seeds),
+                           {Options.Name, Options.RelayEndpoint,
+                            Options.OwnLocality.FailureDomain}},
       Time, Loop, *Peers);
-  Feed->setQuotas(Quotas.get());
-  auto Callers = Outer->listenForCallers(Loop, Options.Sessions, *Pipeline);
+  Feed->setQuotaSeats(Quotas.get());
+  auto Callers =
+      Adapter->listenForCallers(Loop, Options.SessionEndpoint, *Pipeline);
   if (!Callers)
     return tl::unexpected(Callers.error());
   CallerPort = std::move(*Callers);
-  ReadinessCalls = Outer->readiness([this] { return isReady(); });
-  auto Opened = listen(Options.Readiness, *ReadinessCalls);
+  ReadinessCalls = Adapter->makeReadinessService([this] { return isReady(); });
+  auto Opened = listen(Options.ReadinessEndpoint, *ReadinessCalls);
   if (!Opened)
     return tl::unexpected(Opened.error());
   ReadinessPort = std::move(*Opened);
@@ -173,7 +182,7 @@
                                      {"to", Line.To},
                                      {"reason", Line.Reason}});
   });
-  Control->signalRecalled().connect([this] {
+  Control->signalReplayed().connect([this] {
     logEvent(EventId::StateRecalled,
              {{"plan", std::to_string(Control->state().plan().Version)},
               {"targets", std::to_string(Control->state().targets().size())},
@@ -182,22 +191,22 @@
   Control->signalLeadership().connect([](bool Leads) {
     logEvent(Leads ? EventId::LeadershipGained : EventId::LeadershipLost, {});
   });
-  Control->signalStanding().connect([this] {
+  Control->signalConsensusStatus().connect([this] {
     const Consensus &Group = Control->consensus();
-    if (wantsEvent(EventId::GroupStanding))
+    if (admitEvent(EventId::GroupStanding))
       logEvent(EventId::GroupStanding,
-               {{"role", text(Group.role())},
+               {{"role", refusalText(Group.role())},
                 {"term", std::to_string(Group.term())},
                 {"last", std::to_string(Group.log().lastIndex())},
                 {"voters", describe(Group.voters())}});
   });
-  Control->promotions().signalStep().connect([](const std::string &Group,
-                                                const std::string &What,
-                                                const std::string &Why) {
-    logEvent(EventId::PromotionStep,
-             {{"group", Group}, {"step", What}, {"reason", Why}});
-  });
-  Control->signalDisk().connect([](const std::string &Refusal) {
+  Control->promotionCoordinator().signalStep().connect(
+      [](const std::string &Group, const std::string &What,
+         const std::string &Why) {
+        logEvent(EventId::PromotionStep,
+                 {{"group", Group}, {"step", What}, {"reason", Why}});
+      });
+  Control->signalDiskStatus().connect([](const std::string &Refusal) {
     logEvent(Refusal.empty() ? EventId::DiskUsable : EventId::DiskRefuses,
              {{"error", Refusal}});
   });
@@ -214,53 +223,53 @@
     logEvent(EventId::PlanInForce,
              {{"version", std::to_string(Feed->plan().Version)},
               {"before", std::to_string(Pipeline->plan().Version)}});
-    if (Shared)
-      Shared->adopt(Feed->plan());
+    if (ConnectionSharing)
+      ConnectionSharing->setPlan(Feed->plan());
     Permits->adopt(Feed->plan());
     Pipeline->adopt(Feed->plan());
-    Pipeline->update(Feed->directory());
+    Pipeline->updateTargets(Feed->directory());
   });
   Feed->signalDirectory().connect([this] {
-    if (Shared)
-      Shared->update(Feed->directory());
-    Pipeline->update(Feed->directory());
+    if (ConnectionSharing)
+      ConnectionSharing->updateTargets(Feed->directory());
+    Pipeline->updateTargets(Feed->directory());
   });
   Feed->signalProxies().connect(
       [this](std::size_t Count) { Pipeline->setProxyCount(Count); });
-  Feed->signalQuotas().connect([this] { Permits->seatsChanged(); });
-  if (Shared)
+  Feed->signalQuotas().connect([this] { Permits->handleSeatsChanged(); });
+  if (ConnectionSharing)
     connectRelay();
-  Feed->signalContact().connect([](bool HasContact) {
+  Feed->signalConnectivity().connect([](bool HasContact) {
     logEvent(HasContact ? EventId::ControlFound : EventId::ControlLost, {});
   });
-  Pipeline->signalTrouble().connect(
-      sigc::mem_fun(*this, &SteeringProcess::noteTrouble));
-  Pipeline->signalReached().connect(
-      [this](const std::string &Id) { Feed->noteReached(Id); });
-  logStatements(*Pipeline, Time);
+  Pipeline->signalTargetFailure().connect(
+      sigc::mem_fun(*this, &SteeringProcess::reportTargetFailure));
+  Pipeline->signalPrimaryAnswered().connect(
+      [this](const std::string &Id) { Feed->recordReachable(Id); });
+  subscribeStatementLogs(*Pipeline, Time);
 }
 
 void SteeringProcess::connectRelay() {
   Feed->signalProxyList().connect([this](const std::vector<ProxyRecord> &All) {
     logEvent(EventId::ProxiesKnown, {{"proxies", std::to_string(All.size())}});
-    Shared->setProxies(All);
+    ConnectionSharing->setProxies(All);
     Permits->setProxies(All);
     Pipeline->setProxyCount(All.size());
     // Statements may have waited for the list.
-    Pipeline->update(Feed->directory());
+    Pipeline->updateTargets(Feed->directory());
   });
-  Broker->signalTrouble().connect(
-      sigc::mem_fun(*this, &SteeringProcess::noteTrouble));
-  Broker->signalReached().connect(
-      [this](const std::string &Id) { Feed->noteReached(Id); });
+  Broker->signalTargetFailure().connect(
+      sigc::mem_fun(*this, &SteeringProcess::reportTargetFailure));
+  Broker->signalPrimaryAnswered().connect(
+      [this](const std::string &Id) { Feed->recordReachable(Id); });
 }
 
-void SteeringProcess::noteTrouble(const TargetTrouble &Seen) {
-  if (wantsEvent(EventId::TargetUnusable))
+void SteeringProcess::reportTargetFailure(const TargetFailure &Seen) {
+  if (admitEvent(EventId::TargetUnusable))
     logEvent(
         EventId::TargetUnusable,
         {{"target", Seen.Id}, {"how", Seen.IsRefused ? "refused" : "silent"}});
-  Feed->noteFailed(Seen.Id);
+  Feed->recordUnreachable(Seen.Id);
 }
 
 int SteeringProcess::run() {
@@ -292,22 +301,23 @@
   }
   Feed->announceStop();
   if (Relay)
-    Relay->beginStop();
+    Relay->announceStop();
   const Millis Now = Time.now();
-  const Millis Part = Options.StopBound / StopParts;
+  const Millis Part = Options.StopTimeout / StopParts;
   Pipeline->beginStop(Now + Part * TransactionsEndBy,
                       Now + Part * SessionsLeaveBy);
-  stopWhenQuiet(Now + Part * (StopParts - 1));
+  stopWhenIdle(Now + Part * (StopParts - 1));
 }
 
-void SteeringProcess::stopWhenQuiet(Millis Until) {
+void SteeringProcess::stopWhenIdle(Millis Until) {
   // The balancer sends callers here until it has seen that this process isn't
   // ready, so an early quiet moment is no reason to go.
   const Millis Notice = Until -
-                        Options.StopBound / StopParts * (StopParts - 1) +
-                        Options.StopNotice;
+                        Options.StopTimeout / StopParts * (StopParts - 1) +
+                        Options.DrainDelay;
   const Millis Now = Time.now();
-  const bool IsQuiet = Pipeline->isQuiet() && (!Broker || !Broker->isBusy());
+  const bool IsQuiet =
+      Pipeline->hasNoSessions() && (!Broker || !Broker->isBusy());
   if ((IsQuiet && Now >= Notice) || Now >= Until) {
     if (!IsQuiet)
       logEvent(EventId::StopBoundReached,
@@ -315,7 +325,7 @@
     Loop.stop();
     return;
   }
-  Loop.after(StopCheckInterval, [this, Until] { stopWhenQuiet(Until); });
+  Loop.after(StopCheckInterval, [this, Until] { stopWhenIdle(Until); });
 }
 
 void SteeringProcess::reload() {
--- a/Source/App/SteeringProcess.h
+++ b/Source/App/SteeringProcess.h
@@ -10,11 +10,11 @@
 #include "Http/EventHttpConnector.h"
 #include "Http/EventHttpServer.h"
 #include "Quota/OperationPermits.h"
-#include "Relay/RelayHost.h"
+#include "Relay/RelayServer.h"
 #include "Relay/SharedConnector.h"
 #include "Settings/Settings.h"
-#include "Steering/ControlFeed.h"
-#include "Steering/Edge.h"
+#include "Steering/ControlClient.h"
+#include "Steering/ProtocolAdapter.h"
 #include "Storage/FileDisk.h"
 #include "Transport/SocketPeerStreams.h"
 #include "Transport/SocketTransport.h"
@@ -28,15 +28,16 @@
 public:
   /// Opens the data folder and the ports; the first that fails is the error.
   static Expected<std::unique_ptr<SteeringProcess>>
-  make(const Settings &Options, std::string File, std::unique_ptr<Edge> Outer);
+  make(const Settings &Options, std::string File,
+       std::unique_ptr<ProtocolAdapter> Adapter);
 
   /// Runs until a signal ends it; the exit code.
   int run();
 
 private:
   SteeringProcess(const Settings &Options, std::string File,
-                  std::unique_ptr<Edge> Outer)
-      : Options(Options), File(std::move(File)), Outer(std::move(Outer)) {}
+                  std::unique_ptr<ProtocolAdapter> Outer)
+      : Options(Options), File(std::move(File)), Adapter(std::move(Outer)) {}
 
   Expected<void> open();
   Expected<void> openControl();
@@ -49,9 +50,9 @@
   void connectControl();
   void connectProxy();
   void connectRelay();
-  void noteTrouble(const TargetTrouble &Seen);
+  void reportTargetFailure(const TargetFailure &Seen);
   void beginStop();
-  void stopWhenQuiet(Millis Until);
+  void stopWhenIdle(Millis Until);
   void reload();
 
   Settings Options;
@@ -59,11 +60,11 @@
   SystemClock Time;
   EventLoop Loop;
   EventHttpConnector Connector{Loop};
-  std::unique_ptr<Edge> Outer;
+  std::unique_ptr<ProtocolAdapter> Adapter;
   std::unique_ptr<SocketTransport> Peers;
   std::unique_ptr<TargetConnector> Targets;
   // Control.
-  std::unique_ptr<TargetOrderPort> Orders;
+  std::unique_ptr<TargetCommandPort> TargetCommands;
   std::unique_ptr<PromotionPort> Promotions;
   std::optional<FileDisk> Disk;
   std::optional<Journal> Records;
@@ -72,16 +73,16 @@
   std::unique_ptr<HttpService> DirectoryCalls;
   std::unique_ptr<EventHttpServer> DirectoryPort;
   // Proxy.
-  FloorTable Floors;
+  FloorTable SessionFloors;
   std::unique_ptr<QuotaSeats> Quotas;
   std::unique_ptr<OperationPermits> Permits;
   std::unique_ptr<SocketPeerStreams> Streams;
-  std::unique_ptr<RelayFrames> Frames;
+  std::unique_ptr<RelayCodec> Frames;
   std::unique_ptr<TargetBroker> Broker;
-  std::unique_ptr<SharedConnector> Shared;
-  std::unique_ptr<RelayHost> Relay;
+  std::unique_ptr<SharedConnector> ConnectionSharing;
+  std::unique_ptr<RelayServer> Relay;
   std::unique_ptr<SessionPipeline> Pipeline;
-  std::unique_ptr<ControlFeed> Feed;
+  std::unique_ptr<ControlClient> Feed;
   std::unique_ptr<CallerListener> CallerPort;
   std::unique_ptr<HttpService> ReadinessCalls;
   std::unique_ptr<EventHttpServer> ReadinessPort;
--- a/Source/Common/BoundedArchive.h
+++ b/Source/Common/BoundedArchive.h
@@ -23,7 +23,7 @@
       : InputArchive(this), Inner(In), Left(Size) {}
 
   template <std::size_t ItemBytes> void read(void *To, std::size_t Size) {
-    take(Size);
+    consume(Size);
     Inner.template loadBinary<ItemBytes>(To,
                                          static_cast<std::streamsize>(Size));
   }
@@ -34,7 +34,7 @@
   }
 
 private:
-  void take(std::size_t Size) {
+  void consume(std::size_t Size) {
     requireLength(Size);
     Left -= Size;
   }
--- a/Source/Common/Compression.cpp
+++ b/Source/Common/Compression.cpp
@@ -31,8 +31,8 @@
 
 } // namespace
 
-std::string pack(const std::string &Bytes) {
-  if (Bytes.size() < CompressFromBytes)
+std::string compressMessage(const std::string &Bytes) {
+  if (Bytes.size() < MinBytesToCompress)
     return PlainMark + Bytes;
   uLongf Size = compressBound(Bytes.size());
   std::string Out = header(Bytes.size());
@@ -47,7 +47,8 @@
   return Out;
 }
 
-Expected<std::string> unpack(const std::string &Packed, std::size_t MaxBytes) {
+Expected<std::string> decompressMessage(const std::string &Packed,
+                                        std::size_t MaxBytes) {
   if (Packed.empty())
     return fail(ErrorCode::Corrupt, "an empty packing");
   if (Packed.front() == PlainMark)
--- a/Source/Common/Compression.h
+++ b/Source/Common/Compression.h
@@ -13,14 +13,15 @@
 
 /// A plan with hundreds of routes goes to every proxy and control host; bytes
 /// between failure domains are scarce. Shorter messages aren't worth the time.
-constexpr std::size_t CompressFromBytes = 1024;
+constexpr std::size_t MinBytesToCompress = 1024;
 
 /// \p Bytes in a form that says whether they were compressed.
-std::string pack(const std::string &Bytes);
+std::string compressMessage(const std::string &Bytes);
 
-/// What pack() was given; Corrupt where \p Packed isn't a whole packing of at
-/// most \p MaxBytes.
-Expected<std::string> unpack(const std::string &Packed, std::size_t MaxBytes);
+/// What compressMessage() was given; Corrupt where \p Packed isn't a whole
+/// packing of at most \p MaxBytes.
+Expected<std::string> decompressMessage(const std::string &Packed,
+                                        std::size_t MaxBytes);
 
 } // namespace corianderdyke
 
--- a/Source/Common/KeyedDigest.cpp
+++ b/Source/Common/Cryptography.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Digests, keyed ones and the text form of bytes, through OpenSSL.
 
-#include "Common/KeyedDigest.h"
+#include "Common/Cryptography.h"
 
 #include <array>
 #include <openssl/crypto.h>
@@ -11,21 +11,21 @@
 
 namespace corianderdyke {
 
-std::string keyedDigest(const std::string &Key, const std::string &Bytes) {
+std::string truncatedHmac(const std::string &Key, const std::string &Bytes) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> Out{};
   unsigned int Size = 0;
   HMAC(EVP_sha256(), Key.data(), static_cast<int>(Key.size()),
        reinterpret_cast<const unsigned char *>(Bytes.data()), Bytes.size(),
        Out.data(), &Size);
-  return {reinterpret_cast<const char *>(Out.data()), KeyedDigestBytes};
+  return {reinterpret_cast<const char *>(Out.data()), TruncatedHmacBytes};
 }
 
-bool sameDigest(const std::string &Left, const std::string &Right) {
+bool equalsInConstantTime(const std::string &Left, const std::string &Right) {
   return Left.size() == Right.size() &&
          CRYPTO_memcmp(Left.data(), Right.data(), Left.size()) == 0;
 }
 
-std::string contentDigest(const std::string &Bytes) {
+std::string sha256Hex(const std::string &Bytes) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> Out{};
   unsigned int Size = 0;
   EVP_Digest(Bytes.data(), Bytes.size(), Out.data(), &Size, EVP_sha256(),
@@ -39,7 +39,7 @@
   return Text;
 }
 
-std::string toText(const std::string &Bytes) {
+std::string encodeBase64Url(const std::string &Bytes) {
   std::vector<unsigned char> Out(4 * ((Bytes.size() + 2) / 3) + 1);
   const int Size = EVP_EncodeBlock(
       Out.data(), reinterpret_cast<const unsigned char *>(Bytes.data()),
@@ -57,7 +57,7 @@
   return Text;
 }
 
-Expected<std::string> fromText(const std::string &Text) {
+Expected<std::string> decodeBase64Url(const std::string &Text) {
   std::string Padded = Text;
   for (char &Each : Padded) {
     if (Each == '-')
--- a/Source/Common/Finding.cpp
+++ b/Source/Common/Finding.cpp
@@ -18,7 +18,7 @@
   return Out;
 }
 
-Findings inOrder(Findings All) {
+Findings sortByPosition(Findings All) {
   std::stable_sort(All.begin(), All.end(),
                    [](const Finding &Left, const Finding &Right) {
                      return std::tie(Left.Line, Left.Column) <
@@ -27,7 +27,7 @@
   return All;
 }
 
-std::string text(const Findings &All) {
+std::string refusalText(const Findings &All) {
   std::string Out;
   for (const Finding &Each : All)
     Out += Each.text() + "\n";
--- a/Source/Common/Finding.h
+++ b/Source/Common/Finding.h
@@ -27,10 +27,10 @@
 using Findings = std::vector<Finding>;
 
 /// The findings by their place in the file.
-Findings inOrder(Findings All);
+Findings sortByPosition(Findings All);
 
 /// One finding a line.
-std::string text(const Findings &All);
+std::string refusalText(const Findings &All);
 
 } // namespace corianderdyke
 
--- a/Source/Common/FramePacker.cpp
+++ b/Source/Common/FrameCompressor.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Shrinks short messages of one kind, each on its own.
 
-#include "Common/FramePacker.h"
+#include "Common/FrameCompressor.h"
 
 #include <algorithm>
 #include <stdexcept>
@@ -28,7 +28,7 @@
 
 /// zlib's state for both ways, made once: making it costs more than packing
 /// one message does.
-struct FramePacker::Streams {
+struct FrameCompressor::Streams {
   Streams() {
     if (deflateInit2(&Out, Z_BEST_SPEED, Z_DEFLATED, WindowBits, MemoryLevel,
                      Z_DEFAULT_STRATEGY) != Z_OK ||
@@ -46,15 +46,16 @@
   z_stream In = {};
 };
 
-FramePacker::FramePacker(std::string Sample)
-    : Sample(std::move(Sample)), Ends(std::make_unique<Streams>()) {}
+FrameCompressor::FrameCompressor(std::string Dictionary)
+    : Dictionary(std::move(Dictionary)), Ends(std::make_unique<Streams>()) {}
 
-FramePacker::~FramePacker() = default;
+FrameCompressor::~FrameCompressor() = default;
 
-std::string FramePacker::pack(const std::string &Bytes) {
+std::string FrameCompressor::compress(const std::string &Bytes) {
   z_stream &To = Ends->Out;
   deflateReset(&To);
-  deflateSetDictionary(&To, bytesOf(Sample), static_cast<uInt>(Sample.size()));
+  deflateSetDictionary(&To, bytesOf(Dictionary),
+                       static_cast<uInt>(Dictionary.size()));
   std::string Packed(deflateBound(&To, Bytes.size()), '\0');
   To.next_in = bytesOf(Bytes);
   To.avail_in = static_cast<uInt>(Bytes.size());
@@ -66,12 +67,12 @@
   return Packed;
 }
 
-Expected<std::string> FramePacker::unpack(const std::string &Packed,
-                                          std::size_t MaxBytes) {
+Expected<std::string> FrameCompressor::decompress(const std::string &Packed,
+                                                  std::size_t MaxBytes) {
   z_stream &From = Ends->In;
   inflateReset(&From);
-  inflateSetDictionary(&From, bytesOf(Sample),
-                       static_cast<uInt>(Sample.size()));
+  inflateSetDictionary(&From, bytesOf(Dictionary),
+                       static_cast<uInt>(Dictionary.size()));
   From.next_in = bytesOf(Packed);
   From.avail_in = static_cast<uInt>(Packed.size());
   std::string Bytes;
--- a/Source/Common/Identity.h
+++ b/Source/Common/Identity.h
@@ -30,12 +30,12 @@
 
 /// Where a process or target runs. Region and failure domain travel with
 /// every identity, so that placement by distance needs no new messages.
-struct Place {
+struct Locality {
   std::string Region;
   std::string FailureDomain;
   std::string Host;
 
-  auto operator<=>(const Place &) const = default;
+  auto operator<=>(const Locality &) const = default;
 
   template <class Archive> void serialize(Archive &Ar) {
     Ar(Region, FailureDomain, Host);
--- a/Source/Common/TextHash.h
+++ b/Source/Common/TextHash.h
@@ -10,7 +10,7 @@
 
 namespace corianderdyke {
 
-inline std::uint64_t textHash(const std::string &Text, std::uint64_t Seed = 0) {
+inline std::uint64_t hashText(const std::string &Text, std::uint64_t Seed = 0) {
   return XXH64(Text.data(), Text.size(), Seed);
 }
 
--- a/Source/Consensus/Consensus.cpp
+++ b/Source/Consensus/Consensus.cpp
@@ -9,7 +9,7 @@
 
 namespace corianderdyke {
 
-const char *text(ConsensusRole Role) {
+const char *refusalText(ConsensusRole Role) {
   switch (Role) {
   case ConsensusRole::Founding:
     return "founding";
@@ -82,7 +82,7 @@
   CommitIndex = Log.snapshotIndex();
   EmittedIndex = CommitIndex;
   setFirstElection(Now);
-  takeUpRole();
+  initializeRole();
   if (Role == ConsensusRole::Founding && Options.Hosts.size() == 1 &&
       Options.Hosts.front() == Options.Name)
     found({self()}, Now);
@@ -108,10 +108,10 @@
 // without its voice: a leader is replaced, since it sends no heartbeats, and
 // a follower gives no vote. Memory may hold a term, a vote or entries that
 // the disk doesn't; it's read anew before this host speaks again.
-void Consensus::recover(Millis Now) {
+void Consensus::recoverFromDiskFailure(Millis Now) {
   if (Failure->Code != ErrorCode::System || Now < NextRecovery)
     return;
-  NextRecovery = Now + RecoveryPause;
+  NextRecovery = Now + RecoveryRetryInterval;
   failReads();
   if (!Log.reload())
     return;
@@ -127,17 +127,18 @@
   Votes.clear();
   Peers.clear();
   resetElectionTimer(Now);
-  takeUpRole();
+  initializeRole();
 }
 
-void Consensus::takeUpRole() {
+void Consensus::initializeRole() {
   if (Voters.empty())
-    Role = Options.MayFound ? ConsensusRole::Founding : ConsensusRole::Joining;
+    Role =
+        Options.MayBootstrap ? ConsensusRole::Founding : ConsensusRole::Joining;
   else
     Role = isVoter(self()) ? ConsensusRole::Follower : ConsensusRole::Joining;
 }
 
-bool Consensus::isSettledLeader() const {
+bool Consensus::isReadyLeader() const {
   return isLeader() && Log.termAt(CommitIndex) == Log.term();
 }
 
@@ -151,7 +152,7 @@
 
 void Consensus::tick(Millis Now) {
   if (Failure)
-    return recover(Now);
+    return recoverFromDiskFailure(Now);
   switch (Role) {
   case ConsensusRole::Founding:
   case ConsensusRole::Joining:
@@ -167,7 +168,7 @@
         Now - LastLeaderContact < Options.ElectionTimeout)
       return;
     LastHeartbeat = Now;
-    sayHello();
+    sendDiscovery();
     return;
   case ConsensusRole::Leader:
     stepDownIfRemoved(Now);
@@ -187,7 +188,7 @@
 void Consensus::receive(const ConsensusMessage &Message, Millis Now) {
   if (Failure)
     return;
-  LastHeard[Message.From.Name] = Now;
+  LastReceived[Message.From.Name] = Now;
   std::visit([&](const auto &Body) { on(Message.From, Body, Now); },
              Message.Body);
 }
@@ -196,7 +197,7 @@
 
 Expected<std::uint64_t> Consensus::propose(std::string Command, Millis Now) {
   if (!isLeader() || Failure)
-    return fail(ErrorCode::Unavailable, notLeading(Now));
+    return fail(ErrorCode::Unavailable, notLeaderReason(Now));
   const std::uint64_t Index = Log.lastIndex() + 1;
   if (!check(Log.append(
           {Entry{Index, Log.term(), EntryKind::Command, std::move(Command)}})))
@@ -228,9 +229,9 @@
                          Round, Log.snapshotVoters(), Log.snapshotState()});
     return;
   }
-  AppendRequest Request{Log.term(),    To.Next - 1,
-                        *PreviousTerm, CommitIndex,
-                        Round,         Log.from(To.Next, Options.BatchBytes)};
+  AppendRequest Request{
+      Log.term(),  To.Next - 1, *PreviousTerm,
+      CommitIndex, Round,       Log.entriesFrom(To.Next, Options.BatchBytes)};
   if (!Request.Entries.empty())
     To.Next = Request.Entries.back().Index + 1;
   send(To.Identity.Name, std::move(Request));
@@ -267,7 +268,8 @@
       continue;
     if (New.empty() && Log.termAt(Each.Index) == Each.Term)
       continue;
-    if (New.empty() && Each.Index <= Log.lastIndex() && !cutFrom(Each.Index))
+    if (New.empty() && Each.Index <= Log.lastIndex() &&
+        !truncateUncommitted(Each.Index))
       return;
     New.push_back(Each);
   }
@@ -280,7 +282,7 @@
   send(From.Name, AppendReply{Log.term(), true, Match, Request.Round});
 }
 
-bool Consensus::cutFrom(std::uint64_t Index) {
+bool Consensus::truncateUncommitted(std::uint64_t Index) {
   // No leader can lack a committed entry. If one seems to, two groups have
   // met or a disk has lied, and the operator must hear of it.
   if (Index <= CommitIndex)
@@ -374,7 +376,7 @@
 
 void Consensus::emitCommitted() {
   while (EmittedIndex < CommitIndex) {
-    const Entry *Next = Log.at(EmittedIndex + 1);
+    const Entry *Next = Log.entryAt(EmittedIndex + 1);
     if (Next == nullptr)
       return;
     Out.Committed.push_back(*Next);
@@ -388,7 +390,7 @@
   // The voters at Index: a later membership entry stays in the log.
   Members AtIndex = Log.snapshotVoters();
   for (std::uint64_t Each = Log.snapshotIndex() + 1; Each <= Index; ++Each) {
-    const Entry *Found = Log.at(Each);
+    const Entry *Found = Log.entryAt(Each);
     if (Found != nullptr && Found->Kind == EntryKind::Membership)
       AtIndex = decode<Members>(Found->Bytes).value_or(AtIndex);
   }
@@ -398,8 +400,8 @@
 // Reads through the quorum.
 
 Expected<std::uint64_t> Consensus::beginRead(Millis Now) {
-  if (!isSettledLeader() || Failure)
-    return fail(ErrorCode::Unavailable, notLeading(Now));
+  if (!isReadyLeader() || Failure)
+    return fail(ErrorCode::Unavailable, notLeaderReason(Now));
   const std::uint64_t Ticket = NextTicket++;
   // The round must begin after the read did: an echo of an earlier round
   // says nothing about who leads now. While one is under way the next waits
@@ -422,7 +424,7 @@
     startRound(Now);
 }
 
-std::string Consensus::notLeading(Millis Now) const {
+std::string Consensus::notLeaderReason(Millis Now) const {
   std::string Why = "this control host doesn't lead";
   if (Failure)
     return Why + ": " + Failure->Message;
@@ -433,9 +435,9 @@
                  "have been heard with an empty disk";
   std::string Silent;
   for (const Member &Each : Voters) {
-    const auto Known = LastHeard.find(Each.Name);
+    const auto Known = LastReceived.find(Each.Name);
     if (Each.Name != Options.Name &&
-        (Known == LastHeard.end() ||
+        (Known == LastReceived.end() ||
          Now - Known->second > Options.ElectionTimeout * 2))
       Silent += (Silent.empty() ? "" : ", ") + Each.Name;
   }
--- a/Source/Consensus/Consensus.h
+++ b/Source/Consensus/Consensus.h
@@ -20,7 +20,7 @@
 namespace corianderdyke {
 
 /// Who decides on the members of the group.
-enum class GroupPolicyKind : std::uint8_t {
+enum class MembershipMode : std::uint8_t {
   /// The settings list the hosts; operators add and remove others.
   Listed,
   /// The settings name some hosts to start from. Any host that knocks becomes
@@ -40,14 +40,14 @@
   Millis ElectionTimeout = Millis(300);
   /// Most bytes of entries in one message.
   std::size_t BatchBytes = 1U << 20U;
-  GroupPolicyKind Membership = GroupPolicyKind::Listed;
+  MembershipMode Membership = MembershipMode::Listed;
   /// False on a host that must never found a group: its disk was emptied, or
   /// it was added later.
-  bool MayFound = true;
+  bool MayBootstrap = true;
 };
 
 /// A message for the control host of that name.
-struct OutgoingConsensus {
+struct OutgoingConsensusMessage {
   std::string To;
   ConsensusMessage Message;
 };
@@ -68,13 +68,14 @@
   std::vector<Entry> Committed;
   std::vector<ConfirmedRead> Reads;
   std::vector<std::uint64_t> FailedReads;
-  std::vector<OutgoingConsensus> Messages;
+  std::vector<OutgoingConsensusMessage> Messages;
 };
 
 /// Elections of one host since its start, for metrics.
 struct ElectionCounts {
-  std::uint64_t Asked = 0; ///< Rounds that asked for leave to begin one.
-  std::uint64_t Begun = 0; ///< Those that a majority let begin.
+  std::uint64_t PreVoteRounds =
+      0;                     ///< Rounds that asked for leave to begin one.
+  std::uint64_t Started = 0; ///< Those that a majority let begin.
 
   auto operator<=>(const ElectionCounts &) const = default;
 };
@@ -89,7 +90,7 @@
 };
 
 /// The role as logs and reports have it.
-const char *text(ConsensusRole Role);
+const char *refusalText(ConsensusRole Role);
 
 class Consensus {
 public:
@@ -131,7 +132,7 @@
   ConsensusRole role() const { return Role; }
   bool isLeader() const { return Role == ConsensusRole::Leader && !Failure; }
   /// True once the leader has committed an entry of its own term.
-  bool isSettledLeader() const;
+  bool isReadyLeader() const;
   /// Name of the host last heard as leader; empty where there's none.
   const std::string &leader() const { return Leader; }
   std::uint64_t term() const { return Log.term(); }
@@ -140,14 +141,14 @@
   const std::optional<Error> &failure() const { return Failure; }
   const ReplicatedLog &log() const { return Log; }
   /// Why this host doesn't lead, for an operator.
-  std::string notLeading(Millis Now) const;
+  std::string notLeaderReason(Millis Now) const;
   const Members &voters() const { return Voters; }
   /// Disks that hold the entry for certain, this one included.
   std::size_t disksHolding(std::uint64_t Index) const;
   /// True where so many disks may be lost at once and the entry is still
   /// there, with a group that can go on. In a group that is still forming a
   /// majority of the voters may be fewer disks than that.
-  bool outlives(std::uint64_t Index, std::size_t LostDisks) const;
+  bool survivesDiskLoss(std::uint64_t Index, std::size_t LostDisks) const;
   /// Hosts that the leader feeds but doesn't count, by name.
   std::vector<Member> learners() const;
 
@@ -159,10 +160,10 @@
   static constexpr Millis FirstElectionSpacing = Millis(60);
   /// Pause between two tries to use a disk that refused a write. Each costs a
   /// write and a sync.
-  static constexpr Millis RecoveryPause = Millis(250);
+  static constexpr Millis RecoveryRetryInterval = Millis(250);
   /// A voter of an open group that has been silent for this long may be taken
   /// out: longer than a restart takes.
-  static constexpr Millis SilenceBorne = Millis(1500);
+  static constexpr Millis SilentVoterTimeout = Millis(1500);
 
   struct Peer {
     Member Identity;
@@ -184,19 +185,19 @@
   bool isVoter(const Member &Host) const;
   std::size_t majority() const { return Voters.size() / 2 + 1; }
   bool check(const Expected<void> &Result);
-  void recover(Millis Now);
+  void recoverFromDiskFailure(Millis Now);
   void send(const std::string &To, ConsensusBody Body);
   void resetElectionTimer(Millis Now);
   /// Between \p Least and twice as long from now.
   void setElectionTimer(Millis Now, Millis Least);
   void setFirstElection(Millis Now);
-  void takeUpRole();
+  void initializeRole();
   void reloadVoters();
 
   void becomeFollower(std::uint64_t Term, const std::string &NewLeader,
                       Millis Now);
   std::set<std::string> knownHosts() const;
-  void sayHello();
+  void sendDiscovery();
   void startPreVote(Millis Now);
   void countOwnVote();
   void startElection(Millis Now);
@@ -221,7 +222,7 @@
   Expected<std::uint64_t> changeVoters(Members Next, Millis Now);
   Expected<std::uint64_t> appendVoters(Members Next, Millis Now);
   void stepDownIfRemoved(Millis Now);
-  bool cutFrom(std::uint64_t Index);
+  bool truncateUncommitted(std::uint64_t Index);
   void checkLeadership(Millis Now);
 
   void on(const Member &From, const VoteRequest &Request, Millis Now);
@@ -229,7 +230,7 @@
   void on(const Member &From, const AppendRequest &Request, Millis Now);
   void on(const Member &From, const AppendReply &Reply, Millis Now);
   void on(const Member &From, const SnapshotInstall &Request, Millis Now);
-  void on(const Member &From, const FoundingHello &Hello, Millis Now);
+  void on(const Member &From, const GroupDiscovery &Hello, Millis Now);
   void found(const Members &Founders, Millis Now);
 
   ConsensusOptions Options;
@@ -248,16 +249,16 @@
   std::set<std::string> Votes;
   std::map<std::string, Peer> Peers;
   /// When a message of a host last came in, by its name.
-  std::map<std::string, Millis> LastHeard;
+  std::map<std::string, Millis> LastReceived;
   std::uint64_t Round = 0;
   /// The last round that a majority has echoed.
   std::uint64_t ConfirmedRound = 0;
   std::uint64_t NextTicket = 1;
   std::vector<PendingRead> Reads;
   /// While founding: what the other hosts said of themselves.
-  std::map<std::string, Member> Fresh;
+  std::map<std::string, Member> EmptyDiskHosts;
   /// Hosts that others named as members while this one had no group.
-  std::set<std::string> NamedByOthers;
+  std::set<std::string> DiscoveredHosts;
   std::optional<Error> Failure;
   Millis NextRecovery = NeverSent;
   ConsensusOutputs Out;
--- a/Source/Consensus/ConsensusElections.cpp
+++ b/Source/Consensus/ConsensusElections.cpp
@@ -18,33 +18,34 @@
 
 std::set<std::string> Consensus::knownHosts() const {
   std::set<std::string> Out(Options.Hosts.begin(), Options.Hosts.end());
-  if (Options.Membership == GroupPolicyKind::Open) {
+  if (Options.Membership == MembershipMode::Open) {
     // The hosts of the settings may all have been replaced since the file was
     // written.
     for (const Member &Each : Voters)
       Out.insert(Each.Name);
-    Out.insert(NamedByOthers.begin(), NamedByOthers.end());
+    Out.insert(DiscoveredHosts.begin(), DiscoveredHosts.end());
   }
   Out.erase(Options.Name);
   return Out;
 }
 
-void Consensus::sayHello() {
+void Consensus::sendDiscovery() {
   for (const std::string &Host : knownHosts())
-    send(Host, FoundingHello{Voters, Log.votersIndex(), false});
+    send(Host, GroupDiscovery{Voters, Log.votersIndex(), false});
 }
 
-void Consensus::on(const Member &From, const FoundingHello &Hello, Millis Now) {
-  if (!Hello.Answer)
-    send(From.Name, FoundingHello{Voters, Log.votersIndex(), true});
+void Consensus::on(const Member &From, const GroupDiscovery &Hello,
+                   Millis Now) {
+  if (!Hello.IsReply)
+    send(From.Name, GroupDiscovery{Voters, Log.votersIndex(), true});
   if (isLeader() && !isVoter(From)) {
     admitLearner(From, Now);
     return;
   }
-  if (Options.Membership == GroupPolicyKind::Open &&
+  if (Options.Membership == MembershipMode::Open &&
       (Role == ConsensusRole::Founding || Role == ConsensusRole::Joining))
     for (const Member &Each : Hello.Voters)
-      NamedByOthers.insert(Each.Name);
+      DiscoveredHosts.insert(Each.Name);
   if (Role != ConsensusRole::Founding)
     return;
   if (!Hello.Voters.empty()) {
@@ -61,11 +62,11 @@
       std::min_element(Options.Hosts.begin(), Options.Hosts.end());
   if (First == Options.Hosts.end() || *First != Options.Name)
     return;
-  Fresh[From.Name] = From;
+  EmptyDiskHosts[From.Name] = From;
   Members Founders = {self()};
   for (const std::string &Host : Options.Hosts) {
-    const auto Known = Fresh.find(Host);
-    if (Known != Fresh.end() && Host != Options.Name)
+    const auto Known = EmptyDiskHosts.find(Host);
+    if (Known != EmptyDiskHosts.end() && Host != Options.Name)
       Founders.push_back(Known->second);
   }
   if (Founders.size() == Options.Hosts.size())
@@ -113,12 +114,12 @@
   else
     resetElectionTimer(Now);
   Role = ConsensusRole::PreCandidate;
-  ++Elections.Asked;
+  ++Elections.PreVoteRounds;
   Leader.clear();
   countOwnVote();
   // A host that was removed while it was cut off asks voters that are no more.
   // The leader feeds it once it's heard, and it learns of its removal.
-  sayHello();
+  sendDiscovery();
   for (const Member &Each : Voters)
     if (Each.Name != Options.Name && !Each.isVacant())
       send(Each.Name,
@@ -140,7 +141,7 @@
   if (!check(Log.setTerm(Log.term() + 1, Options.Name)))
     return;
   Role = ConsensusRole::Candidate;
-  ++Elections.Begun;
+  ++Elections.Started;
   countOwnVote();
   for (const Member &Each : Voters)
     if (Each.Name != Options.Name && !Each.isVacant())
--- a/Source/Consensus/ConsensusMembership.cpp
+++ b/Source/Consensus/ConsensusMembership.cpp
@@ -32,7 +32,7 @@
   const auto Known = Peers.find(Host.Name);
   if (Known != Peers.end() && Known->second.Identity == Host)
     return;
-  if (Options.Membership == GroupPolicyKind::Listed &&
+  if (Options.Membership == MembershipMode::Listed &&
       findByName(Voters, Host.Name) == nullptr &&
       std::find(Options.Hosts.begin(), Options.Hosts.end(), Host.Name) ==
           Options.Hosts.end())
@@ -66,7 +66,7 @@
 // the lost disk becomes vacant, then the new disk takes it. A swap in one step
 // would let {old, B} and {A, new} both decide if the lost disk came back.
 void Consensus::replaceCaughtUpLearners(Millis Now) {
-  if (!isSettledLeader() || changeUnderWay())
+  if (!isReadyLeader() || changeUnderWay())
     return;
   for (const auto &[Name, Each] : Peers) {
     if (Each.Voter || Each.Match < CommitIndex)
@@ -74,7 +74,7 @@
     const Member *Seat = findByName(Voters, Name);
     // Without a seat it waits for the operator's command, but in an open
     // group.
-    if (Seat == nullptr && Options.Membership == GroupPolicyKind::Listed)
+    if (Seat == nullptr && Options.Membership == MembershipMode::Listed)
       continue;
     Members Next = Voters;
     if (Seat == nullptr) {
@@ -95,7 +95,7 @@
 // no fewer disks hold what is committed than one more than half of the rest.
 // With an odd number it stays: it may only be cut off.
 void Consensus::removeSilentVoter(Millis Now) {
-  if (Options.Membership != GroupPolicyKind::Open || !isSettledLeader() ||
+  if (Options.Membership != MembershipMode::Open || !isReadyLeader() ||
       changeUnderWay() || Voters.size() % 2 != 0)
     return;
   for (const Member &Each : Voters) {
@@ -104,7 +104,7 @@
     const auto Known = Peers.find(Each.Name);
     const bool IsSilent = Known == Peers.end() ||
                           Known->second.Identity != Each ||
-                          Now - Known->second.LastReply > SilenceBorne;
+                          Now - Known->second.LastReply > SilentVoterTimeout;
     if (!IsSilent)
       continue;
     Members Next = Voters;
@@ -122,7 +122,8 @@
   return Out;
 }
 
-bool Consensus::outlives(std::uint64_t Index, std::size_t LostDisks) const {
+bool Consensus::survivesDiskLoss(std::uint64_t Index,
+                                 std::size_t LostDisks) const {
   return Index <= CommitIndex && !changeUnderWay() &&
          Voters.size() > 2 * LostDisks && disksHolding(Index) > LostDisks;
 }
@@ -162,8 +163,8 @@
 }
 
 Expected<void> Consensus::checkChange(Millis Now) const {
-  if (!isSettledLeader() || Failure)
-    return fail(ErrorCode::Unavailable, notLeading(Now));
+  if (!isReadyLeader() || Failure)
+    return fail(ErrorCode::Unavailable, notLeaderReason(Now));
   if (changeUnderWay())
     return fail(ErrorCode::Conflict,
                 "another change of the control group is under way: entry " +
--- a/Source/Consensus/Messages.h
+++ b/Source/Consensus/Messages.h
@@ -128,21 +128,22 @@
 
 /// Sent by a host without a group to those that its settings name, and
 /// answered with what the receiver knows.
-struct FoundingHello {
+struct GroupDiscovery {
   /// Empty where the sender has no group either.
   Members Voters;
   /// Index of the entry that Voters stand in; 1 for the founders.
   std::uint64_t VotersIndex = 0;
-  bool Answer = false;
+  bool IsReply = false;
 
-  bool operator==(const FoundingHello &) const = default;
+  bool operator==(const GroupDiscovery &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Voters, VotersIndex, Answer);
+    Ar(Voters, VotersIndex, IsReply);
   }
 };
 
-using ConsensusBody = std::variant<VoteRequest, VoteReply, AppendRequest,
-                                   AppendReply, SnapshotInstall, FoundingHello>;
+using ConsensusBody =
+    std::variant<VoteRequest, VoteReply, AppendRequest, AppendReply,
+                 SnapshotInstall, GroupDiscovery>;
 
 struct ConsensusMessage {
   Member From;
--- a/Source/Consensus/ReadBarriers.cpp
+++ b/Source/Consensus/ReadBarriers.cpp
@@ -20,7 +20,7 @@
   const auto Ticket = Agreement.beginRead(Now);
   if (!Ticket)
     return tl::unexpected(Ticket.error());
-  Waiting[*Ticket] = std::move(OnDone);
+  PendingHandlers[*Ticket] = std::move(OnDone);
   return {};
 }
 
@@ -32,18 +32,18 @@
 }
 
 void ReadBarriers::failAll() {
-  const auto All = std::exchange(Waiting, {});
+  const auto All = std::exchange(PendingHandlers, {});
   for (const auto &[Ticket, OnDone] : All)
     OnDone(notLeading());
 }
 
 // A handler may begin another read.
 void ReadBarriers::end(std::uint64_t Ticket, const Expected<void> &Result) {
-  const auto Found = Waiting.find(Ticket);
-  if (Found == Waiting.end())
+  const auto Found = PendingHandlers.find(Ticket);
+  if (Found == PendingHandlers.end())
     return;
   const Handler OnDone = std::move(Found->second);
-  Waiting.erase(Found);
+  PendingHandlers.erase(Found);
   OnDone(Result);
 }
 
--- a/Source/Consensus/ReadBarriers.h
+++ b/Source/Consensus/ReadBarriers.h
@@ -30,7 +30,7 @@
 private:
   void end(std::uint64_t Ticket, const Expected<void> &Result);
 
-  std::map<std::uint64_t, Handler> Waiting; ///< By ticket.
+  std::map<std::uint64_t, Handler> PendingHandlers; ///< By ticket.
 };
 
 } // namespace corianderdyke
--- a/Source/Consensus/ReplicatedLog.cpp
+++ b/Source/Consensus/ReplicatedLog.cpp
@@ -55,11 +55,11 @@
   for (const std::string &Bytes : Content->Records)
     if (auto Done = loadRecord(Bytes); !Done)
       return Done;
-  const auto InStep = joinEntriesToSnapshot();
+  const auto InStep = reconcileWithSnapshot();
   if (!InStep)
     return tl::unexpected(InStep.error());
   if (Content->TailDamaged)
-    if (auto Done = renew(FreshDiskId); !Done)
+    if (auto Done = replaceDamagedDiskId(FreshDiskId); !Done)
       return Done;
   if (Content->TailDamaged || !*InStep)
     return rewrite();
@@ -123,7 +123,7 @@
 // the old journal. Its entries behind the snapshot belong to the same log only
 // where its entry at the snapshot's index does. What was begun is completed,
 // so that the next start finds the two in step.
-Expected<bool> ReplicatedLog::joinEntriesToSnapshot() {
+Expected<bool> ReplicatedLog::reconcileWithSnapshot() {
   if (Entries.empty() || Entries.front().Index == SnapshotIndex + 1)
     return true;
   if (Entries.front().Index > SnapshotIndex + 1)
@@ -133,11 +133,11 @@
                     std::to_string(Entries.front().Index) +
                     "; this host can't go on from this disk: see "
                     "Help/task/lost-disk.md");
-  keepBehindSnapshot();
+  dropCoveredEntries();
   return false;
 }
 
-void ReplicatedLog::keepBehindSnapshot() {
+void ReplicatedLog::dropCoveredEntries() {
   const auto AtSnapshot =
       std::find_if(Entries.begin(), Entries.end(), [this](const Entry &Each) {
         return Each.Index == SnapshotIndex && Each.Term == SnapshotTerm;
@@ -148,7 +148,8 @@
     Entries.erase(Entries.begin(), AtSnapshot + 1);
 }
 
-Expected<void> ReplicatedLog::renew(const std::string &FreshDiskId) {
+Expected<void>
+ReplicatedLog::replaceDamagedDiskId(const std::string &FreshDiskId) {
   const Members Last = voters();
   if (Last == Members{{Last.empty() ? "" : Last.front().Name, DiskId}})
     return fail(ErrorCode::Corrupt,
@@ -180,24 +181,24 @@
 std::optional<std::uint64_t> ReplicatedLog::termAt(std::uint64_t Index) const {
   if (Index == SnapshotIndex)
     return SnapshotTerm;
-  const Entry *Found = at(Index);
+  const Entry *Found = entryAt(Index);
   if (Found == nullptr)
     return std::nullopt;
   return Found->Term;
 }
 
-const Entry *ReplicatedLog::at(std::uint64_t Index) const {
+const Entry *ReplicatedLog::entryAt(std::uint64_t Index) const {
   if (Index <= SnapshotIndex || Index > lastIndex())
     return nullptr;
   return &Entries[Index - SnapshotIndex - 1];
 }
 
-std::vector<Entry> ReplicatedLog::from(std::uint64_t First,
-                                       std::size_t MaxBytes) const {
+std::vector<Entry> ReplicatedLog::entriesFrom(std::uint64_t First,
+                                              std::size_t MaxBytes) const {
   std::vector<Entry> Out;
   std::size_t Bytes = 0;
   for (std::uint64_t Index = First; Index <= lastIndex(); ++Index) {
-    const Entry *Next = at(Index);
+    const Entry *Next = entryAt(Index);
     if (Next == nullptr ||
         (!Out.empty() && Bytes + Next->Bytes.size() > MaxBytes))
       break;
@@ -235,7 +236,7 @@
   SnapshotTerm = *KeptTerm;
   SnapshotVoters = std::move(Voters);
   SnapshotState = std::move(State);
-  keepBehindSnapshot();
+  dropCoveredEntries();
   return rewrite();
 }
 
@@ -246,7 +247,7 @@
   SnapshotState = Snapshot.State;
   // A late snapshot mustn't drop entries behind it that this host has
   // acknowledged: the leader may have committed them by that answer.
-  keepBehindSnapshot();
+  dropCoveredEntries();
   return rewrite();
 }
 
@@ -268,7 +269,7 @@
 }
 
 Members ReplicatedLog::voters() const {
-  const Entry *Last = at(votersIndex());
+  const Entry *Last = entryAt(votersIndex());
   if (Last == nullptr)
     return SnapshotVoters;
   return decode<Members>(Last->Bytes).value_or(SnapshotVoters);
--- a/Source/Consensus/ReplicatedLog.h
+++ b/Source/Consensus/ReplicatedLog.h
@@ -41,9 +41,10 @@
   /// Term of an entry; nothing where the index is neither in the log nor the
   /// snapshot's last.
   std::optional<std::uint64_t> termAt(std::uint64_t Index) const;
-  const Entry *at(std::uint64_t Index) const;
+  const Entry *entryAt(std::uint64_t Index) const;
   /// Entries from \p First on, up to about \p MaxBytes.
-  std::vector<Entry> from(std::uint64_t First, std::size_t MaxBytes) const;
+  std::vector<Entry> entriesFrom(std::uint64_t First,
+                                 std::size_t MaxBytes) const;
 
   Expected<void> append(const std::vector<Entry> &New);
   /// Drops the entries from \p Index on.
@@ -68,9 +69,9 @@
   Expected<void> loadSnapshot(const std::string &Bytes);
   Expected<void> loadRecord(const std::string &Bytes);
   /// False where a replacement was interrupted and has to be completed.
-  Expected<bool> joinEntriesToSnapshot();
-  Expected<void> renew(const std::string &FreshDiskId);
-  void keepBehindSnapshot();
+  Expected<bool> reconcileWithSnapshot();
+  Expected<void> replaceDamagedDiskId(const std::string &FreshDiskId);
+  void dropCoveredEntries();
   void dropFrom(std::uint64_t Index);
   Expected<void> rewrite();
 
--- a/Source/Control/ControlNode.cpp
+++ b/Source/Control/ControlNode.cpp
@@ -21,35 +21,34 @@
 ConsensusOptions consensusOptions(const Settings &From) {
   ConsensusOptions Out;
   Out.Name = From.Name;
-  for (const ControlHost &Each : From.Controls)
+  for (const ControlHost &Each : From.ControlHosts)
     Out.Hosts.push_back(Each.Name);
   return Out;
 }
 
 } // namespace
 
-ControlNode::ControlNode(const Settings &Options, ControlPorts Ports,
+ControlNode::ControlNode(const Settings &Options, ControlDependencies Deps,
                          ReplicatedLog &Log, std::uint64_t Seed)
-    : Options(Options), Ports(Ports),
-      Agreement(consensusOptions(Options), Log, Seed), Orders(Ports.Connector) {
-}
+    : Options(Options), Deps(Deps),
+      Agreement(consensusOptions(Options), Log, Seed), Orders(Deps.Connector) {}
 
 void ControlNode::start() {
-  Agreement.start(Ports.Time.now());
-  Ports.Peers.signalReceived().connect(
+  Agreement.start(Deps.Time.now());
+  Deps.Peers.signalReceived().connect(
       sigc::mem_fun(*this, &ControlNode::receive));
-  settle();
+  processOutputs();
   tick();
 }
 
 void ControlNode::tick() {
-  Agreement.tick(Ports.Time.now());
+  Agreement.tick(Deps.Time.now());
   if (Leading) {
     removeExpiredProxies();
     removeExpiredTargets();
   }
-  settle();
-  Ports.Timers.after(TickInterval, [this] { tick(); });
+  processOutputs();
+  Deps.Timers.after(TickInterval, [this] { tick(); });
 }
 
 void ControlNode::receive(const Envelope &Arrived) {
@@ -57,13 +56,13 @@
 }
 
 void ControlNode::on(const Envelope &, const ConsensusMessage &Body) {
-  Agreement.receive(Body, Ports.Time.now());
-  settle();
+  Agreement.receive(Body, Deps.Time.now());
+  processOutputs();
 }
 
 void ControlNode::on(const Envelope &From, const LeaseRequest &Body) {
-  const Millis Now = Ports.Time.now();
-  const WaitingLease To{Body, From.ReplyTo, Now};
+  const Millis Now = Deps.Time.now();
+  const PendingLease To{Body, From.ReplyTo, Now};
   const bool IsRegistered = State.view().Proxies.count(Body.Proxy) != 0;
   const auto Begun = Reads.await(
       Agreement, Now, [this, To, IsRegistered](const Expected<void> &Done) {
@@ -71,71 +70,71 @@
           grant(To);
       });
   if (!Begun) {
-    Ports.Peers.send(From.ReplyTo, Delivery::Datagram,
-                     NotLeader{Agreement.leader()});
+    Deps.Peers.send(From.ReplyTo, Delivery::Datagram,
+                    NotLeader{Agreement.leader()});
     return;
   }
-  Leases.noteRequest(Body, From.ReplyTo, Now);
+  Leases.recordRequest(Body, From.ReplyTo, Now);
   if (!IsRegistered) {
     // A life that was removed for silence and speaks again is registered
     // anew: whatever lease it held has run out.
-    propose(SystemActor, RegisterProxy{Body.Proxy, Body.Where},
+    propose(SystemActor, RegisterProxy{Body.Proxy, Body.ProxyLocality},
             [](const Expected<ApplyResult> &) {});
     return;
   }
-  settle();
+  processOutputs();
 }
 
 void ControlNode::on(const Envelope &, const ViewApplied &Body) {
-  Leases.noteApplied(Body.Proxy, Body.Revision);
-  settle();
+  Leases.recordApplied(Body.Proxy, Body.Revision);
+  processOutputs();
 }
 
 void ControlNode::on(const Envelope &, const ForwardedAnnouncement &Body) {
   if (!Leading)
     return;
   auto Proposal =
-      Announcements.judge(State.view(), Body.Target, Ports.Time.now());
+      Announcements.evaluate(State.view(), Body.Target, Deps.Time.now());
   if (Proposal)
     propose(SystemActor, std::move(*Proposal),
             [](const Expected<ApplyResult> &) {});
 }
 
 void ControlNode::on(const Envelope &From, const RightsRequest &Body) {
-  const Millis Now = Ports.Time.now();
+  const Millis Now = Deps.Time.now();
   // Without the quorum's word a former leader, cut off, would go on renewing
   // rights that its successor has waited out.
-  const WaitingRights To{Body, From.ReplyTo, Now};
+  const PendingRights To{Body, From.ReplyTo, Now};
   const auto Begun =
       Reads.await(Agreement, Now, [this, To](const Expected<void> &Done) {
         if (Done)
           grantRights(To);
       });
   if (Begun)
-    settle();
+    processOutputs();
 }
 
-void ControlNode::grantRights(const WaitingRights &To) {
+void ControlNode::grantRights(const PendingRights &To) {
   const auto Grant =
-      Connections.answer(To.Request, State.view(), To.ReceivedAt);
+      Connections.handleRequest(To.Request, State.view(), To.ReceivedAt);
   if (Grant)
-    Ports.Peers.send(To.ReplyTo, Delivery::Datagram, *Grant);
+    Deps.Peers.send(To.ReplyTo, Delivery::Datagram, *Grant);
 }
 
 void ControlNode::propose(std::string Actor, CommandBody Body,
                           ChangeHandler OnDone) {
-  const Command Entry{std::move(Actor), Ports.Time.wallTime(), std::move(Body)};
-  await(Agreement.propose(encode(Entry), Ports.Time.now()), std::move(OnDone));
+  const Command Entry{std::move(Actor), Deps.Time.wallTime(), std::move(Body)};
+  await(Agreement.propose(encode(Entry), Deps.Time.now()), std::move(OnDone));
 }
 
 void ControlNode::addControlHost(const std::string &Name,
                                  ChangeHandler OnDone) {
-  await(Agreement.addVoter(Name, Ports.Time.now()), std::move(OnDone));
+  await(Agreement.addVoter(Name, Deps.Time.now()), std::move(OnDone));
 }
 
 void ControlNode::removeControlHost(const std::string &Name,
                                     ChangeHandler OnDone) {
-  await(Agreement.removeVoter(Name, Ports.Time.now()), std::move(OnDone));
+  await(Agreement.removeVoter(Name, Deps.Time.now()), std::move(OnDone));
 }
 
 void ControlNode::await(const Expected<std::uint64_t> &Index,
@@ -145,7 +144,7 @@
     return;
   }
   Changes[*Index] = {Agreement.term(), std::move(OnDone)};
-  settle();
+  processOutputs();
 }
 
 void ControlNode::readLatest(const ReadHandler &OnRead) {
@@ -155,35 +154,35 @@
     else
       OnRead(tl::unexpected(Done.error()));
   };
-  const auto Begun = Reads.await(Agreement, Ports.Time.now(), Answer);
+  const auto Begun = Reads.await(Agreement, Deps.Time.now(), Answer);
   if (!Begun)
     return Answer(Begun);
-  settle();
+  processOutputs();
 }
 
 bool ControlNode::isInForce(std::uint64_t Revision) const {
-  return Leases.isInForce(State.view(), Revision, Ports.Time.now());
+  return Leases.isInForce(State.view(), Revision, Deps.Time.now());
 }
 
-void ControlNode::settle() {
+void ControlNode::processOutputs() {
   // Handlers called below may come back here; the outer call goes on until
   // nothing is left.
-  if (Settling)
+  if (ProcessingOutputs)
     return;
-  Settling = true;
+  ProcessingOutputs = true;
   do {
-    carryOut(Agreement.takeOutputs());
-    noticeLeadership();
+    applyOutputs(Agreement.takeOutputs());
+    updateLeadership();
     publish();
     if (Leading)
-      coordinate();
+      runFailover();
   } while (Agreement.hasOutputs());
   compactIfLong();
-  Settling = false;
-  noticeDisk();
+  ProcessingOutputs = false;
+  updateDiskStatus();
 }
 
-void ControlNode::noticeDisk() {
+void ControlNode::updateDiskStatus() {
   const auto &Failure = Agreement.failure();
   if (Failure && Failure->Code != ErrorCode::System)
     return Failed.emit(*Failure);
@@ -193,7 +192,7 @@
   DiskChanged.emit(DiskRefuses ? Failure->Message : "");
 }
 
-void ControlNode::carryOut(ConsensusOutputs Outputs) {
+void ControlNode::applyOutputs(ConsensusOutputs Outputs) {
   if (Outputs.RestoredState) {
     auto Restored = decode<ControlState>(*Outputs.RestoredState);
     if (!Restored)
@@ -204,10 +203,11 @@
   for (const Entry &Each : Outputs.Committed)
     apply(Each);
   Reads.finish(Outputs);
-  for (OutgoingConsensus &Each : Outputs.Messages)
-    for (const ControlHost &Host : Options.Controls)
+  for (OutgoingConsensusMessage &Each : Outputs.Messages)
+    for (const ControlHost &Host : Options.ControlHosts)
       if (Host.Name == Each.To)
-        Ports.Peers.send(Host.Peers, Delivery::Stream, std::move(Each.Message));
+        Deps.Peers.send(Host.PeerEndpoint, Delivery::Stream,
+                        std::move(Each.Message));
 }
 
 void ControlNode::apply(const Entry &Committed) {
@@ -224,7 +224,7 @@
     const auto Voters = decode<Members>(Committed.Bytes);
     if (!Voters)
       return Failed.emit(Voters.error());
-    Result = State.noteControlHosts(Committed.Index, describe(*Voters));
+    Result = State.recordControlHosts(Committed.Index, describe(*Voters));
   }
   // The trail is cut at its other end, so its length says nothing.
   if (!State.audit().empty() &&
@@ -233,7 +233,7 @@
   const auto Waiting = Changes.find(Committed.Index);
   if (Waiting == Changes.end())
     return;
-  const WaitingChange Change = std::move(Waiting->second);
+  const PendingChange Change = std::move(Waiting->second);
   Changes.erase(Waiting);
   if (Change.Term != Committed.Term || !Result)
     Change.OnDone(fail(ErrorCode::Unavailable,
@@ -242,40 +242,41 @@
     Change.OnDone(*Result);
 }
 
-void ControlNode::grant(const WaitingLease &To) {
+void ControlNode::grant(const PendingLease &To) {
   const ClusterView &View = State.view();
   // Before the first manifest there is nothing to serve.
-  if (!View.Current || View.Proxies.count(To.Request.Proxy) == 0)
+  if (!View.CurrentManifest || View.Proxies.count(To.Request.Proxy) == 0)
     return;
-  const LeaseGrant Grant{To.Request.Proxy, To.Request.Sequence,
-                         To.Request.SentAt,
-                         View.Current->Failover.LeaseDuration, View.Revision};
-  Leases.noteGrant(Grant, To.ReceivedAt, View.Current->Failover.ClockDriftPpm);
-  Ports.Peers.send(To.ReplyTo, Delivery::Datagram, Grant);
+  const LeaseGrant Grant{
+      To.Request.Proxy, To.Request.Sequence, To.Request.SentAt,
+      View.CurrentManifest->Failover.LeaseDuration, View.Revision};
+  Leases.recordGrant(Grant, To.ReceivedAt,
+                     View.CurrentManifest->Failover.ClockDriftPpm);
+  Deps.Peers.send(To.ReplyTo, Delivery::Datagram, Grant);
   if (To.Request.AppliedRevision < View.Revision)
     sendView(To.Request.Proxy, To.ReplyTo);
 }
 
-void ControlNode::noticeLeadership() {
+void ControlNode::updateLeadership() {
   // Also one that never settled may have taken changes in: without an answer
   // their operators would wait for good.
   if (!Agreement.isLeader())
-    failWaiting();
-  if (Agreement.isSettledLeader() == Leading)
+    failPending();
+  if (Agreement.isReadyLeader() == Leading)
     return;
-  Leading = Agreement.isSettledLeader();
+  Leading = Agreement.isReadyLeader();
   if (Leading) {
-    Leases.begin(State.view(), Ports.Time.now());
-    Failover.begin();
-    Announcements.begin(State.view(), Ports.Time.now());
-    Connections.begin(Agreement.term(), State.view(), Ports.Time.now());
+    Leases.startTerm(State.view(), Deps.Time.now());
+    Failover.reset();
+    Announcements.reset(State.view(), Deps.Time.now());
+    Connections.startTerm(Agreement.term(), State.view(), Deps.Time.now());
     Published = State.view();
     SentAt.clear();
   }
   Leadership.emit(Leading);
 }
 
-void ControlNode::failWaiting() {
+void ControlNode::failPending() {
   Reads.failAll();
   const auto Waiting = std::exchange(Changes, {});
   for (const auto &[Index, Change] : Waiting)
@@ -287,54 +288,55 @@
 void ControlNode::publish() {
   if (!Leading || State.view().Revision == Published.Revision)
     return;
-  const ViewDelta Delta = difference(Published, State.view());
+  const ViewDelta Delta = computeDelta(Published, State.view());
   Published = State.view();
-  const Millis Now = Ports.Time.now();
+  const Millis Now = Deps.Time.now();
   for (const auto &[Id, Holder] : Leases.holders()) {
     if (Holder.ReplyTo.Port == 0 || Published.Proxies.count(Id) == 0)
       continue;
     // A proxy that isn't at the delta's base ignores it, goes on asking with
     // its old revision, and gets the whole view.
-    Ports.Peers.send(Holder.ReplyTo, Delivery::Stream, Delta);
+    Deps.Peers.send(Holder.ReplyTo, Delivery::Stream, Delta);
     SentAt[Id] = Now;
   }
 }
 
 void ControlNode::sendView(const ProcessId &Proxy, const Endpoint &To) {
-  const Millis Now = Ports.Time.now();
+  const Millis Now = Deps.Time.now();
   const auto Last = SentAt.find(Proxy);
   if (Last != SentAt.end() && Now - Last->second < SendViewAgainAfter)
     return;
   SentAt[Proxy] = Now;
-  Ports.Peers.send(To, Delivery::Stream, ViewUpdate{State.view()});
+  Deps.Peers.send(To, Delivery::Stream, ViewUpdate{State.view()});
 }
 
-void ControlNode::coordinate() {
+void ControlNode::runFailover() {
   FailoverActions Actions =
-      Failover.step(State.view(), Leases, Ports.Time.now());
+      Failover.step(State.view(), Leases, Deps.Time.now());
   for (CommandBody &Each : Actions.Proposals)
     propose(SystemActor, std::move(Each), [](const Expected<ApplyResult> &) {});
-  for (const TargetCall &Each : Actions.Calls)
+  for (const TargetOrderRequest &Each : Actions.Orders)
     Orders.send(Each, [this, Each](const TargetPosition &Answer) {
-      Failover.answered(Each, Answer);
-      settle();
+      Failover.recordAnswer(Each, Answer);
+      processOutputs();
     });
 }
 
 void ControlNode::removeExpiredProxies() {
-  if (!State.view().Current)
+  if (!State.view().CurrentManifest)
     return;
-  const Millis Now = Ports.Time.now();
+  const Millis Now = Deps.Time.now();
   const Millis Silence =
-      State.view().Current->Failover.LeaseDuration * RemoveAfterLeases;
+      State.view().CurrentManifest->Failover.LeaseDuration * RemoveAfterLeases;
   for (const auto &[Id, Where] : State.view().Proxies) {
     const auto Known = Leases.holders().find(Id);
     const auto End = Leases.expiry(Id);
     // A new leader waits for those that are registered: whoever may still
     // have connections open is one of them.
-    const bool Expired = (!End || *End < Now) && !Connections.mayHold(Id, Now);
+    const bool Expired =
+        (!End || *End < Now) && !Connections.mayHoldConnections(Id, Now);
     const bool Silent = Known == Leases.holders().end() ||
-                        Now - Known->second.LastHeard > Silence;
+                        Now - Known->second.LastRequestAt > Silence;
     const auto Proposed = ProposedRemoval.find(Id);
     if (!Expired || !Silent ||
         (Proposed != ProposedRemoval.end() && Now - Proposed->second < Silence))
@@ -347,7 +349,7 @@
 
 void ControlNode::removeExpiredTargets() {
   for (RemoveTarget &Each :
-       Announcements.expired(State.view(), Leases, Ports.Time.now()))
+       Announcements.expired(State.view(), Leases, Deps.Time.now()))
     propose(SystemActor, std::move(Each), [](const Expected<ApplyResult> &) {});
 }
 
--- a/Source/Control/ControlNode.h
+++ b/Source/Control/ControlNode.h
@@ -6,7 +6,7 @@
 
 #include "Common/Clock.h"
 #include "Consensus/ReadBarriers.h"
-#include "Control/TargetOrders.h"
+#include "Control/TargetOrderSender.h"
 #include "Loop/Scheduler.h"
 #include "Membership/AnnouncementGate.h"
 #include "Rights/ConnectionLedger.h"
@@ -17,7 +17,7 @@
 namespace corianderdyke {
 
 /// The outside things that a control host works with.
-struct ControlPorts {
+struct ControlDependencies {
   Clock &Time;
   Scheduler &Timers;
   Transport &Peers;
@@ -31,8 +31,8 @@
   /// The latest state, or Unavailable where this host doesn't lead.
   using ReadHandler = std::function<void(Expected<const ControlState *>)>;
 
-  ControlNode(const Settings &Options, ControlPorts Ports, ReplicatedLog &Log,
-              std::uint64_t Seed);
+  ControlNode(const Settings &Options, ControlDependencies Deps,
+              ReplicatedLog &Log, std::uint64_t Seed);
 
   void start();
 
@@ -51,7 +51,9 @@
 
   /// Emitted with the disk's error when it refuses writes, and with nothing
   /// when it takes them again. Meanwhile this host neither leads nor votes.
-  sigc::signal<void(const std::string &)> &signalDisk() { return DiskChanged; }
+  sigc::signal<void(const std::string &)> &signalDiskStatus() {
+    return DiskChanged;
+  }
   /// Emitted when the disk holds what can't be right: the process must end.
   sigc::signal<void(const Error &)> &signalFailed() { return Failed; }
   /// Emitted for each line that is added to the audit trail here.
@@ -63,24 +65,24 @@
   const LeaseRegistry &leases() const { return Leases; }
   const ConnectionLedger &connections() const { return Connections; }
   /// What this host has applied; it may be behind unless it leads.
-  const ControlState &applied() const { return State; }
+  const ControlState &appliedState() const { return State; }
   /// True once no proxy can act without the revision any more.
   bool isInForce(std::uint64_t Revision) const;
 
 private:
-  struct WaitingLease {
+  struct PendingLease {
     LeaseRequest Request;
     Endpoint ReplyTo;
     Millis ReceivedAt;
   };
 
-  struct WaitingRights {
+  struct PendingRights {
     RightsRequest Request;
     Endpoint ReplyTo;
     Millis ReceivedAt;
   };
 
-  struct WaitingChange {
+  struct PendingChange {
     std::uint64_t Term = 0;
     ChangeHandler OnDone;
   };
@@ -95,41 +97,41 @@
   template <class Other> void on(const Envelope &, const Other &) {}
 
   /// Carries out what the agreement wants done, and what follows from it.
-  void settle();
-  void noticeDisk();
-  void carryOut(ConsensusOutputs Outputs);
+  void processOutputs();
+  void updateDiskStatus();
+  void applyOutputs(ConsensusOutputs Outputs);
   void await(const Expected<std::uint64_t> &Index, ChangeHandler OnDone);
   void apply(const Entry &Committed);
-  void grant(const WaitingLease &To);
-  void grantRights(const WaitingRights &To);
-  void noticeLeadership();
+  void grant(const PendingLease &To);
+  void grantRights(const PendingRights &To);
+  void updateLeadership();
   void publish();
   /// Sends the whole view to a proxy that is behind, unless something went
   /// to it just now.
   void sendView(const ProcessId &Proxy, const Endpoint &To);
-  void coordinate();
+  void runFailover();
   void removeExpiredProxies();
   void removeExpiredTargets();
   void compactIfLong();
-  void failWaiting();
+  void failPending();
 
   Settings Options;
-  ControlPorts Ports;
+  ControlDependencies Deps;
   Consensus Agreement;
   ControlState State;
   LeaseRegistry Leases;
   ConnectionLedger Connections;
   FailoverCoordinator Failover;
   AnnouncementGate Announcements;
-  TargetOrders Orders;
+  TargetOrderSender Orders;
   bool Leading = false;
-  bool Settling = false;
+  bool ProcessingOutputs = false;
   std::uint64_t AppliedIndex = 0;
   /// The view that was last sent out as a delta or is known to all.
   ClusterView Published;
   /// When a view or delta last went to a proxy.
   std::map<ProcessId, Millis> SentAt;
-  std::map<std::uint64_t, WaitingChange> Changes;
+  std::map<std::uint64_t, PendingChange> Changes;
   ReadBarriers Reads;
   std::map<ProcessId, Millis> ProposedRemoval;
   bool DiskRefuses = false;
--- a/Source/Control/TargetOrders.cpp
+++ b/Source/Control/TargetOrderSender.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Sends orders to targets by their published protocol.
 
-#include "Control/TargetOrders.h"
+#include "Control/TargetOrderSender.h"
 
 namespace corianderdyke {
 
@@ -10,7 +10,7 @@
 constexpr Millis OrderTimeout(300);
 constexpr int StatusOk = 200;
 
-std::string text(const std::vector<Fork> &Forks) {
+std::string refusalText(const std::vector<Fork> &Forks) {
   std::string Out;
   for (const Fork &Each : Forks)
     Out += (Out.empty() ? "" : ",") + std::to_string(Each.Term) + ":" +
@@ -18,32 +18,32 @@
   return Out;
 }
 
-HttpRequest requestFor(const TargetCall &Call) {
+HttpRequest requestFor(const TargetOrderRequest &Call) {
   HttpRequest Out;
   Out.Method = HttpMethod::Post;
   Out.Query["term"] = std::to_string(Call.Term);
   // An order is for one life. A target that restarted empty, and whose new
   // announcement is still under way, must not take up its former role.
   Out.Query["sequence"] = std::to_string(Call.Target.Sequence);
-  switch (Call.Order) {
-  case TargetOrder::Fence:
+  switch (Call.Kind) {
+  case TargetOrderKind::Fence:
     Out.Path = "/v1/fence";
     return Out;
-  case TargetOrder::Promote:
+  case TargetOrderKind::Promote:
     Out.Path = "/v1/promote";
     break;
-  case TargetOrder::Follow:
+  case TargetOrderKind::Follow:
     Out.Path = "/v1/follow";
     Out.Query["primary"] = Call.Primary.text();
     break;
   }
-  Out.Query["forks"] = text(Call.Forks);
+  Out.Query["forks"] = refusalText(Call.Forks);
   return Out;
 }
 
 } // namespace
 
-void TargetOrders::send(const TargetCall &Call, Handler OnDone) {
+void TargetOrderSender::send(const TargetOrderRequest &Call, Handler OnDone) {
   Link &To = Links[Call.Target.Name];
   // A new order overtakes one that hangs: the connection is made anew.
   if (!To.Connection || To.Address != Call.Target.Address || To.Busy)
--- a/Source/Control/TargetOrders.h
+++ b/Source/Control/TargetOrderSender.h
@@ -1,8 +1,8 @@
 /// \file
 /// Sends orders to targets by their published protocol.
 
-#ifndef CORIANDERDYKE_CONTROL_TARGETORDERS_H
-#define CORIANDERDYKE_CONTROL_TARGETORDERS_H
+#ifndef CORIANDERDYKE_CONTROL_TARGETORDERSENDER_H
+#define CORIANDERDYKE_CONTROL_TARGETORDERSENDER_H
 
 #include "Failover/FailoverCoordinator.h"
 #include "Http/HttpClient.h"
@@ -10,15 +10,15 @@
 namespace corianderdyke {
 
 /// One connection a target, opened when first needed.
-class TargetOrders {
+class TargetOrderSender {
 public:
   using Handler = std::function<void(const TargetPosition &)>;
 
-  explicit TargetOrders(HttpConnector &Connector) : Connector(Connector) {}
+  explicit TargetOrderSender(HttpConnector &Connector) : Connector(Connector) {}
 
   /// Sends an order. \p OnDone runs only where the target carried it out; an
   /// order that failed is sent again by the coordinator.
-  void send(const TargetCall &Call, Handler OnDone);
+  void send(const TargetOrderRequest &Call, Handler OnDone);
 
 private:
   struct Link {
--- a/Source/Directory/TargetDirectory.cpp
+++ b/Source/Directory/TargetDirectory.cpp
@@ -8,54 +8,55 @@
 namespace corianderdyke {
 
 void TargetDirectory::beginTerm(std::uint64_t Term) {
-  FirstPrimary = std::max(FirstPrimary, Term * PrimariesPerTerm);
+  FirstPrimaryEpoch = std::max(FirstPrimaryEpoch, Term * EpochsPerTerm);
 }
 
-std::uint64_t TargetDirectory::nextPrimary(const std::string &Group) const {
-  std::uint64_t Last = FirstPrimary - 1;
+std::uint64_t
+TargetDirectory::nextPrimaryEpoch(const std::string &Group) const {
+  std::uint64_t Last = FirstPrimaryEpoch - 1;
   const auto Members = ByGroup.find(Group);
   if (Members != ByGroup.end())
     for (const std::string &Id : Members->second)
       if (const TargetRecord *Each = find(Id))
-        Last = std::max(Last, Each->PrimarySince);
+        Last = std::max(Last, Each->PrimaryEpoch);
   return Last + 1;
 }
 
-void TargetDirectory::put(const std::string &Id, Known New) {
+void TargetDirectory::insert(const std::string &Id, TrackedTarget New) {
   ByGroup[New.Record.Group].insert(Id);
   Targets[Id] = std::move(New);
 }
 
-bool TargetDirectory::hear(TargetRecord Said, Millis Now) {
+bool TargetDirectory::applyHeartbeat(TargetRecord Said, Millis Now) {
   const auto Found = Targets.find(Said.Id);
-  const bool IsNewLife =
-      Found == Targets.end() || Said.BornAt > Found->second.Record.BornAt;
+  const bool IsNewLife = Found == Targets.end() ||
+                         Said.Incarnation > Found->second.Record.Incarnation;
   if (IsNewLife) {
     if (isSuperseded(Said))
       return false;
     if (Said.IsPrimary)
-      Said.PrimarySince = nextPrimary(Said.Group);
+      Said.PrimaryEpoch = nextPrimaryEpoch(Said.Group);
     ++Revision;
     supersede(Said, Now);
-    put(Said.Id, {Said, Now, Millis(), Revision});
+    insert(Said.Id, {Said, Now, Millis(), Revision});
     return true;
   }
-  Known &Old = Found->second;
-  if (Said.BornAt < Old.Record.BornAt || Old.Record.IsGone ||
+  TrackedTarget &Old = Found->second;
+  if (Said.Incarnation < Old.Record.Incarnation || Old.Record.IsGone ||
       Said.Sequence <= Old.Record.Sequence)
     return false;
-  Old.LastHeard = Now;
-  Said.PrimarySince = Old.Record.PrimarySince;
+  Old.LastUpdate = Now;
+  Said.PrimaryEpoch = Old.Record.PrimaryEpoch;
   if (Said.IsPrimary && !Old.Record.IsPrimary)
-    Said.PrimarySince = nextPrimary(Said.Group);
+    Said.PrimaryEpoch = nextPrimaryEpoch(Said.Group);
   // Leaving can't be taken back: a proxy that was told so has closed its
   // connections for good.
   Said.IsLeaving = Said.IsLeaving || Old.Record.IsLeaving;
   ByGroup[Said.Group].insert(Said.Id);
-  const bool IsNews = !Said.saysTheSame(Old.Record);
+  const bool IsNews = !Said.equalsIgnoringSequence(Old.Record);
   Old.Record = std::move(Said);
   if (IsNews)
-    Old.ChangedIn = ++Revision;
+    Old.ChangedRevision = ++Revision;
   return IsNews;
 }
 
@@ -63,7 +64,7 @@
   return std::any_of(Targets.begin(), Targets.end(), [&Said](const auto &Each) {
     const TargetRecord &Known = Each.second.Record;
     return Known.Id != Said.Id && Known.Address == Said.Address &&
-           Known.BornAt > Said.BornAt && Said.BornAt > 0;
+           Known.Incarnation > Said.Incarnation && Said.Incarnation > 0;
   });
 }
 
@@ -73,19 +74,19 @@
         !Each.Record.IsGone) {
       Each.Record.IsGone = true;
       Each.GoneAt = Now;
-      Each.ChangedIn = Revision;
+      Each.ChangedRevision = Revision;
     }
 }
 
-bool TargetDirectory::leave(const std::string &Id, std::uint64_t BornAt,
-                            Millis Now) {
+bool TargetDirectory::deregister(const std::string &Id, std::uint64_t BornAt,
+                                 Millis Now) {
   const auto Found = Targets.find(Id);
   if (Found == Targets.end() || Found->second.Record.IsGone ||
-      BornAt < Found->second.Record.BornAt)
+      BornAt < Found->second.Record.Incarnation)
     return false;
   Found->second.Record.IsGone = true;
   Found->second.GoneAt = Now;
-  Found->second.ChangedIn = ++Revision;
+  Found->second.ChangedRevision = ++Revision;
   return true;
 }
 
@@ -96,30 +97,30 @@
   for (const TargetRecord &Each : Others) {
     const auto Found = Targets.find(Each.Id);
     if (Found == Targets.end()) {
-      put(Each.Id, {Each, Now, Each.IsGone ? Now : Millis(), Next});
+      insert(Each.Id, {Each, Now, Each.IsGone ? Now : Millis(), Next});
       IsNews = true;
       continue;
     }
-    Known &Old = Found->second;
-    if (Each.BornAt < Old.Record.BornAt)
+    TrackedTarget &Old = Found->second;
+    if (Each.Incarnation < Old.Record.Incarnation)
       continue;
-    if (Each.BornAt > Old.Record.BornAt) {
-      put(Each.Id, {Each, Now, Each.IsGone ? Now : Millis(), Next});
+    if (Each.Incarnation > Old.Record.Incarnation) {
+      insert(Each.Id, {Each, Now, Each.IsGone ? Now : Millis(), Next});
       IsNews = true;
       continue;
     }
     TargetRecord New = Each.Sequence >= Old.Record.Sequence ? Each : Old.Record;
     New.IsGone = Each.IsGone || Old.Record.IsGone;
     New.IsLeaving = Each.IsLeaving || Old.Record.IsLeaving;
-    New.PrimarySince = std::max(Each.PrimarySince, Old.Record.PrimarySince);
+    New.PrimaryEpoch = std::max(Each.PrimaryEpoch, Old.Record.PrimaryEpoch);
     if (New.IsGone && !Old.Record.IsGone)
       Old.GoneAt = Now;
     if (Each.Sequence > Old.Record.Sequence)
-      Old.LastHeard = Now;
+      Old.LastUpdate = Now;
     if (New == Old.Record)
       continue;
     Old.Record = std::move(New);
-    Old.ChangedIn = Next;
+    Old.ChangedRevision = Next;
     IsNews = true;
   }
   if (IsNews)
@@ -127,9 +128,10 @@
   return IsNews;
 }
 
-void TargetDirectory::forgetGone(Millis Now) {
+void TargetDirectory::purgeGone(Millis Now) {
   for (auto Each = Targets.begin(); Each != Targets.end();)
-    if (Each->second.Record.IsGone && Now - Each->second.GoneAt > GoneKept) {
+    if (Each->second.Record.IsGone &&
+        Now - Each->second.GoneAt > GoneRetention) {
       ByGroup[Each->second.Record.Group].erase(Each->first);
       Each = Targets.erase(Each);
     } else {
@@ -149,7 +151,7 @@
 TargetDirectory::changedSince(std::uint64_t Since) const {
   std::vector<TargetRecord> Out;
   for (const auto &[Id, Each] : Targets)
-    if (Each.ChangedIn > Since)
+    if (Each.ChangedRevision > Since)
       Out.push_back(Each.Record);
   return Out;
 }
@@ -178,14 +180,14 @@
 TargetDirectory::primaryOf(const std::string &Group) const {
   std::optional<TargetRecord> Out;
   for (const TargetRecord &Each : ofGroup(Group))
-    if (Each.IsPrimary && (!Out || Each.PrimarySince > Out->PrimarySince))
+    if (Each.IsPrimary && (!Out || Each.PrimaryEpoch > Out->PrimaryEpoch))
       Out = Each;
   return Out;
 }
 
-Millis TargetDirectory::lastHeard(const std::string &Id) const {
+Millis TargetDirectory::lastUpdate(const std::string &Id) const {
   const auto Found = Targets.find(Id);
-  return Found == Targets.end() ? Millis() : Found->second.LastHeard;
+  return Found == Targets.end() ? Millis() : Found->second.LastUpdate;
 }
 
 } // namespace corianderdyke
--- a/Source/Failover/FailoverCoordinator.cpp
+++ b/Source/Failover/FailoverCoordinator.cpp
@@ -37,10 +37,10 @@
   std::size_t Live = 0;
   std::size_t Against = 0;
   for (const auto &[Id, Holder] : Leases.holders()) {
-    if (Now - Holder.LastHeard > Policy.LeaseDuration || !Holder.isWatching())
+    if (Now - Holder.LastRequestAt > Policy.LeaseDuration || !Holder.hasView())
       continue;
     ++Live;
-    if (Holder.trouble(Target) != nullptr)
+    if (Holder.unhealthyReport(Target) != nullptr)
       ++Against;
   }
   return Live > 0 && Against * 2 > Live;
@@ -50,18 +50,18 @@
                                           const LeaseRegistry &Leases,
                                           Millis Now) {
   FailoverActions Out;
-  if (!View.Current)
+  if (!View.CurrentManifest)
     return Out;
-  for (const DatabasePolicy &Policy : View.Current->Databases) {
+  for (const DatabasePolicy &Policy : View.CurrentManifest->Databases) {
     const GroupRecord *Group = View.group(Policy.Name);
     if (Group == nullptr)
       continue;
-    Watched &Of = Databases[Policy.Name];
+    GroupState &Of = Databases[Policy.Name];
     Progress &At = Of.At;
     if (At.Term != Group->Term || At.Phase != Group->Phase ||
         At.Revision == 0) {
       if (At.Phase == GroupPhase::Promoted)
-        Of.Pace.noteReplaced(Now);
+        Of.Pace.recordReplacement(Now);
       At = Progress();
       At.Term = Group->Term;
       At.Phase = Group->Phase;
@@ -89,7 +89,7 @@
 
 void FailoverCoordinator::stepForming(const Step &In, Progress &At) {
   if (In.View.targetsOf(In.Group.Database).size() <
-          In.Group.readingsNeeded(In.Policy) ||
+          In.Group.failoverQuorum(In.Policy) ||
       In.Now < At.ProposedUntil)
     return;
   At.ProposedUntil = In.Now + ProposeAgainAfter;
@@ -97,7 +97,8 @@
       FenceGroup{In.Group.Database, In.Group.Term + 1, "first primary"});
 }
 
-std::string FailoverCoordinator::reasonToReplace(const Step &In, Watched &Of) {
+std::string FailoverCoordinator::reasonToReplace(const Step &In,
+                                                 GroupState &Of) {
   const std::string &Name = In.Group.Primary;
   const TargetAnnouncement *Primary = In.View.target(Name);
   if (Primary == nullptr)
@@ -107,22 +108,22 @@
   // former life wrote would pass for copies of what it writes now.
   const bool Restarted =
       !Primary->Leaving && Primary->Sequence != In.Group.PrimarySequence;
-  const FailoverPolicy &Limits = In.View.Current->Failover;
+  const FailoverPolicy &Limits = In.View.CurrentManifest->Failover;
   if (!Restarted && !isSuspected(Name, In.Leases, Limits, In.Now)) {
-    Of.At.MissedSince.reset();
+    Of.At.SuspectedSince.reset();
     return "";
   }
-  if (!Of.At.MissedSince)
-    Of.At.MissedSince = In.Now;
-  if (In.Now - *Of.At.MissedSince <
-      Of.Pace.patience(Limits.SuspectAfter, In.Now))
+  if (!Of.At.SuspectedSince)
+    Of.At.SuspectedSince = In.Now;
+  if (In.Now - *Of.At.SuspectedSince <
+      Of.Pace.delay(Limits.SuspectAfter, In.Now))
     return "";
   return Name + (Restarted
                      ? " has restarted"
                      : " can't be reached, or can't copy to its replicas");
 }
 
-void FailoverCoordinator::stepPromoted(const Step &In, Watched &Of) {
+void FailoverCoordinator::stepPromoted(const Step &In, GroupState &Of) {
   const std::string Reason = reasonToReplace(In, Of);
   if (!Reason.empty()) {
     if (In.Now < Of.At.ProposedUntil)
@@ -134,29 +135,30 @@
     return;
   }
   if (In.View.target(In.Group.Primary)->Leaving)
-    return handOver(In, Of.At);
+    return startHandOver(In, Of.At);
   assignRoles(In, Of.At);
-  settleJoining(In, Of.At);
+  confirmCaughtUpTargets(In, Of.At);
 }
 
-void FailoverCoordinator::handOver(const Step &In, Progress &At) {
+void FailoverCoordinator::startHandOver(const Step &In, Progress &At) {
   // Begun without enough others, a hand-over would end in a group that
   // stands still: its primary is better kept until they are there.
   const GroupRecord &Group = In.Group;
   std::size_t Ready = 0;
   for (const TargetAnnouncement &Each : In.View.targetsOf(Group.Database))
-    if (Group.isSettled(Each) &&
-        !isSuspected(Each.Name, In.Leases, In.View.Current->Failover, In.Now))
+    if (Group.isLogComplete(Each) &&
+        !isSuspected(Each.Name, In.Leases, In.View.CurrentManifest->Failover,
+                     In.Now))
       ++Ready;
-  const std::size_t Needed = In.Group.readingsNeeded(In.Policy);
+  const std::size_t Needed = In.Group.failoverQuorum(In.Policy);
   const std::string Who = Group.Primary + " is leaving";
   if (Ready < Needed) {
-    if (!std::exchange(At.Noted, true))
+    if (!std::exchange(At.ShortageRecorded, true))
       In.Out.Proposals.push_back(
-          NoteTrouble{"hand-over-waiting", Group.Database,
-                      Who + "; " + std::to_string(Ready) +
-                          " other targets can take over, " +
-                          std::to_string(Needed) + " are needed"});
+          RecordAuditEvent{"hand-over-waiting", Group.Database,
+                           Who + "; " + std::to_string(Ready) +
+                               " other targets can take over, " +
+                               std::to_string(Needed) + " are needed"});
     return;
   }
   if (In.Now < At.ProposedUntil)
@@ -165,7 +167,7 @@
   In.Out.Proposals.push_back(DrainGroup{Group.Database, Group.Term, Who});
 }
 
-void FailoverCoordinator::stepDraining(const Step &In, Watched &Of) {
+void FailoverCoordinator::stepDraining(const Step &In, GroupState &Of) {
   // What runs ends by its own deadline or by the bound of idle transactions.
   // One caller must not keep all others waiting for longer.
   const std::string Failed = reasonToReplace(In, Of);
@@ -199,22 +201,23 @@
     if ((Done != At.Confirmed.end() && Done->second >= Each.Sequence) ||
         !mayCall(Each.Name, At, In.Now))
       continue;
-    In.Out.Calls.push_back({Each.Name == Group.Primary ? TargetOrder::Promote
-                                                       : TargetOrder::Follow,
-                            Each, Group.Term, Primary.Address, Group.Forks});
+    In.Out.Orders.push_back({Each.Name == Group.Primary
+                                 ? TargetOrderKind::Promote
+                                 : TargetOrderKind::Follow,
+                             Each, Group.Term, Primary.Address, Group.Forks});
   }
 }
 
-void FailoverCoordinator::settleJoining(const Step &In, Progress &At) {
+void FailoverCoordinator::confirmCaughtUpTargets(const Step &In, Progress &At) {
   const GroupRecord &Group = In.Group;
   const TargetAnnouncement &Primary = *In.View.target(Group.Primary);
   for (const TargetAnnouncement &Each : In.View.targetsOf(Group.Database)) {
-    const bool Proven =
-        Group.isSettled(Each) && Group.Unproven.count(Each.Name) == 0;
+    const bool Proven = Group.isLogComplete(Each) &&
+                        Group.UnverifiedTargets.count(Each.Name) == 0;
     if (Proven || Each.Name == Group.Primary)
       continue;
-    CatchUp &Of = At.Joining[Each.Name];
-    const std::uint64_t Version = In.View.Current->Version;
+    CatchUp &Of = At.CatchUps[Each.Name];
+    const std::uint64_t Version = In.View.CurrentManifest->Version;
     if (Of.Revision == 0 || Of.LogId != Each.LogId ||
         Of.ManifestVersion != Version)
       Of = {Each.LogId, Version, In.View.Revision, false, std::nullopt, false};
@@ -223,7 +226,7 @@
     if (Of.Reached && In.Now >= At.ProposedUntil) {
       At.ProposedUntil = In.Now + ProposeAgainAfter;
       In.Out.Proposals.push_back(
-          SettleTarget{Group.Database, Group.Term, Each.Name, Each.LogId});
+          ConfirmTargetLog{Group.Database, Group.Term, Each.Name, Each.LogId});
     }
     if (Of.Reached)
       continue;
@@ -232,33 +235,33 @@
     const TargetAnnouncement &Called = ToPrimary ? Primary : Each;
     if (!mayCall(Called.Name, At, In.Now))
       continue;
-    Of.Asked = Of.Asked || ToPrimary;
-    In.Out.Calls.push_back(
-        {ToPrimary ? TargetOrder::Promote : TargetOrder::Follow, Called,
+    Of.PrimaryAsked = Of.PrimaryAsked || ToPrimary;
+    In.Out.Orders.push_back(
+        {ToPrimary ? TargetOrderKind::Promote : TargetOrderKind::Follow, Called,
          Group.Term, Primary.Address, Group.Forks});
   }
 }
 
-bool FailoverCoordinator::isRead(const TargetAnnouncement &Target,
-                                 const Progress &At) {
+bool FailoverCoordinator::hasPosition(const TargetAnnouncement &Target,
+                                      const Progress &At) {
   const auto Found = At.Readings.find(Target.Name);
   return Found != At.Readings.end() &&
          Found->second.Sequence == Target.Sequence;
 }
 
 std::vector<TargetAnnouncement>
-FailoverCoordinator::readTargets(const Step &In, const Progress &At,
-                                 bool SettledOnly) {
+FailoverCoordinator::targetsWithPosition(const Step &In, const Progress &At,
+                                         bool SettledOnly) {
   std::vector<TargetAnnouncement> Out;
   for (const TargetAnnouncement &Each : In.View.targetsOf(In.Group.Database))
-    if (isRead(Each, At) && (!SettledOnly || In.Group.isSettled(Each)))
+    if (hasPosition(Each, At) && (!SettledOnly || In.Group.isLogComplete(Each)))
       Out.push_back(Each);
   return Out;
 }
 
 TargetAnnouncement
-FailoverCoordinator::best(const std::vector<TargetAnnouncement> &Of,
-                          const Progress &At) {
+FailoverCoordinator::mostAdvanced(const std::vector<TargetAnnouncement> &Of,
+                                  const Progress &At) {
   return *std::max_element(
       Of.begin(), Of.end(),
       [&At](const TargetAnnouncement &Left, const TargetAnnouncement &Right) {
@@ -267,51 +270,53 @@
       });
 }
 
-void FailoverCoordinator::stepFencing(const Step &In, Watched &Of) {
+void FailoverCoordinator::stepFencing(const Step &In, GroupState &Of) {
   const GroupRecord &Group = In.Group;
   Progress &At = Of.At;
   // One that is leaving is told too, though it's no candidate any more.
   for (const TargetAnnouncement &Each : In.View.allTargetsOf(Group.Database))
-    if (!isRead(Each, At) && mayCall(Each.Name, At, In.Now))
-      In.Out.Calls.push_back(
-          {TargetOrder::Fence, Each, Group.Term, Endpoint{}, Group.Forks});
+    if (!hasPosition(Each, At) && mayCall(Each.Name, At, In.Now))
+      In.Out.Orders.push_back(
+          {TargetOrderKind::Fence, Each, Group.Term, Endpoint{}, Group.Forks});
   // The former primary must be unable to be acknowledged anywhere before
   // another takes its place.
   if (!In.Leases.isInForce(In.View, At.Revision, In.Now) ||
       In.Now < At.ProposedUntil)
     return;
   // A target that came back without its log proves nothing by its position.
-  std::vector<TargetAnnouncement> Read = readTargets(In, At, true);
+  std::vector<TargetAnnouncement> Read = targetsWithPosition(In, At, true);
   const std::size_t Readings = Read.size();
-  const std::size_t Needed = In.Group.readingsNeeded(In.Policy);
+  const std::size_t Needed = In.Group.failoverQuorum(In.Policy);
   std::string Reason =
       std::to_string(Readings) + " of " + std::to_string(In.Policy.Targets) +
       " targets told their position, " + std::to_string(Needed) + " are needed";
   if (Readings < Needed) {
     const Millis Patience =
-        In.View.Current->Failover.SuspectAfter * TooFewPatience;
+        In.View.CurrentManifest->Failover.SuspectAfter * TooFewPatience;
     if (In.Now - At.Since < Patience)
       return;
-    Read = readTargets(In, At, false);
-    if (Read.empty() || In.Policy.TooFew == TooFewPolicy::Wait) {
-      if (!std::exchange(At.Noted, true))
+    Read = targetsWithPosition(In, At, false);
+    if (Read.empty() ||
+        In.Policy.InsufficientTargets == InsufficientTargetsPolicy::Wait) {
+      if (!std::exchange(At.ShortageRecorded, true))
         In.Out.Proposals.push_back(
-            NoteTrouble{"failover-waiting", Group.Database, Reason});
+            RecordAuditEvent{"failover-waiting", Group.Database, Reason});
       return;
     }
     Reason += "; acknowledged writes may be lost";
-  } else if (!preferOthers(In, Of, Read)) {
+  } else if (!excludeFormerPrimary(In, Of, Read)) {
     return;
   }
   At.ProposedUntil = In.Now + ProposeAgainAfter;
-  const TargetAnnouncement Best = best(Read, At);
+  const TargetAnnouncement Best = mostAdvanced(Read, At);
   In.Out.Proposals.push_back(PromoteTarget{
       Group.Database, Group.Term, Best.Name, At.Readings[Best.Name].At.Position,
       Best.Sequence, Readings < Needed, Reason});
 }
 
-bool FailoverCoordinator::preferOthers(const Step &In, const Watched &Of,
-                                       std::vector<TargetAnnouncement> &Read) {
+bool FailoverCoordinator::excludeFormerPrimary(
+    const Step &In, const GroupState &Of,
+    std::vector<TargetAnnouncement> &Read) {
   // The former primary often has the highest position, by writes that nobody
   // was told of. Chosen for them it would be replaced again at once, and
   // callers would never write. Enough others prove that they hold all that
@@ -322,27 +327,28 @@
       Others.push_back(Each);
   if (Others.size() == Read.size())
     return true;
-  if (Others.size() < In.Group.readingsNeeded(In.Policy))
+  if (Others.size() < In.Group.failoverQuorum(In.Policy))
     return In.Now - Of.At.Since >= OthersFirst;
   Read = std::move(Others);
   return true;
 }
 
-void FailoverCoordinator::answered(const TargetCall &Call,
-                                   const TargetPosition &Answer) {
+void FailoverCoordinator::recordAnswer(const TargetOrderRequest &Call,
+                                       const TargetPosition &Answer) {
   const auto Known = Databases.find(Call.Target.Database);
   if (Known == Databases.end() || Known->second.At.Term != Call.Term ||
       Answer.Term != Call.Term)
     return;
   Progress &At = Known->second.At;
   const std::string &Name = Call.Target.Name;
-  if (Call.Order == TargetOrder::Fence) {
+  if (Call.Kind == TargetOrderKind::Fence) {
     At.Readings[Name] = {Call.Target.Sequence, Answer};
     return;
   }
   At.Confirmed[Name] = Call.Target.Sequence;
-  for (auto &[Joining, Of] : At.Joining) {
-    if (Call.Order == TargetOrder::Promote && Of.Asked && !Of.PrimaryPosition)
+  for (auto &[Joining, Of] : At.CatchUps) {
+    if (Call.Kind == TargetOrderKind::Promote && Of.PrimaryAsked &&
+        !Of.PrimaryPosition)
       Of.PrimaryPosition = Answer.Position;
     if (Joining == Name && Of.LogId == Call.Target.LogId && Of.PrimaryPosition)
       Of.Reached = Answer.Position >= *Of.PrimaryPosition;
--- a/Source/Failover/FailoverCoordinator.h
+++ b/Source/Failover/FailoverCoordinator.h
@@ -16,7 +16,7 @@
 #ifndef CORIANDERDYKE_FAILOVER_FAILOVERCOORDINATOR_H
 #define CORIANDERDYKE_FAILOVER_FAILOVERCOORDINATOR_H
 
-#include "Failover/ReplacementPace.h"
+#include "Failover/ReplacementBackoff.h"
 #include "Lease/LeaseRegistry.h"
 #include "State/Command.h"
 
@@ -33,39 +33,40 @@
   auto operator<=>(const TargetPosition &) const = default;
 };
 
-enum class TargetOrder : std::uint8_t { Fence, Promote, Follow };
+enum class TargetOrderKind : std::uint8_t { Fence, Promote, Follow };
 
 /// An order to one target, to be sent by the caller.
-struct TargetCall {
-  TargetOrder Order = TargetOrder::Fence;
+struct TargetOrderRequest {
+  TargetOrderKind Kind = TargetOrderKind::Fence;
   TargetAnnouncement Target;
   std::uint64_t Term = 0;
   Endpoint Primary; ///< Follow only.
   std::vector<Fork> Forks;
 
-  auto operator<=>(const TargetCall &) const = default;
+  auto operator<=>(const TargetOrderRequest &) const = default;
 };
 
 struct FailoverActions {
   std::vector<CommandBody> Proposals;
-  std::vector<TargetCall> Calls;
+  std::vector<TargetOrderRequest> Orders;
 };
 
 class FailoverCoordinator {
 public:
   /// Forgets all that a former leadership left.
-  void begin() { Databases.clear(); }
+  void reset() { Databases.clear(); }
 
   /// What there is to do now. To be called after every event and tick.
   FailoverActions step(const ClusterView &View, const LeaseRegistry &Leases,
                        Millis Now);
 
   /// A target has carried out an order.
-  void answered(const TargetCall &Call, const TargetPosition &Answer);
+  void recordAnswer(const TargetOrderRequest &Call,
+                    const TargetPosition &Answer);
 
 private:
   /// What one life of a target answered to the fence.
-  struct Reading {
+  struct PositionReport {
     std::uint64_t Sequence = 0;
     TargetPosition At;
   };
@@ -78,7 +79,7 @@
     /// Proof counts from the manifest that was in force when it began.
     std::uint64_t ManifestVersion = 0;
     std::uint64_t Revision = 0; ///< To be in force first.
-    bool Asked = false;         ///< The primary, for its position.
+    bool PrimaryAsked = false;  ///< The primary, for its position.
     std::optional<std::uint64_t> PrimaryPosition;
     bool Reached = false;
   };
@@ -93,20 +94,20 @@
     /// Until then a proposal that was made is given time to be committed.
     Millis ProposedUntil;
     std::map<std::string, Millis> CalledAt;
-    std::map<std::string, Reading> Readings;
+    std::map<std::string, PositionReport> Readings;
     /// Announcement sequence with which a target confirmed its role: one
     /// that restarted announces anew and must be told again.
     std::map<std::string, std::uint64_t> Confirmed;
-    std::map<std::string, CatchUp> Joining;
+    std::map<std::string, CatchUp> CatchUps;
     /// Since when the primary has been missed without a break.
-    std::optional<Millis> MissedSince;
-    bool Noted = false; ///< That too few targets are left.
+    std::optional<Millis> SuspectedSince;
+    bool ShortageRecorded = false; ///< That too few targets are left.
   };
 
   /// One database group, with what outlives its phases.
-  struct Watched {
+  struct GroupState {
     Progress At;
-    ReplacementPace Pace;
+    ReplacementBackoff Pace;
     /// The primary that was replaced last, unless it left.
     std::string Replaced;
   };
@@ -122,26 +123,26 @@
   };
 
   static void stepForming(const Step &In, Progress &At);
-  static void stepPromoted(const Step &In, Watched &Of);
-  static void stepDraining(const Step &In, Watched &Of);
-  static void handOver(const Step &In, Progress &At);
-  static void stepFencing(const Step &In, Watched &Of);
+  static void stepPromoted(const Step &In, GroupState &Of);
+  static void stepDraining(const Step &In, GroupState &Of);
+  static void startHandOver(const Step &In, Progress &At);
+  static void stepFencing(const Step &In, GroupState &Of);
   /// Why the primary should be replaced now; empty where it shouldn't.
-  static std::string reasonToReplace(const Step &In, Watched &Of);
+  static std::string reasonToReplace(const Step &In, GroupState &Of);
   static void assignRoles(const Step &In, Progress &At);
-  static void settleJoining(const Step &In, Progress &At);
+  static void confirmCaughtUpTargets(const Step &In, Progress &At);
   static bool mayCall(const std::string &Target, Progress &At, Millis Now);
-  static bool isRead(const TargetAnnouncement &Target, const Progress &At);
+  static bool hasPosition(const TargetAnnouncement &Target, const Progress &At);
   static std::vector<TargetAnnouncement>
-  readTargets(const Step &In, const Progress &At, bool SettledOnly);
+  targetsWithPosition(const Step &In, const Progress &At, bool SettledOnly);
   /// Leaves the former primary out where the others suffice; false where
   /// they are worth waiting for.
-  static bool preferOthers(const Step &In, const Watched &Of,
-                           std::vector<TargetAnnouncement> &Read);
-  static TargetAnnouncement best(const std::vector<TargetAnnouncement> &Of,
-                                 const Progress &At);
+  static bool excludeFormerPrimary(const Step &In, const GroupState &Of,
+                                   std::vector<TargetAnnouncement> &Read);
+  static TargetAnnouncement
+  mostAdvanced(const std::vector<TargetAnnouncement> &Of, const Progress &At);
 
-  std::map<std::string, Watched> Databases;
+  std::map<std::string, GroupState> Databases;
 };
 
 /// True where most of the proxies that have been heard of late report that
--- a/Source/Failover/ReplacementPace.h
+++ b/Source/Failover/ReplacementBackoff.h
@@ -1,8 +1,8 @@
 /// \file
 /// Slows down replacements that follow each other.
 
-#ifndef CORIANDERDYKE_FAILOVER_REPLACEMENTPACE_H
-#define CORIANDERDYKE_FAILOVER_REPLACEMENTPACE_H
+#ifndef CORIANDERDYKE_FAILOVER_REPLACEMENTBACKOFF_H
+#define CORIANDERDYKE_FAILOVER_REPLACEMENTBACKOFF_H
 
 #include "Common/Millis.h"
 
@@ -14,17 +14,17 @@
 /// callers a gap and helps nobody. The first two in a window are made at once:
 /// a second host may well be lost right after a repair. Before each further
 /// one the primary has to be missed without a break for twice as long.
-class ReplacementPace {
+class ReplacementBackoff {
 public:
-  void noteReplaced(Millis Now);
+  void recordReplacement(Millis Now);
 
   /// How long a primary is to be missed beyond \p SuspectAfter.
-  Millis patience(Millis SuspectAfter, Millis Now) const;
+  Millis delay(Millis SuspectAfter, Millis Now) const;
 
   static constexpr Millis Window = Millis(60000);
-  static constexpr std::size_t MadeAtOnce = 2;
+  static constexpr std::size_t ImmediateReplacements = 2;
   /// Longest patience, in SuspectAfter: 6.4 s with the default.
-  static constexpr std::int64_t MostPatience = 16;
+  static constexpr std::int64_t MaxDelayFactor = 16;
 
 private:
   std::deque<Millis> Replaced; ///< Rising.
--- a/Source/Http/EventHttpServer.cpp
+++ b/Source/Http/EventHttpServer.cpp
@@ -111,7 +111,7 @@
     evbuffer_free(Body);
   }
 
-  void onHangUp(std::function<void()> Action) override {
+  void onDisconnect(std::function<void()> Action) override {
     HangUp = std::move(Action);
   }
 
@@ -152,7 +152,7 @@
 
 EventHttpServer::EventHttpServer(HttpService &Service) : Service(Service) {}
 
-void EventHttpServer::arrived(evhttp_request *Raw) {
+void EventHttpServer::onRequest(evhttp_request *Raw) {
   evhttp_connection *Connection = evhttp_request_get_connection(Raw);
   std::unique_ptr<Session> &Known = Sessions[Connection];
   if (!Known) {
@@ -170,7 +170,7 @@
           Owner->Sessions.erase(Held->Connection);
           if (const auto Exchange = Held->Current.lock())
             Exchange->closed();
-          Owner->Service.disconnected(Held->Peer);
+          Owner->Service.handleDisconnect(Held->Peer);
         },
         Known.get());
   }
@@ -197,12 +197,12 @@
   Made->Http = evhttp_new(Loop.base());
   evhttp_set_max_body_size(Made->Http, MaxHttpBodyBytes);
   evhttp_set_max_headers_size(Made->Http, MaxHttpHeaderBytes);
-  const timeval Silence = timevalOf(Limits.Silence);
+  const timeval Silence = timevalOf(Limits.IdleTimeout);
   evhttp_set_timeout_tv(Made->Http, &Silence);
   evhttp_set_gencb(
       Made->Http,
       [](evhttp_request *Raw, void *Argument) {
-        static_cast<EventHttpServer *>(Argument)->arrived(Raw);
+        static_cast<EventHttpServer *>(Argument)->onRequest(Raw);
       },
       Made.get());
   Made->Socket =
@@ -220,7 +220,7 @@
 
 EventHttpServer::~EventHttpServer() { evhttp_free(Http); }
 
-std::size_t EventHttpServer::unanswered() const {
+std::size_t EventHttpServer::pendingRequests() const {
   return static_cast<std::size_t>(
       std::count_if(Sessions.begin(), Sessions.end(),
                     [](const auto &Each) { return Each.second->Busy; }));
--- a/Source/Http/EventHttpServer.h
+++ b/Source/Http/EventHttpServer.h
@@ -25,7 +25,7 @@
 struct HttpLimits {
   /// A caller that sends or takes nothing for this long is cut. It must be
   /// longer than the longest deadline: a caller that waits is silent too.
-  Millis Silence = Millis(120000);
+  Millis IdleTimeout = Millis(120000);
 };
 
 class EventHttpServer {
@@ -48,16 +48,16 @@
 
   /// From now on each answer asks its caller to close the connection, unless
   /// something still lives on it.
-  void closeAfterAnswers() { Closing = true; }
+  void closeConnectionsAfterResponse() { Closing = true; }
 
   /// Requests whose answer hasn't wholly left this process yet.
-  std::size_t unanswered() const;
+  std::size_t pendingRequests() const;
 
 private:
   struct Session;
 
   explicit EventHttpServer(HttpService &Service);
-  void arrived(evhttp_request *Raw);
+  void onRequest(evhttp_request *Raw);
   bool closesAfterAnswer(const std::string &Peer) const {
     return Closing && !Service.isBound(Peer);
   }
--- a/Source/Http/HttpServer.h
+++ b/Source/Http/HttpServer.h
@@ -21,7 +21,7 @@
   virtual void respond(HttpResponse Response) = 0;
 
   /// Runs \p Action if the caller hangs up before the answer.
-  virtual void onHangUp(std::function<void()> Action) = 0;
+  virtual void onDisconnect(std::function<void()> Action) = 0;
 };
 
 class HttpService {
@@ -35,7 +35,7 @@
   virtual bool isBound(const std::string & /*Peer*/) const { return false; }
 
   /// A connection over which requests came has closed.
-  virtual void disconnected(const std::string & /*Peer*/) {}
+  virtual void handleDisconnect(const std::string & /*Peer*/) {}
 };
 
 } // namespace corianderdyke
--- a/Source/Lease/LeaseHolder.cpp
+++ b/Source/Lease/LeaseHolder.cpp
@@ -7,7 +7,7 @@
 
 namespace corianderdyke {
 
-void LeaseHolder::grant(const LeaseGrant &Grant) {
+void LeaseHolder::applyGrant(const LeaseGrant &Grant) {
   if (Grant.Proxy != Self || Grant.Sequence > Sequence)
     return;
   // It counts from the sending of the request: the answer may have been
@@ -16,17 +16,17 @@
   if (Grant.RequiredRevision <= Applied)
     End = std::max(End, GrantEnd);
   else
-    Waiting[Grant.RequiredRevision] =
-        std::max(Waiting[Grant.RequiredRevision], GrantEnd);
+    PendingEnds[Grant.RequiredRevision] =
+        std::max(PendingEnds[Grant.RequiredRevision], GrantEnd);
 }
 
-bool LeaseHolder::apply(std::uint64_t Revision) {
+bool LeaseHolder::applyRevision(std::uint64_t Revision) {
   if (Revision <= Applied)
     return false;
   Applied = Revision;
-  while (!Waiting.empty() && Waiting.begin()->first <= Applied) {
-    End = std::max(End, Waiting.begin()->second);
-    Waiting.erase(Waiting.begin());
+  while (!PendingEnds.empty() && PendingEnds.begin()->first <= Applied) {
+    End = std::max(End, PendingEnds.begin()->second);
+    PendingEnds.erase(PendingEnds.begin());
   }
   return true;
 }
--- a/Source/Lease/LeaseHolder.h
+++ b/Source/Lease/LeaseHolder.h
@@ -16,11 +16,11 @@
 
   /// Takes a grant in. One for another life of this proxy, or for a request
   /// that was never sent, is ignored.
-  void grant(const LeaseGrant &Grant);
+  void applyGrant(const LeaseGrant &Grant);
 
   /// Moves to a later revision; an earlier one is ignored, so that a late
   /// update can't take a decision back. True where it moved.
-  bool apply(std::uint64_t Revision);
+  bool applyRevision(std::uint64_t Revision);
 
   /// True while the proxy may serve and acknowledge.
   bool isHeld(Millis Now) const { return Now < End; }
@@ -39,7 +39,7 @@
   Millis End = Millis(-1);
   /// Ends of leases that wait for their revision. Any that is reached moves
   /// into End; the lease in hand is never lengthened without its revision.
-  std::map<std::uint64_t, Millis> Waiting;
+  std::map<std::uint64_t, Millis> PendingEnds;
 };
 
 } // namespace corianderdyke
--- a/Source/Lease/LeaseRegistry.cpp
+++ b/Source/Lease/LeaseRegistry.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-Millis longestLease(Millis Duration, std::uint32_t DriftPpm) {
+Millis maxLeaseAcrossClocks(Millis Duration, std::uint32_t DriftPpm) {
   // The proxy's clock shows Duration after Duration / (1 - drift), in which
   // the leader's may show (1 + drift) times that. Adding twice the drift
   // would fall short of it: by 13 ms for 600 ms at a tenth.
@@ -26,62 +26,67 @@
 }
 
 const TargetReport *
-LeaseRegistry::Holder::trouble(const std::string &Target) const {
+LeaseRegistry::Holder::unhealthyReport(const std::string &Target) const {
   for (const TargetReport &Each : Reports)
-    if (Each.Target == Target && Each.isTrouble())
+    if (Each.Target == Target && Each.isUnhealthy())
       return &Each;
   return nullptr;
 }
 
-void LeaseRegistry::begin(const ClusterView &View, Millis Now) {
+void LeaseRegistry::startTerm(const ClusterView &View, Millis Now) {
   Holders.clear();
   const std::uint32_t DriftPpm =
-      View.Current ? View.Current->Failover.ClockDriftPpm : 0;
+      View.CurrentManifest ? View.CurrentManifest->Failover.ClockDriftPpm : 0;
   for (const auto &[Id, Where] : View.Proxies) {
     Holder &Known = Holders[Id];
-    Known.LastHeard = Now;
-    Known.Ends[0] = Now + longestLease(View.LongestLease, DriftPpm);
+    Known.LastRequestAt = Now;
+    Known.LeaseEnds[0] =
+        Now + maxLeaseAcrossClocks(View.MaxLeaseDuration, DriftPpm);
   }
 }
 
-void LeaseRegistry::noteRequest(const LeaseRequest &Request,
-                                const Endpoint &ReplyTo, Millis Now) {
+void LeaseRegistry::recordRequest(const LeaseRequest &Request,
+                                  const Endpoint &ReplyTo, Millis Now) {
   Holder &Known = Holders[Request.Proxy];
   Known.ReplyTo = ReplyTo;
-  Known.LastHeard = Now;
-  Known.Applied = std::max(Known.Applied, Request.AppliedRevision);
+  Known.LastRequestAt = Now;
+  Known.AppliedRevision =
+      std::max(Known.AppliedRevision, Request.AppliedRevision);
   // Datagrams may overtake each other.
   if (Request.Sequence < Known.Sequence)
     return;
   Known.Sequence = Request.Sequence;
-  Known.ReportedAt = Request.AppliedRevision;
+  Known.ReportedRevision = Request.AppliedRevision;
   Known.Reports = Request.Reports;
-  Known.Running = Request.Running;
+  Known.BusyDatabases = Request.BusyDatabases;
 }
 
-void LeaseRegistry::noteGrant(const LeaseGrant &Grant, Millis ReceivedAt,
-                              std::uint32_t DriftPpm) {
+void LeaseRegistry::recordGrant(const LeaseGrant &Grant, Millis ReceivedAt,
+                                std::uint32_t DriftPpm) {
   Holder &Known = Holders[Grant.Proxy];
-  Millis &End = Known.Ends[Grant.RequiredRevision];
-  End = std::max(End, ReceivedAt + longestLease(Grant.Duration, DriftPpm));
-  while (Known.Ends.size() > 1 && Known.Ends.begin()->second < ReceivedAt)
-    Known.Ends.erase(Known.Ends.begin());
+  Millis &End = Known.LeaseEnds[Grant.RequiredRevision];
+  End = std::max(End,
+                 ReceivedAt + maxLeaseAcrossClocks(Grant.Duration, DriftPpm));
+  while (Known.LeaseEnds.size() > 1 &&
+         Known.LeaseEnds.begin()->second < ReceivedAt)
+    Known.LeaseEnds.erase(Known.LeaseEnds.begin());
 }
 
-void LeaseRegistry::noteApplied(const ProcessId &Proxy,
-                                std::uint64_t Revision) {
+void LeaseRegistry::recordApplied(const ProcessId &Proxy,
+                                  std::uint64_t Revision) {
   const auto Known = Holders.find(Proxy);
   if (Known != Holders.end())
-    Known->second.Applied = std::max(Known->second.Applied, Revision);
+    Known->second.AppliedRevision =
+        std::max(Known->second.AppliedRevision, Revision);
 }
 
 bool LeaseRegistry::isInForce(const ClusterView &View, std::uint64_t Revision,
                               Millis Now) const {
   for (const auto &[Id, Where] : View.Proxies) {
     const auto Known = Holders.find(Id);
-    if (Known == Holders.end() || Known->second.Applied >= Revision)
+    if (Known == Holders.end() || Known->second.AppliedRevision >= Revision)
       continue;
-    for (const auto &[Required, End] : Known->second.Ends)
+    for (const auto &[Required, End] : Known->second.LeaseEnds)
       if (Required < Revision && End > Now)
         return false;
   }
@@ -98,8 +103,8 @@
     const auto End = expiry(Id);
     if (Known == Holders.end() || !End || *End <= Now)
       continue;
-    if (Known->second.ReportedAt < Revision ||
-        Known->second.Running.count(Database) != 0)
+    if (Known->second.ReportedRevision < Revision ||
+        Known->second.BusyDatabases.count(Database) != 0)
       return false;
   }
   return true;
@@ -107,10 +112,10 @@
 
 std::optional<Millis> LeaseRegistry::expiry(const ProcessId &Proxy) const {
   const auto Known = Holders.find(Proxy);
-  if (Known == Holders.end() || Known->second.Ends.empty())
+  if (Known == Holders.end() || Known->second.LeaseEnds.empty())
     return std::nullopt;
   Millis Latest;
-  for (const auto &[Required, End] : Known->second.Ends)
+  for (const auto &[Required, End] : Known->second.LeaseEnds)
     Latest = std::max(Latest, End);
   return Latest;
 }
--- a/Source/Lease/LeaseRegistry.h
+++ b/Source/Lease/LeaseRegistry.h
@@ -11,7 +11,7 @@
 /// How long a lease of \p Duration may last by another host's clock, when
 /// each clock is off by at most \p DriftPpm: one may run slow while the other
 /// runs fast, and each reading is cut to a whole millisecond.
-Millis longestLease(Millis Duration, std::uint32_t DriftPpm);
+Millis maxLeaseAcrossClocks(Millis Duration, std::uint32_t DriftPpm);
 
 /// Answers one question: has every proxy either applied a revision or lost
 /// every lease that it could use without it? Until then a former primary may
@@ -20,18 +20,18 @@
 public:
   /// Starts as a new leader: any registered proxy may hold a lease from the
   /// predecessor, granted at the last moment.
-  void begin(const ClusterView &View, Millis Now);
+  void startTerm(const ClusterView &View, Millis Now);
 
   /// A request has come in; its reports replace the proxy's former ones.
-  void noteRequest(const LeaseRequest &Request, const Endpoint &ReplyTo,
-                   Millis Now);
+  void recordRequest(const LeaseRequest &Request, const Endpoint &ReplyTo,
+                     Millis Now);
 
   /// A lease was granted for a request that had come in at \p ReceivedAt. It
   /// counts from there: the proxy counts from before, when it sent it.
-  void noteGrant(const LeaseGrant &Grant, Millis ReceivedAt,
-                 std::uint32_t DriftPpm);
+  void recordGrant(const LeaseGrant &Grant, Millis ReceivedAt,
+                   std::uint32_t DriftPpm);
 
-  void noteApplied(const ProcessId &Proxy, std::uint64_t Revision);
+  void recordApplied(const ProcessId &Proxy, std::uint64_t Revision);
 
   /// True once no proxy of the view can act without \p Revision any more.
   bool isInForce(const ClusterView &View, std::uint64_t Revision,
@@ -47,20 +47,20 @@
 
   struct Holder {
     Endpoint ReplyTo;
-    Millis LastHeard;
-    std::uint64_t Applied = 0;
+    Millis LastRequestAt;
+    std::uint64_t AppliedRevision = 0;
     /// Of the latest request, which also gave the three below.
     std::uint64_t Sequence = 0;
-    std::uint64_t ReportedAt = 0;      ///< The revision applied by then.
-    std::vector<TargetReport> Reports; ///< Of targets in trouble.
-    std::set<std::string> Running;
+    std::uint64_t ReportedRevision = 0; ///< The revision applied by then.
+    std::vector<TargetReport> Reports;  ///< Of targets in trouble.
+    std::set<std::string> BusyDatabases;
     /// Latest end of the leases that require a revision, by that revision.
-    std::map<std::uint64_t, Millis> Ends;
+    std::map<std::uint64_t, Millis> LeaseEnds;
 
     /// What it reports of a target; null where it sees no trouble there.
-    const TargetReport *trouble(const std::string &Target) const;
+    const TargetReport *unhealthyReport(const std::string &Target) const;
     /// It has a view, and so watches the targets in it.
-    bool isWatching() const { return Applied > 0; }
+    bool hasView() const { return AppliedRevision > 0; }
   };
 
   const std::map<ProcessId, Holder> &holders() const { return Holders; }
--- a/Source/Lease/Messages.h
+++ b/Source/Lease/Messages.h
@@ -20,7 +20,7 @@
   /// A primary that takes writes and copies them to too few replicas.
   bool Stalled = false;
 
-  bool isTrouble() const { return !Reachable || Stalled; }
+  bool isUnhealthy() const { return !Reachable || Stalled; }
 
   auto operator<=>(const TargetReport &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
@@ -31,17 +31,18 @@
 /// Asks for a lease, or for a longer one.
 struct LeaseRequest {
   ProcessId Proxy;
-  Place Where;
+  Locality ProxyLocality;
   std::uint64_t Sequence = 0;
   Millis SentAt; ///< By the proxy's clock; echoed and not interpreted.
   std::uint64_t AppliedRevision = 0;
   std::vector<TargetReport> Reports; ///< Of targets in trouble.
   /// Databases at whose primary something of this proxy still runs.
-  std::set<std::string> Running = {};
+  std::set<std::string> BusyDatabases = {};
 
   auto operator<=>(const LeaseRequest &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Proxy, Where, Sequence, SentAt, AppliedRevision, Reports, Running);
+    Ar(Proxy, ProxyLocality, Sequence, SentAt, AppliedRevision, Reports,
+       BusyDatabases);
   }
 };
 
--- a/Source/Logs/LogEvents.cpp
+++ b/Source/Logs/LogEvents.cpp
@@ -5,8 +5,8 @@
 
 #include "Common/JsonText.h"
 #include "Common/SystemClock.h"
-#include "Logs/LineBudget.h"
-#include "Logs/StandardOutput.h"
+#include "Logs/LogRateLimiter.h"
+#include "Logs/NonBlockingStdoutSink.h"
 
 #include <map>
 #include <spdlog/fmt/chrono.h>
@@ -21,9 +21,10 @@
 
 /// The budgets of the events that have one. Logs are written by the one
 /// thread of the loop.
-LineBudget &budgetOf(const EventDescription &Event) {
-  static std::map<EventId, LineBudget> All;
-  return All.try_emplace(Event.Id, LineBudget(Event.PerSecond)).first->second;
+LogRateLimiter &budgetOf(const EventDescription &Event) {
+  static std::map<EventId, LogRateLimiter> All;
+  return All.try_emplace(Event.Id, LogRateLimiter(Event.MaxPerSecond))
+      .first->second;
 }
 
 const EventDescription &describe(EventId Id) {
@@ -45,7 +46,7 @@
   return spdlog::level::info;
 }
 
-const char *word(Severity Of) {
+const char *outcomeHeader(Severity Of) {
   switch (Of) {
   case Severity::Warning:
     return "warning";
@@ -79,7 +80,7 @@
 
 std::string jsonLine(const EventDescription &Event, const LogFields &Fields) {
   nlohmann::json Out = {{"time", timeNow()},
-                        {"level", word(Event.Level)},
+                        {"level", outcomeHeader(Event.Level)},
                         {"event", static_cast<int>(Event.Id)},
                         {"name", Event.Name}};
   for (const auto &[Name, Value] : Fields)
@@ -166,32 +167,33 @@
                     "| --- | --- | --- | --- |\n";
   for (const EventDescription &Each : eventCatalogue())
     Out += "| " + std::to_string(static_cast<int>(Each.Id)) + " | " +
-           Each.Name + " | " + word(Each.Level) + " | " + Each.Meaning + " |\n";
+           Each.Name + " | " + outcomeHeader(Each.Level) + " | " +
+           Each.Meaning + " |\n";
   return Out;
 }
 
-void setUpLogs(bool Json, Severity Least) {
+void configureLogging(bool Json, Severity MinSeverity) {
   JsonLines = Json;
   auto Logger = std::make_shared<spdlog::logger>(
-      "corianderdyke", std::make_shared<StandardOutput>(STDOUT_FILENO));
+      "corianderdyke", std::make_shared<NonBlockingStdoutSink>(STDOUT_FILENO));
   Logger->set_pattern(Json ? "%v" : "%Y-%m-%dT%H:%M:%S.%eZ %l %v",
                       spdlog::pattern_time_type::utc);
-  Logger->set_level(levelOf(Least));
+  Logger->set_level(levelOf(MinSeverity));
   spdlog::set_default_logger(std::move(Logger));
 }
 
 bool writesJsonLogs() { return JsonLines; }
 
-bool wantsEvent(EventId Id) {
+bool admitEvent(EventId Id) {
   const EventDescription &Event = describe(Id);
-  return Event.PerSecond == 0 || budgetOf(Event).allow(SystemClock().now());
+  return Event.MaxPerSecond == 0 || budgetOf(Event).allow(SystemClock().now());
 }
 
 void logEvent(EventId Id, const LogFields &Given) {
   const EventDescription &Event = describe(Id);
   LogFields Fields = Given;
-  if (Event.PerSecond != 0)
-    if (const auto LeftOut = budgetOf(Event).takeLeftOut(); LeftOut > 0)
+  if (Event.MaxPerSecond != 0)
+    if (const auto LeftOut = budgetOf(Event).takeDroppedCount(); LeftOut > 0)
       Fields.emplace_back("left_out", std::to_string(LeftOut));
   spdlog::log(levelOf(Event.Level), "{}",
               JsonLines ? jsonLine(Event, Fields) : humanLine(Event, Fields));
--- a/Source/Logs/LogEvents.h
+++ b/Source/Logs/LogEvents.h
@@ -51,7 +51,7 @@
   const char *Name;
   const char *Meaning;
   /// Lines a second that a process writes at most; 0 for no bound.
-  std::uint32_t PerSecond = 0;
+  std::uint32_t MaxPerSecond = 0;
 };
 
 /// All events in the order of their numbers.
@@ -60,15 +60,15 @@
 /// The catalogue as rows of a Markdown table, as the manual has them.
 std::string eventMarkdown();
 
-/// Sends later events of \p Least severity or more to standard output, as
+/// Sends later events of \p MinSeverity severity or more to standard output, as
 /// lines for people or as one JSON object a line.
-void setUpLogs(bool Json, Severity Least);
+void configureLogging(bool Json, Severity MinSeverity);
 /// True where lines are JSON objects. May be called inside a signal handler.
 bool writesJsonLogs();
 
 /// True where an event would be written now; else it's counted as left out.
 /// Saves making the fields of events that come with every statement.
-bool wantsEvent(EventId Id);
+bool admitEvent(EventId Id);
 
 using LogFields = std::vector<std::pair<std::string, std::string>>;
 
--- a/Source/Logs/LineBudget.h
+++ b/Source/Logs/LogRateLimiter.h
@@ -1,8 +1,8 @@
 /// \file
 /// Bounds the log lines of one kind of event.
 
-#ifndef CORIANDERDYKE_LOGS_LINEBUDGET_H
-#define CORIANDERDYKE_LOGS_LINEBUDGET_H
+#ifndef CORIANDERDYKE_LOGS_LOGRATELIMITER_H
+#define CORIANDERDYKE_LOGS_LOGRATELIMITER_H
 
 #include "Common/Millis.h"
 
@@ -13,9 +13,9 @@
 
 /// Lets so many lines through in each second and counts the rest. Under load
 /// every statement would else cost a line, and the log more than the service.
-class LineBudget {
+class LogRateLimiter {
 public:
-  explicit LineBudget(std::uint32_t PerSecond = 0) : PerSecond(PerSecond) {}
+  explicit LogRateLimiter(std::uint32_t PerSecond = 0) : PerSecond(PerSecond) {}
 
   /// True where a line may be written at \p Now; 0 a second means no bound.
   bool allow(Millis Now) {
@@ -33,7 +33,7 @@
   }
 
   /// Lines left out since the last call.
-  std::uint64_t takeLeftOut() { return std::exchange(LeftOut, 0); }
+  std::uint64_t takeDroppedCount() { return std::exchange(LeftOut, 0); }
 
 private:
   std::uint32_t PerSecond;
--- a/Source/Logs/StandardOutput.cpp
+++ b/Source/Logs/NonBlockingStdoutSink.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Log lines to standard output without ever waiting for its reader.
 
-#include "Logs/StandardOutput.h"
+#include "Logs/NonBlockingStdoutSink.h"
 
 #include <climits>
 #include <poll.h>
@@ -9,7 +9,7 @@
 
 namespace corianderdyke {
 
-void StandardOutput::sink_it_(const spdlog::details::log_msg &Message) {
+void NonBlockingStdoutSink::sink_it_(const spdlog::details::log_msg &Message) {
   spdlog::memory_buf_t Line;
   formatter_->format(Message, Line);
   // A pipe that is ready takes this many bytes whole, and without waiting.
