--- a/Source/Logs/StandardOutput.h
+++ b/Source/Logs/NonBlockingStdoutSink.h
@@ -1,8 +1,8 @@
 /// \file
 /// Log lines to standard output without ever waiting for its reader.
 
-#ifndef CORIANDERDYKE_LOGS_STANDARDOUTPUT_H
-#define CORIANDERDYKE_LOGS_STANDARDOUTPUT_H
+#ifndef CORIANDERDYKE_LOGS_NONBLOCKINGSTDOUTSINK_H
+#define CORIANDERDYKE_LOGS_NONBLOCKINGSTDOUTSINK_H
 
 #include <cstdint>
 #include <mutex>
@@ -12,13 +12,13 @@
 
 /// A reader that stands still costs lines, not service: what doesn't fit at
 /// once is left out and counted.
-class StandardOutput final
+class NonBlockingStdoutSink final
     : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
 public:
-  explicit StandardOutput(int Descriptor) : Descriptor(Descriptor) {}
+  explicit NonBlockingStdoutSink(int Descriptor) : Descriptor(Descriptor) {}
 
   /// Lines left out since the last call.
-  std::uint64_t takeLeftOut() { return std::exchange(LeftOut, 0); }
+  std::uint64_t takeDroppedCount() { return std::exchange(LeftOut, 0); }
 
 protected:
   void sink_it_(const spdlog::details::log_msg &Message) override;
--- a/Source/Loop/HeldSignals.cpp
+++ b/Source/Loop/BlockedSignals.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Signals that wait until the process can handle them.
 
-#include "Loop/HeldSignals.h"
+#include "Loop/BlockedSignals.h"
 
 #include <csignal>
 
@@ -20,8 +20,10 @@
 
 } // namespace
 
-void holdSignals(std::initializer_list<int> Which) { mask(SIG_BLOCK, Which); }
+void blockSignals(std::initializer_list<int> Signals) {
+  mask(SIG_BLOCK, Signals);
+}
 
-void releaseSignal(int Which) { mask(SIG_UNBLOCK, {Which}); }
+void unblockSignal(int Signal) { mask(SIG_UNBLOCK, {Signal}); }
 
 } // namespace corianderdyke
--- a/Source/Loop/SoonestTimer.h
+++ b/Source/Loop/CoalescingTimer.h
@@ -1,8 +1,8 @@
 /// \file
 /// One timer that many ask for, each with its own bound.
 
-#ifndef CORIANDERDYKE_LOOP_SOONESTTIMER_H
-#define CORIANDERDYKE_LOOP_SOONESTTIMER_H
+#ifndef CORIANDERDYKE_LOOP_COALESCINGTIMER_H
+#define CORIANDERDYKE_LOOP_COALESCINGTIMER_H
 
 #include "Common/Clock.h"
 #include "Loop/Scheduler.h"
@@ -14,18 +14,18 @@
 /// Fires once, at the earliest time that was asked for since it fired last.
 /// Each firing wakes the process, which costs a small host about as much as a
 /// statement does, so nobody asks for more than it needs.
-class SoonestTimer {
+class CoalescingTimer {
 public:
-  SoonestTimer(Clock &Time, Scheduler &Timers, std::function<void()> Action)
+  CoalescingTimer(Clock &Time, Scheduler &Timers, std::function<void()> Action)
       : Time(Time), Timers(Timers), Action(std::move(Action)) {}
-  ~SoonestTimer() {
+  ~CoalescingTimer() {
     if (Pending != 0)
       Timers.cancel(Pending);
   }
-  SoonestTimer(const SoonestTimer &) = delete;
-  SoonestTimer &operator=(const SoonestTimer &) = delete;
+  CoalescingTimer(const CoalescingTimer &) = delete;
+  CoalescingTimer &operator=(const CoalescingTimer &) = delete;
 
-  void within(Millis Delay) {
+  void requestWithin(Millis Delay) {
     const Millis Wanted = Time.now() + Delay;
     if (Pending != 0 && At <= Wanted)
       return;
--- a/Source/Loop/EventLoop.cpp
+++ b/Source/Loop/EventLoop.cpp
@@ -3,7 +3,7 @@
 
 #include "Loop/EventLoop.h"
 
-#include "Loop/HeldSignals.h"
+#include "Loop/BlockedSignals.h"
 
 #include <algorithm>
 #include <event2/event.h>
@@ -30,7 +30,7 @@
   std::function<void()> Action;
 
   ~SignalHandler() {
-    holdSignals({Signal});
+    blockSignals({Signal});
     if (Event != nullptr)
       event_free(Event);
   }
@@ -101,7 +101,7 @@
       },
       Made.get());
   event_add(Made->Event, nullptr);
-  releaseSignal(Signal);
+  unblockSignal(Signal);
   Signals.push_back(std::move(Made));
 }
 
--- a/Source/Loop/EventLoop.h
+++ b/Source/Loop/EventLoop.h
@@ -43,7 +43,7 @@
 
   event_base *base() const { return Base; }
   /// How late timers ran: other callbacks, the host, or a suspension.
-  const DurationHistogram &timerDelays() const { return TimerDelays; }
+  const DurationHistogram &timerLatency() const { return TimerDelays; }
 
 private:
   struct Timer;
--- a/Source/Manifest/Manifest.cpp
+++ b/Source/Manifest/Manifest.cpp
@@ -4,7 +4,7 @@
 #include "Manifest/Manifest.h"
 
 #include "Common/Codec.h"
-#include "Common/KeyedDigest.h"
+#include "Common/Cryptography.h"
 
 #include <algorithm>
 
@@ -32,10 +32,10 @@
   return byName(Databases, Name);
 }
 
-const KindPolicy *Manifest::kind(const std::string &Name) const {
+const RequestKindPolicy *Manifest::kind(const std::string &Name) const {
   return byName(Kinds, Name);
 }
 
-std::string Manifest::digest() const { return contentDigest(encode(*this)); }
+std::string Manifest::digest() const { return sha256Hex(encode(*this)); }
 
 } // namespace corianderdyke
--- a/Source/Manifest/Manifest.h
+++ b/Source/Manifest/Manifest.h
@@ -17,15 +17,15 @@
 /// A customer, and its part of what is scarce.
 struct OrganisationPolicy {
   std::string Name;
-  std::uint32_t Share = 1; ///< Weight against the other organisations.
+  std::uint32_t Weight = 1; ///< Weight against the other organisations.
 
   auto operator<=>(const OrganisationPolicy &) const = default;
-  template <class Archive> void serialize(Archive &Ar) { Ar(Name, Share); }
+  template <class Archive> void serialize(Archive &Ar) { Ar(Name, Weight); }
 };
 
 /// What happens when too few targets are left to prove that nothing
 /// acknowledged is lost.
-enum class TooFewPolicy : std::uint8_t {
+enum class InsufficientTargetsPolicy : std::uint8_t {
   Wait,           ///< Writes stand still until enough targets are back.
   PromoteWithLoss ///< The best one left takes over; the audit trail says so.
 };
@@ -33,43 +33,45 @@
 struct DatabasePolicy {
   std::string Name;
   std::uint32_t Targets = 3;               ///< Targets that the group has.
-  std::uint32_t Copies = 2;                ///< Targets that hold a write
+  std::uint32_t AcknowledgedCopies = 2;    ///< Targets that hold a write
                                            ///< before it's acknowledged.
   std::uint32_t ConnectionsPerTarget = 16; ///< The server's own limit.
   std::uint32_t SlotsPerTarget = 2;        ///< Statements run at a time.
-  TooFewPolicy TooFew = TooFewPolicy::Wait;
+  InsufficientTargetsPolicy InsufficientTargets =
+      InsufficientTargetsPolicy::Wait;
 
   auto operator<=>(const DatabasePolicy &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Name, Targets, Copies, ConnectionsPerTarget, SlotsPerTarget, TooFew);
+    Ar(Name, Targets, AcknowledgedCopies, ConnectionsPerTarget, SlotsPerTarget,
+       InsufficientTargets);
   }
 };
 
 enum class Access : std::uint8_t { Read, Write };
 
 /// A kind of request, named by the caller in a header.
-struct KindPolicy {
+struct RequestKindPolicy {
   std::string Name;
   Access Mode = Access::Read;
-  bool Repeatable = true; ///< False: runs at most once; needs a key.
-  Millis AcceptedAge;     ///< Reads: how old the data may be.
+  bool Idempotent = true; ///< False: runs at most once; needs a key.
+  Millis MaxStaleness;    ///< Reads: how old the data may be.
   Millis Deadline = Millis(5000);
   std::uint32_t Weight = 1; ///< Against the organisation's other kinds.
 
-  auto operator<=>(const KindPolicy &) const = default;
+  auto operator<=>(const RequestKindPolicy &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Name, Mode, Repeatable, AcceptedAge, Deadline, Weight);
+    Ar(Name, Mode, Idempotent, MaxStaleness, Deadline, Weight);
   }
 };
 
 struct LimitPolicy {
   std::uint32_t QueuePerDatabase = 200;
-  Millis TransactionIdle = Millis(5000);
-  Millis KeyRetention = Millis(86400000);
+  Millis TransactionIdleTimeout = Millis(5000);
+  Millis IdempotencyKeyRetention = Millis(86400000);
 
   auto operator<=>(const LimitPolicy &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(QueuePerDatabase, TransactionIdle, KeyRetention);
+    Ar(QueuePerDatabase, TransactionIdleTimeout, IdempotencyKeyRetention);
   }
 };
 
@@ -93,7 +95,7 @@
   std::uint64_t Version = 0;
   std::vector<OrganisationPolicy> Organisations;
   std::vector<DatabasePolicy> Databases;
-  std::vector<KindPolicy> Kinds;
+  std::vector<RequestKindPolicy> Kinds;
   LimitPolicy Limits;
   FailoverPolicy Failover;
 
@@ -104,7 +106,7 @@
 
   const OrganisationPolicy *organisation(const std::string &Name) const;
   const DatabasePolicy *database(const std::string &Name) const;
-  const KindPolicy *kind(const std::string &Name) const;
+  const RequestKindPolicy *kind(const std::string &Name) const;
 
   /// SHA-256 of the canonical content, in hexadecimal.
   std::string digest() const;
--- a/Source/Manifest/ManifestDelta.cpp
+++ b/Source/Manifest/ManifestDelta.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-ManifestDelta difference(const Manifest &From, const Manifest &To) {
+ManifestDelta computeDelta(const Manifest &From, const Manifest &To) {
   return {To.Version,
           To.digest(),
           compare(From.Organisations, To.Organisations),
@@ -58,7 +58,8 @@
           To.Failover};
 }
 
-Expected<Manifest> withDelta(const Manifest &Base, const ManifestDelta &Delta) {
+Expected<Manifest> applyDelta(const Manifest &Base,
+                              const ManifestDelta &Delta) {
   Manifest Out{Delta.Version,
                change(Base.Organisations, Delta.Organisations),
                change(Base.Databases, Delta.Databases),
--- a/Source/Manifest/ManifestDelta.h
+++ b/Source/Manifest/ManifestDelta.h
@@ -28,7 +28,7 @@
   std::string Digest;
   ItemChanges<OrganisationPolicy> Organisations;
   ItemChanges<DatabasePolicy> Databases;
-  ItemChanges<KindPolicy> Kinds;
+  ItemChanges<RequestKindPolicy> Kinds;
   LimitPolicy Limits;
   FailoverPolicy Failover;
 
@@ -39,10 +39,10 @@
 };
 
 /// The delta that turns \p From into \p To.
-ManifestDelta difference(const Manifest &From, const Manifest &To);
+ManifestDelta computeDelta(const Manifest &From, const Manifest &To);
 
 /// The manifest after a delta; Conflict where it isn't the one meant.
-Expected<Manifest> withDelta(const Manifest &Base, const ManifestDelta &Delta);
+Expected<Manifest> applyDelta(const Manifest &Base, const ManifestDelta &Delta);
 
 } // namespace corianderdyke
 
--- a/Source/Manifest/ManifestFile.h
+++ b/Source/Manifest/ManifestFile.h
@@ -6,18 +6,18 @@
 
 #include "Common/Finding.h"
 #include "Manifest/Manifest.h"
-#include "Settings/KeyTable.h"
+#include "Settings/KeySchema.h"
 
 #include <tl/expected.hpp>
 
 namespace corianderdyke {
 
 /// The keys of a manifest; Help/manifest.md lists the same.
-const KeyTable &manifestKeys();
+const KeySchema &manifestKeys();
 
 /// What two good manifests don't share, defaults included.
-std::vector<ItemDifference> manifestDifferences(const std::string &Before,
-                                                const std::string &After);
+std::vector<ItemDifference> diffManifests(const std::string &Before,
+                                          const std::string &After);
 
 /// The manifest in \p Text, or all its faults. \p File names it in findings.
 tl::expected<Manifest, Findings> parseManifest(const std::string &File,
--- a/Source/Membership/AnnouncementGate.cpp
+++ b/Source/Membership/AnnouncementGate.cpp
@@ -7,51 +7,55 @@
 
 namespace corianderdyke {
 
-void AnnouncementGate::begin(const ClusterView &View, Millis Now) {
-  LastHeard.clear();
+void AnnouncementGate::reset(const ClusterView &View, Millis Now) {
+  LastAnnounced.clear();
   ProposedRemoval.clear();
-  Noted.clear();
+  RecordedRefusals.clear();
   for (const auto &[Name, Target] : View.Targets)
-    LastHeard[Name] = Now;
+    LastAnnounced[Name] = Now;
 }
 
 std::optional<CommandBody>
-AnnouncementGate::judge(const ClusterView &View, const TargetAnnouncement &Said,
-                        Millis Now) {
-  const TargetAnnouncement *Known = View.target(Said.Name);
-  const std::string Fault = View.refusalOf(Said);
+AnnouncementGate::evaluate(const ClusterView &View,
+                           const TargetAnnouncement &Announcement, Millis Now) {
+  const TargetAnnouncement *Known = View.target(Announcement.Name);
+  const std::string Fault = View.refusalReason(Announcement);
   if (!Fault.empty()) {
-    const bool First = Noted.size() < MostNotes &&
-                       Noted.emplace(Said.Name, Said.Address).second;
+    const bool First =
+        RecordedRefusals.size() < MaxRecordedRefusals &&
+        RecordedRefusals.emplace(Announcement.Name, Announcement.Address)
+            .second;
     if (!First)
       return std::nullopt;
-    return NoteTrouble{"target-refused", Said.Name,
-                       "announced at " + Said.Address.text() + ": " + Fault};
+    return RecordAuditEvent{"target-refused", Announcement.Name,
+                            "announced at " + Announcement.Address.text() +
+                                ": " + Fault};
   }
-  if (Known != nullptr && Known->Sequence > Said.Sequence)
+  if (Known != nullptr && Known->Sequence > Announcement.Sequence)
     return std::nullopt;
-  LastHeard[Said.Name] = Now;
-  if (Known != nullptr && Known->Sequence == Said.Sequence)
+  LastAnnounced[Announcement.Name] = Now;
+  if (Known != nullptr && Known->Sequence == Announcement.Sequence)
     return std::nullopt;
-  return RecordTarget{Said};
+  return RecordTarget{Announcement};
 }
 
 std::vector<RemoveTarget> AnnouncementGate::expired(const ClusterView &View,
                                                     const LeaseRegistry &Leases,
                                                     Millis Now) {
   std::vector<RemoveTarget> Out;
-  if (!View.Current)
+  if (!View.CurrentManifest)
     return Out;
   for (const auto &[Name, Target] : View.Targets) {
-    const Millis Heard = LastHeard.try_emplace(Name, Now).first->second;
-    const Millis Borne = Target.Leaving ? SilenceBorneLeaving : SilenceBorne;
+    const Millis Heard = LastAnnounced.try_emplace(Name, Now).first->second;
+    const Millis Borne =
+        Target.Leaving ? LeavingTargetTimeout : SilentTargetTimeout;
     const GroupRecord *Group = View.group(Target.Database);
     const auto Proposed = ProposedRemoval.find(Name);
     // Announcements may be lost on their way while callers are served.
     if (Now - Heard < Borne || (Group != nullptr && Group->Primary == Name) ||
-        !isSuspected(Name, Leases, View.Current->Failover, Now) ||
+        !isSuspected(Name, Leases, View.CurrentManifest->Failover, Now) ||
         (Proposed != ProposedRemoval.end() &&
-         Now - Proposed->second < SilenceBorneLeaving))
+         Now - Proposed->second < LeavingTargetTimeout))
       continue;
     ProposedRemoval[Name] = Now;
     Out.push_back({Name, Target.Sequence,
--- a/Source/Membership/AnnouncementGate.h
+++ b/Source/Membership/AnnouncementGate.h
@@ -18,12 +18,13 @@
 class AnnouncementGate {
 public:
   /// Starts as a new leader, to whom nobody has been silent yet.
-  void begin(const ClusterView &View, Millis Now);
+  void reset(const ClusterView &View, Millis Now);
 
   /// What to propose for an announcement: to record it, to note once why it
   /// isn't believed, or nothing.
-  std::optional<CommandBody> judge(const ClusterView &View,
-                                   const TargetAnnouncement &Said, Millis Now);
+  std::optional<CommandBody> evaluate(const ClusterView &View,
+                                      const TargetAnnouncement &Announcement,
+                                      Millis Now);
 
   /// Targets that are to be forgotten.
   std::vector<RemoveTarget> expired(const ClusterView &View,
@@ -31,17 +32,17 @@
 
   /// Longer than a host takes to restart: until then its place in the group
   /// is kept, because only its own log can stand for what it copied.
-  static constexpr Millis SilenceBorne = Millis(60000);
+  static constexpr Millis SilentTargetTimeout = Millis(60000);
   /// One that announced that it leaves.
-  static constexpr Millis SilenceBorneLeaving = Millis(5000);
+  static constexpr Millis LeavingTargetTimeout = Millis(5000);
   /// Refusals noted under one leadership; a flood of wrong announcements must
   /// not fill the audit trail.
-  static constexpr std::size_t MostNotes = 200;
+  static constexpr std::size_t MaxRecordedRefusals = 200;
 
 private:
-  std::map<std::string, Millis> LastHeard;
+  std::map<std::string, Millis> LastAnnounced;
   std::map<std::string, Millis> ProposedRemoval;
-  std::set<std::pair<std::string, Endpoint>> Noted;
+  std::set<std::pair<std::string, Endpoint>> RecordedRefusals;
 };
 
 } // namespace corianderdyke
--- a/Source/Membership/TargetAnnouncement.h
+++ b/Source/Membership/TargetAnnouncement.h
@@ -15,7 +15,7 @@
 struct TargetAnnouncement {
   std::string Name;
   std::string Database;
-  Place Where;
+  Locality TargetLocality;
   Endpoint Address;
   std::uint64_t Sequence = 0;
   bool Leaving = false;
@@ -25,7 +25,7 @@
 
   auto operator<=>(const TargetAnnouncement &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Name, Database, Where, Address, Sequence, Leaving, LogId);
+    Ar(Name, Database, TargetLocality, Address, Sequence, Leaving, LogId);
   }
 };
 
--- a/Source/Operators/ElectionMetrics.h
+++ b/Source/Operators/ElectionMetrics.h
@@ -9,11 +9,11 @@
 
 namespace corianderdyke {
 
-inline void addElections(MetricSet &To, const Consensus &Of) {
-  const ElectionCounts &Counts = Of.elections();
-  To.add("corianderdyke_elections_total", static_cast<double>(Counts.Asked),
-         {{"step", "asked"}});
-  To.add("corianderdyke_elections_total", static_cast<double>(Counts.Begun),
+inline void addElectionMetrics(MetricSet &To, const Consensus &Node) {
+  const ElectionCounts &Counts = Node.elections();
+  To.add("corianderdyke_elections_total",
+         static_cast<double>(Counts.PreVoteRounds), {{"step", "asked"}});
+  To.add("corianderdyke_elections_total", static_cast<double>(Counts.Started),
          {{"step", "begun"}});
 }
 
--- a/Source/Operators/HumanReport.cpp
+++ b/Source/Operators/HumanReport.cpp
@@ -125,7 +125,7 @@
          cell(Report, "text");
 }
 
-std::string historyText(const json &Report) {
+std::string manifestHistoryText(const json &Report) {
   TextTable Out({"version", "digest", "revision", "time", "actor"});
   for (const json &Each : Report)
     Out.add({cell(Each, "version"), cell(Each, "digest").substr(0, ShownDigest),
@@ -133,7 +133,7 @@
   return Out.text();
 }
 
-std::string differenceText(const json &Report) {
+std::string manifestDifferenceText(const json &Report) {
   std::string Out = "would be " + cell(Report, "would_be") + "\n";
   if (!cell(Report, "refusal").empty())
     Out += cell(Report, "refusal") + "\n";
@@ -142,7 +142,7 @@
   return Out + lines(list(Report, "differences"), {"item", "from", "to"});
 }
 
-std::string acceptedText(const json &Report) {
+std::string manifestAcceptedText(const json &Report) {
   return "accepted: version " + cell(Report, "version") + ", digest " +
          cell(Report, "digest").substr(0, ShownDigest) + ", revision " +
          cell(Report, "revision") + "\n";
--- a/Source/Operators/HumanReport.h
+++ b/Source/Operators/HumanReport.h
@@ -14,9 +14,9 @@
 std::string statusText(const nlohmann::json &Report);
 std::string auditText(const nlohmann::json &Report);
 std::string manifestText(const nlohmann::json &Report);
-std::string historyText(const nlohmann::json &Report);
-std::string differenceText(const nlohmann::json &Report);
-std::string acceptedText(const nlohmann::json &Report);
+std::string manifestHistoryText(const nlohmann::json &Report);
+std::string manifestDifferenceText(const nlohmann::json &Report);
+std::string manifestAcceptedText(const nlohmann::json &Report);
 
 /// The error of a refused request, with its findings one a line.
 std::string errorText(const nlohmann::json &Report);
--- a/Source/Operators/MetricSet.cpp
+++ b/Source/Operators/MetricSet.cpp
@@ -17,7 +17,7 @@
 
 constexpr double MillisASecond = 1000.0;
 
-const char *word(MetricType Of) {
+const char *outcomeHeader(MetricType Of) {
   switch (Of) {
   case MetricType::Counter:
     return "counter";
@@ -149,8 +149,8 @@
   std::string Out = "| name | type | labels | role | meaning |\n"
                     "| --- | --- | --- | --- | --- |\n";
   for (const MetricDescription &Each : metricCatalogue())
-    Out += std::string("| `") + Each.Name + "` | " + word(Each.Type) + " | " +
-           Each.Labels + " | " + Each.Role + " | " + Each.Help + " |\n";
+    Out += std::string("| `") + Each.Name + "` | " + outcomeHeader(Each.Type) +
+           " | " + Each.Labels + " | " + Each.Role + " | " + Each.Help + " |\n";
   return Out;
 }
 
@@ -198,11 +198,11 @@
   family(Name).metric.push_back(std::move(New));
 }
 
-void MetricSet::add(const ProcessDelays &Delays) {
-  if (Delays.Timers != nullptr)
-    add("corianderdyke_timer_delay_seconds", *Delays.Timers);
-  if (Delays.Syncs != nullptr)
-    add("corianderdyke_disk_sync_seconds", *Delays.Syncs);
+void MetricSet::add(const ProcessLatencies &Delays) {
+  if (Delays.TimerLatency != nullptr)
+    add("corianderdyke_timer_delay_seconds", *Delays.TimerLatency);
+  if (Delays.SyncLatency != nullptr)
+    add("corianderdyke_disk_sync_seconds", *Delays.SyncLatency);
 }
 
 std::string MetricSet::text() const {
--- a/Source/Operators/MetricSet.h
+++ b/Source/Operators/MetricSet.h
@@ -5,7 +5,7 @@
 #define CORIANDERDYKE_OPERATORS_METRICSET_H
 
 #include "Common/DurationHistogram.h"
-#include "Operators/ProcessDelays.h"
+#include "Operators/ProcessLatencies.h"
 
 #include <prometheus/metric_family.h>
 #include <string>
@@ -37,7 +37,7 @@
   void add(const std::string &Name, const DurationHistogram &Spans,
            Labels Of = {});
 
-  void add(const ProcessDelays &Delays);
+  void add(const ProcessLatencies &Delays);
 
   /// The Prometheus text format.
   std::string text() const;
--- a/Source/Operators/OperatorService.cpp
+++ b/Source/Operators/OperatorService.cpp
@@ -3,8 +3,8 @@
 
 #include "Operators/OperatorService.h"
 
+#include "Common/Cryptography.h"
 #include "Common/JsonText.h"
-#include "Common/KeyedDigest.h"
 #include "Common/Version.h"
 #include "Manifest/ManifestFile.h"
 #include "Operators/ElectionMetrics.h"
@@ -84,19 +84,19 @@
     : From(From), OperatorKey(std::move(OperatorKey)) {
   if (From.Control != nullptr)
     From.Control->signalAudited().connect(
-        sigc::mem_fun(*this, &OperatorService::observeFailover));
+        sigc::mem_fun(*this, &OperatorService::recordFailoverDuration));
 }
 
 void OperatorService::handle(const HttpRequest &Request,
                              std::shared_ptr<HttpExchange> Exchange) {
   if (Request.Method == HttpMethod::Post)
-    change(Request, Exchange);
+    handleChange(Request, Exchange);
   else
-    read(Request, Exchange);
+    handleRead(Request, Exchange);
 }
 
-void OperatorService::read(const HttpRequest &Request,
-                           const ExchangePtr &Exchange) {
+void OperatorService::handleRead(const HttpRequest &Request,
+                                 const ExchangePtr &Exchange) {
   if (Request.Path == "/healthz")
     return Exchange->respond({200, {}, "alive\n"});
   if (Request.Path == "/readyz")
@@ -110,17 +110,18 @@
         {200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics()});
   const Millis Now = From.Time.now();
   if (Request.Path == "/v1/status")
-    return answerLatest(Exchange, [this, Now](const ControlState &State) {
-      return statusReport(*From.Control, State, Now);
-    });
+    return respondWithLatestState(
+        Exchange, [this, Now](const ControlState &State) {
+          return statusReport(*From.Control, State, Now);
+        });
   if (Request.Path == "/v1/manifest")
-    return answerLatest(Exchange, [this](const ControlState &State) {
+    return respondWithLatestState(Exchange, [this](const ControlState &State) {
       return manifestReport(*From.Control, State);
     });
   if (Request.Path == "/v1/manifest/history")
-    return answerLatest(Exchange, &historyReport);
+    return respondWithLatestState(Exchange, &manifestHistoryReport);
   if (Request.Path == "/v1/audit")
-    return answerLatest(
+    return respondWithLatestState(
         Exchange,
         [Since = numberOr(Request.parameter("since"), 0),
          Subject = Request.parameter("subject")](const ControlState &State) {
@@ -129,12 +130,12 @@
   Exchange->respond(errorResponse(StatusNotFound, "no such path"));
 }
 
-void OperatorService::change(const HttpRequest &Request,
-                             const ExchangePtr &Exchange) {
+void OperatorService::handleChange(const HttpRequest &Request,
+                                   const ExchangePtr &Exchange) {
   // A dry run changes nothing and needs no key.
   if (Request.Path == "/v1/manifest/diff")
     return compareManifest(Request, Exchange);
-  if (!sameDigest(Request.header(operator_header::Key), OperatorKey))
+  if (!equalsInConstantTime(Request.header(operator_header::Key), OperatorKey))
     return Exchange->respond(errorResponse(StatusForbidden,
                                            "the operators' key is missing or "
                                            "wrong"));
@@ -159,7 +160,8 @@
   (this->*Found->second)(Request, Exchange);
 }
 
-void OperatorService::answerLatest(const ExchangePtr &Exchange, Report Of) {
+void OperatorService::respondWithLatestState(const ExchangePtr &Exchange,
+                                             Report Of) {
   if (From.Control == nullptr)
     return Exchange->respond(
         errorResponse(StatusMisdirected, "this process isn't a control host"));
@@ -191,16 +193,17 @@
   const auto Parsed = parseManifest(fileOf(Request), Request.Body);
   if (!Parsed)
     return Exchange->respond(findingsResponse(Parsed.error()));
-  answerLatest(Exchange,
-               [New = *Parsed, Text = Request.Body](const ControlState &State) {
-                 return differenceReport(State, New, Text);
-               });
+  respondWithLatestState(Exchange, [New = *Parsed, Text = Request.Body](
+                                       const ControlState &State) {
+    return manifestDifferenceReport(State, New, Text);
+  });
 }
 
 void OperatorService::drainTarget(const HttpRequest &Request,
                                   const ExchangePtr &Exchange) {
   const std::string &Name = Request.parameter("name");
-  const TargetAnnouncement *Known = From.Control->applied().view().target(Name);
+  const TargetAnnouncement *Known =
+      From.Control->appliedState().view().target(Name);
   if (Known == nullptr)
     return Exchange->respond(
         errorResponse(StatusNotFound, "no target '" + Name + "'"));
@@ -217,22 +220,22 @@
                                      const ExchangePtr &Exchange) {
   const std::string &Name = Request.parameter("name");
   From.Control->addControlHost(
-      Name, noteOrder(actorOf(Request), "control-host-added", Name,
-                      answerChange(Exchange, {{"added", Name}})));
+      Name, withAuditNote(actorOf(Request), "control-host-added", Name,
+                          answerChange(Exchange, {{"added", Name}})));
 }
 
 void OperatorService::removeControlHost(const HttpRequest &Request,
                                         const ExchangePtr &Exchange) {
   const std::string &Name = Request.parameter("name");
   From.Control->removeControlHost(
-      Name, noteOrder(actorOf(Request), "control-host-removed", Name,
-                      answerChange(Exchange, {{"removed", Name}})));
+      Name, withAuditNote(actorOf(Request), "control-host-removed", Name,
+                          answerChange(Exchange, {{"removed", Name}})));
 }
 
 ControlNode::ChangeHandler
-OperatorService::noteOrder(std::string Actor, std::string Action,
-                           std::string Name,
-                           ControlNode::ChangeHandler OnDone) {
+OperatorService::withAuditNote(std::string Actor, std::string Action,
+                               std::string Name,
+                               ControlNode::ChangeHandler OnDone) {
   return [this, Actor = std::move(Actor), Action = std::move(Action),
           Name = std::move(Name),
           OnDone = std::move(OnDone)](const Expected<ApplyResult> &Result) {
@@ -241,7 +244,7 @@
     // The change stands whether or not the note can still be made: a leader
     // that removed itself makes none.
     From.Control->propose(
-        Actor, NoteTrouble{Action, Name, "ordered by an operator"},
+        Actor, RecordAuditEvent{Action, Name, "ordered by an operator"},
         [OnDone, Result](const Expected<ApplyResult> &) { OnDone(Result); });
   };
 }
@@ -250,16 +253,16 @@
   Exchange->respond(jsonResponse(
       {{"draining", true},
        {"in_flight",
-        From.Proxy == nullptr ? 0 : From.Proxy->statements().inFlight()}},
+        From.Proxy == nullptr ? 0 : From.Proxy->statements().openStatements()}},
       StatusAccepted));
-  DrainAsked.emit();
+  DrainRequested.emit();
 }
 
 bool OperatorService::isReady() const {
   return !Stopping && (From.Proxy == nullptr || From.Proxy->isReady());
 }
 
-void OperatorService::observeFailover(const AuditRecord &Line) {
+void OperatorService::recordFailoverDuration(const AuditRecord &Line) {
   const Millis Now = From.Time.now();
   if (Line.Action == "primary-fenced")
     FencedAt[Line.Subject] = Now;
@@ -267,7 +270,7 @@
   if (Line.Action != "target-promoted" || Began == FencedAt.end())
     return;
   // A follower, or a host that replays its journal, sees old lines too.
-  if (From.Control->consensus().isSettledLeader())
+  if (From.Control->consensus().isReadyLeader())
     Failovers.observe(Now - Began->second);
   FencedAt.erase(Began);
 }
@@ -282,11 +285,11 @@
   }
   if (From.Control != nullptr) {
     addControlMetrics(Out);
-    View = &From.Control->applied().view();
+    View = &From.Control->appliedState().view();
   }
-  if (View != nullptr && View->Current)
+  if (View != nullptr && View->CurrentManifest)
     Out.add("corianderdyke_manifest_version",
-            static_cast<double>(View->Current->Version));
+            static_cast<double>(View->CurrentManifest->Version));
   const PeerTraffic Peers = From.Peers.traffic();
   Out.add("corianderdyke_peer_sent_bytes_total",
           static_cast<double>(Peers.SentBytes));
@@ -315,7 +318,7 @@
   Count("corianderdyke_statements_total", "outcome", "write-done",
         Counts.Writes);
   To.add("corianderdyke_statements_in_flight",
-         static_cast<double>(From.Proxy->statements().inFlight()));
+         static_cast<double>(From.Proxy->statements().openStatements()));
   addAdmissionMetrics(To);
   addTargetMetrics(To);
   To.add("corianderdyke_lease_held",
@@ -349,8 +352,8 @@
     Refused("given-up", Counts.GivenUp);
   }
   To.add("corianderdyke_read_retries_total",
-         static_cast<double>(Statements.retries().taken()));
-  for (const auto &[Target, Share] : From.Proxy->rights().shares())
+         static_cast<double>(Statements.retryBudget().taken()));
+  for (const auto &[Target, Share] : From.Proxy->rights().allocations())
     To.add("corianderdyke_connection_rights", Share, {{"target", Target}});
 }
 
@@ -372,14 +375,14 @@
 
 void OperatorService::addControlMetrics(MetricSet &To) const {
   const Consensus &Agreement = From.Control->consensus();
-  const ClusterView &View = From.Control->applied().view();
+  const ClusterView &View = From.Control->appliedState().view();
   To.add("corianderdyke_failover_seconds", Failovers);
-  addElections(To, From.Control->consensus());
-  To.add("corianderdyke_control_leader", Agreement.isSettledLeader() ? 1 : 0);
+  addElectionMetrics(To, From.Control->consensus());
+  To.add("corianderdyke_control_leader", Agreement.isReadyLeader() ? 1 : 0);
   To.add("corianderdyke_control_term", static_cast<double>(Agreement.term()));
   To.add("corianderdyke_control_revision", static_cast<double>(View.Revision));
   To.add("corianderdyke_proxies", static_cast<double>(View.Proxies.size()));
-  if (Agreement.isSettledLeader())
+  if (Agreement.isReadyLeader())
     for (const auto &[Name, Target] : View.Targets)
       To.add("corianderdyke_connections_lent",
              From.Control->connections().outstanding(Name), {{"target", Name}});
--- a/Source/Operators/OperatorService.h
+++ b/Source/Operators/OperatorService.h
@@ -25,7 +25,7 @@
   const Transport &Peers;
   ControlNode *Control = nullptr;
   ProxyNode *Proxy = nullptr;
-  ProcessDelays Delays = {};
+  ProcessLatencies Delays = {};
 };
 
 /// Reading needs no key; whatever changes something needs the operators' key.
@@ -40,15 +40,15 @@
   void beginStopping() { Stopping = true; }
 
   /// Emitted when an operator asks the process to stop gracefully.
-  sigc::signal<void()> &signalDrainAsked() { return DrainAsked; }
+  sigc::signal<void()> &signalDrainRequested() { return DrainRequested; }
 
 private:
   using ExchangePtr = std::shared_ptr<HttpExchange>;
   using Report = std::function<nlohmann::json(const ControlState &)>;
 
-  void read(const HttpRequest &Request, const ExchangePtr &Exchange);
-  void change(const HttpRequest &Request, const ExchangePtr &Exchange);
-  void answerLatest(const ExchangePtr &Exchange, Report Of);
+  void handleRead(const HttpRequest &Request, const ExchangePtr &Exchange);
+  void handleChange(const HttpRequest &Request, const ExchangePtr &Exchange);
+  void respondWithLatestState(const ExchangePtr &Exchange, Report Of);
   void applyManifest(const HttpRequest &Request, const ExchangePtr &Exchange);
   void compareManifest(const HttpRequest &Request, const ExchangePtr &Exchange);
   void drainTarget(const HttpRequest &Request, const ExchangePtr &Exchange);
@@ -57,9 +57,9 @@
                          const ExchangePtr &Exchange);
   /// The entry that changes the control group carries no operator's name; a
   /// note beside it does.
-  ControlNode::ChangeHandler noteOrder(std::string Actor, std::string Action,
-                                       std::string Name,
-                                       ControlNode::ChangeHandler OnDone);
+  ControlNode::ChangeHandler withAuditNote(std::string Actor,
+                                           std::string Action, std::string Name,
+                                           ControlNode::ChangeHandler OnDone);
   void drainProcess(const ExchangePtr &Exchange);
   bool isReady() const;
   std::string metrics() const;
@@ -67,14 +67,14 @@
   void addAdmissionMetrics(MetricSet &To) const;
   void addTargetMetrics(MetricSet &To) const;
   void addControlMetrics(MetricSet &To) const;
-  void observeFailover(const AuditRecord &Line);
+  void recordFailoverDuration(const AuditRecord &Line);
 
   OperatorSources From;
   std::string OperatorKey;
   bool Stopping = false;
   std::map<std::string, Millis> FencedAt; ///< By database.
   DurationHistogram Failovers;
-  sigc::signal<void()> DrainAsked;
+  sigc::signal<void()> DrainRequested;
 };
 
 } // namespace corianderdyke
--- a/Source/Operators/StatusReport.cpp
+++ b/Source/Operators/StatusReport.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-const char *word(GroupPhase Phase) {
+const char *outcomeHeader(GroupPhase Phase) {
   switch (Phase) {
   case GroupPhase::Forming:
     return "forming";
@@ -36,10 +36,10 @@
 Sightings sightings(const LeaseRegistry &Leases, const std::string &Target) {
   Sightings Out;
   for (const auto &[Id, Holder] : Leases.holders()) {
-    if (!Holder.isWatching())
+    if (!Holder.hasView())
       continue;
     ++Out.WatchedBy;
-    const TargetReport *Trouble = Holder.trouble(Target);
+    const TargetReport *Trouble = Holder.unhealthyReport(Target);
     if (Trouble == nullptr || Trouble->Reachable)
       ++Out.ReachableFrom;
     else
@@ -58,11 +58,11 @@
   nlohmann::json Out = {
       {"name", Each.Name},
       {"address", Each.Address.text()},
-      {"failure_domain", Each.Where.FailureDomain},
+      {"failure_domain", Each.TargetLocality.FailureDomain},
       {"role", Each.Leaving                 ? "leaving"
                : Each.Name == Group.Primary ? "primary"
                                             : "replica"},
-      {"settled", Group.isSettled(Each)},
+      {"settled", Group.isLogComplete(Each)},
       {"connections_lent", Control.connections().outstanding(Each.Name)},
       {"watched_by", Seen.WatchedBy},
       {"reachable_from", Seen.ReachableFrom}};
@@ -78,7 +78,7 @@
     if (Each.Database == Group.Database)
       Targets.push_back(targetReport(Control, Group, Each));
   return {{"database", Group.Database},
-          {"phase", word(Group.Phase)},
+          {"phase", outcomeHeader(Group.Phase)},
           {"term", Group.Term},
           {"primary", Group.Primary},
           {"targets", std::move(Targets)}};
@@ -95,17 +95,17 @@
 
 nlohmann::json proxyReport(const LeaseRegistry &Leases,
                            const ControlState &State, const ProcessId &Id,
-                           const Place &Where, Millis Now) {
+                           const Locality &Where, Millis Now) {
   nlohmann::json Out = {{"name", Id.Name},
                         {"incarnation", Id.Incarnation},
                         {"failure_domain", Where.FailureDomain}};
   const auto Known = Leases.holders().find(Id);
   if (Known == Leases.holders().end())
     return Out;
-  const std::uint64_t Applied = Known->second.Applied;
+  const std::uint64_t Applied = Known->second.AppliedRevision;
   Out["applied_revision"] = Applied;
   Out["manifest_version"] = versionAt(State, Applied);
-  Out["heard_ms_ago"] = (Now - Known->second.LastHeard).count();
+  Out["heard_ms_ago"] = (Now - Known->second.LastRequestAt).count();
   const auto End = Leases.expiry(Id);
   if (End && *End > Now)
     Out["lease_left_ms"] = (*End - Now).count();
@@ -135,7 +135,8 @@
           {"leader", Control.consensus().leader()},
           {"control_term", Control.consensus().term()},
           {"revision", View.Revision},
-          {"manifest_version", View.Current ? View.Current->Version : 0},
+          {"manifest_version",
+           View.CurrentManifest ? View.CurrentManifest->Version : 0},
           {"manifest_in_force",
            State.manifests().empty() ||
                Control.isInForce(State.manifests().back().Revision)},
@@ -174,7 +175,7 @@
           {"in_force", Control.isInForce(Last.Revision)}};
 }
 
-nlohmann::json historyReport(const ControlState &State) {
+nlohmann::json manifestHistoryReport(const ControlState &State) {
   nlohmann::json Out = nlohmann::json::array();
   for (const ManifestRecord &Each : State.manifests())
     Out.push_back({{"version", Each.Version},
@@ -185,16 +186,17 @@
   return Out;
 }
 
-nlohmann::json differenceReport(const ControlState &State, const Manifest &New,
-                                const std::string &Text) {
+nlohmann::json manifestDifferenceReport(const ControlState &State,
+                                        const Manifest &New,
+                                        const std::string &Text) {
   nlohmann::json Differences = nlohmann::json::array();
   const std::string Before =
       State.manifests().empty() ? "" : State.manifests().back().Text;
-  for (const ItemDifference &Each : manifestDifferences(Before, Text))
+  for (const ItemDifference &Each : diffManifests(Before, Text))
     Differences.push_back(
         {{"item", Each.Item}, {"from", Each.From}, {"to", Each.To}});
   const auto Checked = State.check(New);
-  const bool Same = State.view().Current == New;
+  const bool Same = State.view().CurrentManifest == New;
   return {{"version", New.Version},
           {"digest", New.digest()},
           {"would_be", !Checked ? "refused"
--- a/Source/Operators/StatusReport.h
+++ b/Source/Operators/StatusReport.h
@@ -24,11 +24,12 @@
                               const ControlState &State);
 
 /// The manifests that were accepted, the latest last, without their texts.
-nlohmann::json historyReport(const ControlState &State);
+nlohmann::json manifestHistoryReport(const ControlState &State);
 
 /// What would become of a manifest that was sent now.
-nlohmann::json differenceReport(const ControlState &State, const Manifest &New,
-                                const std::string &Text);
+nlohmann::json manifestDifferenceReport(const ControlState &State,
+                                        const Manifest &New,
+                                        const std::string &Text);
 
 nlohmann::json findingsReport(const Findings &All);
 
--- a/Source/Organisations/OrganisationTable.cpp
+++ b/Source/Organisations/OrganisationTable.cpp
@@ -3,15 +3,15 @@
 
 #include "Organisations/OrganisationTable.h"
 
-#include "Common/KeyedDigest.h"
+#include "Common/Cryptography.h"
 
 namespace corianderdyke {
 
 std::string callerKeyDigest(const std::string &Secret, const std::string &Key) {
-  return keyedDigest(Secret, "caller key " + Key);
+  return truncatedHmac(Secret, "caller key " + Key);
 }
 
-RoutePlan withoutKeys(RoutePlan Plan, const std::string &Secret) {
+RoutePlan replaceKeysByDigests(RoutePlan Plan, const std::string &Secret) {
   Plan.Document.clear();
   for (PlannedOrganisation &Each : Plan.Organisations) {
     Each.KeyDigests.reserve(Each.Keys.size());
@@ -30,12 +30,12 @@
 }
 
 std::optional<std::string>
-OrganisationTable::ownerOf(const RoutePolicy &Route,
-                           const std::string &KeyDigest) const {
+OrganisationTable::findOrganisation(const RoutePolicy &Route,
+                                    const std::string &KeyDigest) const {
   if (!HasOrganisations)
     return std::string();
   if (Route.IsPublic)
-    return PublicCallers;
+    return PublicOrganisation;
   const auto Found = ByDigest.find(KeyDigest);
   if (Found == ByDigest.end())
     return std::nullopt;
--- a/Source/Organisations/OrganisationTable.h
+++ b/Source/Organisations/OrganisationTable.h
@@ -18,7 +18,7 @@
 
 /// The plan without what operators alone may read: digests stand in place of
 /// the keys.
-RoutePlan withoutKeys(RoutePlan Plan, const std::string &Secret);
+RoutePlan replaceKeysByDigests(RoutePlan Plan, const std::string &Secret);
 
 class OrganisationTable {
 public:
@@ -27,10 +27,11 @@
   explicit OrganisationTable(const RoutePlan &Plan);
 
   /// Whose statements a session runs on a route. Empty where the plan declares
-  /// no organisations, PublicCallers on a public route, nothing where the plan
-  /// doesn't know the key.
-  std::optional<std::string> ownerOf(const RoutePolicy &Route,
-                                     const std::string &KeyDigest) const;
+  /// no organisations, PublicOrganisation on a public route, nothing where the
+  /// plan doesn't know the key.
+  std::optional<std::string>
+  findOrganisation(const RoutePolicy &Route,
+                   const std::string &KeyDigest) const;
 
 private:
   bool HasOrganisations = false;
--- a/Source/Pipeline/ConnectionAssignment.cpp
+++ b/Source/Pipeline/ConnectionAssignment.cpp
@@ -38,12 +38,12 @@
   if (New.Version <= plan().Version)
     return;
   if (plan().Version == 0)
-    PlannedAt = Outside.Time.now();
+    FirstPlanAt = Deps.Time.now();
   Plan.set(New);
   Organisations = OrganisationTable(plan());
   setProxyCount(Proxies);
   revokeSessions();
-  admitWaiting();
+  admitPendingOpenings();
 }
 
 void SessionPipeline::setProxyCount(std::size_t Count) {
@@ -53,18 +53,18 @@
     if (Policy == nullptr)
       continue;
     const std::size_t All = Policy->usableConnections();
-    const bool IsShared = Outside.Targets.sharesConnections(Name);
+    const bool IsShared = Deps.Targets.sharesConnections(Name);
     for (auto &[Id, Pool] : Each.Pools) {
       Pool.setShare(std::max(LeastShare, All / Proxies));
-      Pool.setDivided(!plan().Organisations.empty());
-      Pool.setShared(IsShared, Outside.Time.now());
+      Pool.setPerOrganisation(!plan().Organisations.empty());
+      Pool.setShared(IsShared, Deps.Time.now());
     }
   }
 }
 
-void SessionPipeline::update(const TargetDirectory &Known) {
-  const Millis Now = Outside.Time.now();
-  for (const TargetRecord &Each : Known.all()) {
+void SessionPipeline::updateTargets(const TargetDirectory &Directory) {
+  const Millis Now = Deps.Time.now();
+  for (const TargetRecord &Each : Directory.all()) {
     // Nobody declared that group: no connection is opened on the strength of a
     // heartbeat alone.
     if (Plan.group(Each.Group) == nullptr && Groups.count(Each.Group) == 0)
@@ -76,14 +76,14 @@
         In.Pools.emplace(Each.Id, TargetPool(Each, LeastShare, Now));
       continue;
     }
-    if (Pool->second.beginsLife(Each))
-      endLife(Each.Group, Pool->second);
+    if (Pool->second.isNewIncarnation(Each))
+      closeStaleConnections(Each.Group, Pool->second);
     Pool->second.update(Each, Now);
   }
   for (auto &[Name, Each] : Groups) {
-    adoptPrimary(Name, Each, Known);
+    adoptPrimary(Name, Each, Directory);
     for (auto Pool = Each.Pools.begin(); Pool != Each.Pools.end();) {
-      Pool->second.tend(Now);
+      Pool->second.maintain(Now);
       warmUp(Name, Pool->second, Now);
       const bool Ended =
           Pool->second.record().IsGone && Pool->second.size() == 0;
@@ -95,13 +95,14 @@
   for (const auto &[Name, Each] : Groups)
     Names.push_back(Name);
   for (const std::string &Name : Names)
-    pump(Name);
+    dispatchWaiting(Name);
 }
 
 // A target that starts again under its id may be back before its silence was
 // noticed. Whoever waits on a connection of its former life would wait for
 // good, and learns now that it's lost.
-void SessionPipeline::endLife(const std::string &GroupName, TargetPool &Pool) {
+void SessionPipeline::closeStaleConnections(const std::string &GroupName,
+                                            TargetPool &Pool) {
   for (const TargetConnectionPtr &Each : Pool.closeAll())
     closed(GroupName, Each, std::nullopt);
 }
@@ -114,12 +115,12 @@
   return Out;
 }
 
-void SessionPipeline::pump(const std::string &Name) {
+void SessionPipeline::dispatchWaiting(const std::string &Name) {
   Group &In = Groups[Name];
-  if (In.IsPumping)
+  if (In.IsDispatching)
     return;
-  In.IsPumping = true;
-  const Millis Now = Outside.Time.now();
+  In.IsDispatching = true;
+  const Millis Now = Deps.Time.now();
   for (auto Each = In.Waiting.begin(); Each != In.Waiting.end();) {
     const SessionJobPtr Job = *Each;
     if (Job->RetryAt > Now || !assign(In, Job)) {
@@ -127,37 +128,38 @@
       continue;
     }
     Each = In.Waiting.erase(Each);
-    In.forecast(*Job).noteLeft(In.waiting(*Job), Now);
+    In.forecast(*Job).recordDeparture(In.waiting(*Job), Now);
     const TargetConnectionPtr On = Job->Connection;
     run(Job, On);
   }
-  In.IsPumping = false;
+  In.IsDispatching = false;
 }
 
 std::vector<TargetPool *> SessionPipeline::candidates(Group &In,
                                                       const SessionJob &Job) {
-  const Millis Now = Outside.Time.now();
+  const Millis Now = Deps.Time.now();
   std::vector<TargetPool *> Out;
   for (auto &[Id, Pool] : In.Pools) {
     const TargetRecord &Record = Pool.record();
     if (Record.IsGone)
       continue;
     // No gateway reaches it at the moment.
-    if (Pool.isShared() && Pool.isAvoided(Now))
+    if (Pool.isShared() && Pool.isBackingOff(Now))
       continue;
     // A leaving primary serves on until another has taken its place, or until
     // the time that it was promised is nearly over.
-    if (Job.Where == Placement::Leader &&
-        (Id != In.Primary || !Pool.mayLead(Now) || !Pool.mayTakeWork(Now)))
+    if (Job.Destination == Placement::Primary &&
+        (Id != In.Primary || !Pool.mayBePrimary(Now) ||
+         !Pool.acceptsNewWork(Now)))
       continue;
-    if (Job.Where == Placement::Replica &&
-        (Record.IsLeaving || Job.Avoid.count(Id) != 0 ||
-         Pool.lag().isPaused(Now)))
+    if (Job.Destination == Placement::AnyFresh &&
+        (Record.IsLeaving || Job.ExcludedTargets.count(Id) != 0 ||
+         Pool.lag().isBackingOff(Now)))
       continue;
     Out.push_back(&Pool);
   }
-  if (Job.Where == Placement::Replica && Out.size() > 1)
-    leavePrimaryFree(In, Out);
+  if (Job.Destination == Placement::AnyFresh && Out.size() > 1)
+    excludeCongestedPrimary(In, Out);
   return cheapestFirst(In, Out, Job, Now);
 }
 
@@ -185,12 +187,12 @@
 // Load pattern: a burst of reads and writes. Reads have several targets, and
 // what needs the leader has one: each read there holds up writes that nobody
 // else can take.
-void SessionPipeline::leavePrimaryFree(const Group &In,
-                                       std::vector<TargetPool *> &Among) {
+void SessionPipeline::excludeCongestedPrimary(
+    const Group &In, std::vector<TargetPool *> &Among) {
   Among.erase(std::remove_if(Among.begin(), Among.end(),
                              [&In](const TargetPool *Each) {
                                return Each->record().Id == In.Primary &&
-                                      Each->window().isCrowded();
+                                      Each->window().isCongested();
                              }),
               Among.end());
 }
@@ -199,7 +201,7 @@
                              const SessionJob &Job, Millis Now) const {
   double Out =
       static_cast<double>(Pool.busy()) + Pool.window().mean() / LatencyUnit;
-  if (Pool.record().FailureDomain != Where.FailureDomain)
+  if (Pool.record().FailureDomain != OwnLocality.FailureDomain)
     Out += DistanceCost;
   if (Job.Floor && Pool.lag().isBehind(*Job.Floor, Now))
     Out += BehindCost;
@@ -209,21 +211,21 @@
 }
 
 bool SessionPipeline::assign(Group &In, const SessionJobPtr &Job) {
-  const Millis Now = Outside.Time.now();
-  const CallerSessionPtr Session = Job->Of.lock();
+  const Millis Now = Deps.Time.now();
+  const CallerSessionPtr Session = Job->Session.lock();
   if (!Session)
     return false;
   std::vector<TargetPool *> Choices = candidates(In, *Job);
-  if (Choices.empty() && Job->Where == Placement::Replica) {
+  if (Choices.empty() && Job->Destination == Placement::AnyFresh) {
     // Every replica refused it, or none is left.
-    Job->Where = Placement::Leader;
+    Job->Destination = Placement::Primary;
     Job->Floor.reset();
     Choices = candidates(In, *Job);
   }
   if (Choices.empty() ||
-      (Job->Where == Placement::Leader && Choices.front()->size() == 0 &&
-       Choices.front()->isAvoided(Now)))
-    In.Outage.noteMissing(Now);
+      (Job->Destination == Placement::Primary && Choices.front()->size() == 0 &&
+       Choices.front()->isBackingOff(Now)))
+    In.Outage.recordNoPrimary(Now);
   // The best target gets a connection even while another has one free;
   // otherwise callers would stay with the far target for good.
   const Millis Waited = Now - Job->QueuedAt;
@@ -252,8 +254,8 @@
 
 bool SessionPipeline::mayOpen(const TargetPool &Pool,
                               const std::string &Organisation) const {
-  return Outside.Targets.knowsShares() &&
-         Pool.mayOpen(Organisation, Outside.Time.now());
+  return Deps.Targets.knowsShares() &&
+         Pool.mayOpen(Organisation, Deps.Time.now());
 }
 
 // Callers come to all proxies at the same moment, and a new connection takes
@@ -261,9 +263,9 @@
 void SessionPipeline::warmUp(const std::string &GroupName, TargetPool &Pool,
                              Millis Now) {
   if (plan().Version == 0 || Pool.isShared() || Pool.opening() > 0 ||
-      !Pool.mayTakeWork(Now) || !mayOpen(Pool, ""))
+      !Pool.acceptsNewWork(Now) || !mayOpen(Pool, ""))
     return;
-  if (Pool.wantsFirstConnections())
+  if (Pool.updateNeedsWarmup())
     openConnection(GroupName, Pool, {});
 }
 
@@ -294,7 +296,7 @@
                                      const ConnectionPurpose &For) {
   if (!Pool.isShared())
     ++Counts.Openings.Begun;
-  Pool.open(Outside.Targets, For, Outside.Time.now(),
+  Pool.open(Deps.Targets, For, Deps.Time.now(),
             {[this, GroupName](const TargetConnectionPtr &Open) {
                opened(GroupName, Open);
              },
@@ -302,21 +304,23 @@
                                const std::optional<StatementRefusal> &Why) {
                closed(GroupName, Gone, Why);
              },
-             [this](const TargetConnectionPtr &Silent) { noteDoubt(Silent); }});
-  Ticker.within(WaitingInterval);
+             [this](const TargetConnectionPtr &Silent) {
+               handleKeepaliveTimeout(Silent);
+             }});
+  Ticker.requestWithin(WaitingInterval);
 }
 
 void SessionPipeline::opened(const std::string &GroupName,
                              const TargetConnectionPtr &Made) {
-  Made->setBusy(false, Outside.Time.now());
+  Made->setBusy(false, Deps.Time.now());
   if (TargetPool *Pool = poolOf(Made)) {
-    Pool->reached(Outside.Time.now());
-    warmUp(GroupName, *Pool, Outside.Time.now());
+    Pool->recordReachable(Deps.Time.now());
+    warmUp(GroupName, *Pool, Deps.Time.now());
   }
   const Group &In = Groups[GroupName];
-  if (!In.WantFloor.empty() && !In.Probe.On)
+  if (!In.AwaitingFloor.empty() && !In.Probe.Connection)
     askForFloor(GroupName);
-  pump(GroupName);
+  dispatchWaiting(GroupName);
 }
 
 void SessionPipeline::closed(const std::string &GroupName,
@@ -327,10 +331,10 @@
   if (isAtLimit(Why))
     ++Counts.Openings.RefusedAtLimit;
   // Behind a shared one the gateway reports its targets itself.
-  if (Pool != nullptr && Pool->noteClosed(Gone, Why, Outside.Time.now()) &&
+  if (Pool != nullptr && Pool->handleClosed(Gone, Why, Deps.Time.now()) &&
       !Gone->isShared())
-    Trouble.emit({Gone->to().Id, true});
-  if (In.Probe.On == Gone)
+    TargetFailed.emit({Gone->address().Id, true});
+  if (In.Probe.Connection == Gone)
     endProbe(GroupName);
   // Whoever waits for an answer on it learns so now.
   std::vector<SessionJobPtr> Lost;
@@ -338,31 +342,32 @@
     if (Job->Connection == Gone)
       Lost.push_back(Job);
   for (const SessionJobPtr &Job : Lost)
-    lost(Job, "the connection to target " + Gone->to().Id + " was lost");
+    handleLostConnection(Job, "the connection to target " + Gone->address().Id +
+                                  " was lost");
   if (!In.Waiting.empty())
-    pump(GroupName);
+    dispatchWaiting(GroupName);
 }
 
 TargetPool *SessionPipeline::poolOf(const TargetConnectionPtr &Used) {
   if (!Used)
     return nullptr;
-  const auto In = Groups.find(Used->to().Group);
+  const auto In = Groups.find(Used->address().Group);
   if (In == Groups.end())
     return nullptr;
-  const auto Pool = In->second.Pools.find(Used->to().Id);
+  const auto Pool = In->second.Pools.find(Used->address().Id);
   return Pool == In->second.Pools.end() ? nullptr : &Pool->second;
 }
 
 void SessionPipeline::release(const TargetConnectionPtr &Used) {
   if (Used->stage() == TargetConnection::Stage::Closed)
     return;
-  const std::string GroupName = Used->to().Group;
-  Used->setBusy(false, Outside.Time.now());
+  const std::string GroupName = Used->address().Group;
+  Used->setBusy(false, Deps.Time.now());
   if (TargetPool *Pool = poolOf(Used);
       Pool != nullptr &&
       (Pool->record().IsLeaving || Pool->isShared() != Used->isShared()))
-    Pool->tend(Outside.Time.now());
-  pump(GroupName);
+    Pool->maintain(Deps.Time.now());
+  dispatchWaiting(GroupName);
 }
 
 void SessionPipeline::discard(const TargetConnectionPtr &Used) {
--- a/Source/Pipeline/FloorProbes.cpp
+++ b/Source/Pipeline/FloorProbes.cpp
@@ -20,44 +20,45 @@
 } // namespace
 
 void SessionPipeline::waitForFloor(const SessionJobPtr &Job) {
-  Job->At = SessionJob::Stage::Waiting;
-  Job->QueuedAt = Outside.Time.now();
+  Job->CurrentStage = SessionJob::Stage::Waiting;
+  Job->QueuedAt = Deps.Time.now();
   Job->HasAskedForFloor = true;
   const std::string &Name = Job->Route.Group;
-  Groups[Name].WantFloor.push_back(Job);
-  if (!Groups[Name].Probe.On)
+  Groups[Name].AwaitingFloor.push_back(Job);
+  if (!Groups[Name].Probe.Connection)
     askForFloor(Name);
-  Ticker.within(WaitingInterval);
+  Ticker.requestWithin(WaitingInterval);
 }
 
 void SessionPipeline::askForFloor(const std::string &Name) {
   Group &In = Groups[Name];
-  const Millis Now = Outside.Time.now();
+  const Millis Now = Deps.Time.now();
   const auto Leader = In.Pools.find(In.Primary);
   if (Leader == In.Pools.end())
     return endProbe(Name);
   TargetPool &Pool = Leader->second;
-  if (Pool.isAvoided(Now) || !Pool.mayLead(Now) || !Pool.mayTakeWork(Now))
+  if (Pool.isBackingOff(Now) || !Pool.mayBePrimary(Now) ||
+      !Pool.acceptsNewWork(Now))
     return endProbe(Name);
-  const TargetConnectionPtr On = Pool.idleForOwnWork();
+  const TargetConnectionPtr On = Pool.idleForInternalUse();
   if (!On) {
     // A link is open within a moment; a connection of its own takes the
     // target a slot, which the read may as well have itself.
     if (!Pool.isShared() || !mayOpen(Pool, ""))
       return endProbe(Name);
     if (Pool.opening("") == 0)
-      openConnection(Name, Pool, {.IsOwnWork = true});
+      openConnection(Name, Pool, {.IsInternal = true});
     return;
   }
   On->setBusy(true, Now);
   In.Probe = {On, Now};
   std::vector<TargetConnection::Step> Steps;
   Steps.push_back(
-      {{.What = TargetCommand::Kind::Begin, .MayWait = ProbePatience},
+      {{.Operation = TargetCommand::Kind::Begin, .MaxQueueTime = ProbePatience},
        [this, Name, On](const StatementAnswer &Answer) {
          floorAnswered(Name, On, Answer);
        }});
-  Steps.push_back({{.What = TargetCommand::Kind::Rollback},
+  Steps.push_back({{.Operation = TargetCommand::Kind::Rollback},
                    [this, On](const StatementAnswer &Answer) {
                      if (Answer.Phase == SessionPhase::Idle)
                        release(On);
@@ -72,36 +73,36 @@
                                     const StatementAnswer &Answer) {
   Group &In = Groups[Name];
   if (!Answer.Refusal && Answer.Position &&
-      !Outside.Floors.hasShrunk(Name, *Answer.Position, In.Probe.SentAt))
-    Outside.Floors.note(Name, *Answer.Position, In.Probe.SentAt,
-                        Outside.Time.now());
-  if (In.Probe.On == On)
+      !Deps.Floors.isRegression(Name, *Answer.Position, In.Probe.SentAt))
+    Deps.Floors.record(Name, *Answer.Position, In.Probe.SentAt,
+                       Deps.Time.now());
+  if (In.Probe.Connection == On)
     endProbe(Name);
 }
 
 void SessionPipeline::endProbe(const std::string &Name) {
   Group &In = Groups[Name];
-  In.Probe.On.reset();
-  for (const SessionJobPtr &Job : std::exchange(In.WantFloor, {})) {
-    const CallerSessionPtr Session = Job->Of.lock();
-    if (!Session || Job->At != SessionJob::Stage::Waiting)
+  In.Probe.Connection.reset();
+  for (const SessionJobPtr &Job : std::exchange(In.AwaitingFloor, {})) {
+    const CallerSessionPtr Session = Job->Session.lock();
+    if (!Session || Job->CurrentStage != SessionJob::Stage::Waiting)
       continue;
     // It waited for the floor, not in the queue. A probe that got lost takes
     // longer than a statement may wait there, and its reads would be refused
     // without a single try.
-    Job->WaitsSince = Outside.Time.now();
-    place(*Session, *Job);
+    Job->WaitingSince = Deps.Time.now();
+    choosePlacement(*Session, *Job);
     enqueue(Job);
   }
 }
 
-void SessionPipeline::giveUpProbe(const std::string &Name, Group &In,
+void SessionPipeline::expireProbe(const std::string &Name, Group &In,
                                   Millis Now) {
-  if (In.WantFloor.empty() ||
-      Now - In.WantFloor.front()->QueuedAt < ProbePatience)
+  if (In.AwaitingFloor.empty() ||
+      Now - In.AwaitingFloor.front()->QueuedAt < ProbePatience)
     return;
-  if (In.Probe.On)
-    discard(In.Probe.On);
+  if (In.Probe.Connection)
+    discard(In.Probe.Connection);
   endProbe(Name);
 }
 
--- a/Source/Pipeline/FloorTable.cpp
+++ b/Source/Pipeline/FloorTable.cpp
@@ -8,36 +8,38 @@
 
 namespace corianderdyke {
 
-void FloorTable::note(const std::string &Group, LogPosition Shown,
-                      Millis SentAt, Millis Now) {
-  std::deque<Proof> &Known = Groups[Group];
+void FloorTable::record(const std::string &Group, LogPosition Position,
+                        Millis SentAt, Millis Now) {
+  std::deque<ObservedPosition> &Known = Groups[Group];
   // A floor in the tail that a promotion rolled back is in no log any more:
   // every replica would refuse it for as long as it's kept.
-  if (!Known.empty() && Known.back().Shown.Term > Shown.Term)
+  if (!Known.empty() && Known.back().Position.Term > Position.Term)
     return;
-  if (!Known.empty() && Known.back().Shown.Term < Shown.Term)
+  if (!Known.empty() && Known.back().Position.Term < Position.Term)
     Known.clear();
   if (!Known.empty() && SentAt < Known.back().SentAt)
     return;
   if (Known.size() > 1 && SentAt - Known[Known.size() - 2].SentAt < Spacing) {
-    Known.back() = {Shown, SentAt, Now};
+    Known.back() = {Position, SentAt, Now};
     return;
   }
-  Known.push_back({Shown, SentAt, Now});
-  while (Known.size() > MaxProofs || SentAt - Known.front().SentAt > Kept)
+  Known.push_back({Position, SentAt, Now});
+  while (Known.size() > MaxPositions ||
+         SentAt - Known.front().SentAt > Retention)
     Known.pop_front();
 }
 
-bool FloorTable::hasShrunk(const std::string &Group, LogPosition Shown,
-                           Millis SentAt) const {
+bool FloorTable::isRegression(const std::string &Group, LogPosition Position,
+                              Millis SentAt) const {
   const auto Found = Groups.find(Group);
   if (Found == Groups.end())
     return false;
-  const std::deque<Proof> &Known = Found->second;
-  return std::any_of(Known.rbegin(), Known.rend(), [&](const Proof &Each) {
-    return Each.Shown.Term == Shown.Term && Each.Shown > Shown &&
-           Each.NotedAt <= SentAt;
-  });
+  const std::deque<ObservedPosition> &Known = Found->second;
+  return std::any_of(
+      Known.rbegin(), Known.rend(), [&](const ObservedPosition &Each) {
+        return Each.Position.Term == Position.Term &&
+               Each.Position > Position && Each.ReceivedAt <= SentAt;
+      });
 }
 
 std::optional<LogPosition> FloorTable::floor(const std::string &Group,
@@ -46,14 +48,14 @@
   const auto Found = Groups.find(Group);
   if (Found == Groups.end())
     return std::nullopt;
-  for (const Proof &Each : Found->second)
+  for (const ObservedPosition &Each : Found->second)
     if (Each.SentAt > ArrivedAt - AcceptedAge)
-      return Each.Shown;
+      return Each.Position;
   return std::nullopt;
 }
 
-std::optional<FloorTable::Proof>
-FloorTable::youngest(const std::string &Group) const {
+std::optional<FloorTable::ObservedPosition>
+FloorTable::latest(const std::string &Group) const {
   const auto Found = Groups.find(Group);
   if (Found == Groups.end() || Found->second.empty())
     return std::nullopt;
--- a/Source/Pipeline/FloorTable.h
+++ b/Source/Pipeline/FloorTable.h
@@ -26,25 +26,25 @@
 class FloorTable {
 public:
   /// A position that a leader showed, and when it was asked for it.
-  struct Proof {
-    LogPosition Shown;
+  struct ObservedPosition {
+    LogPosition Position;
     Millis SentAt;
-    Millis NotedAt; ///< When the answer had arrived.
+    Millis ReceivedAt; ///< When the answer had arrived.
 
-    auto operator<=>(const Proof &) const = default;
+    auto operator<=>(const ObservedPosition &) const = default;
   };
 
-  /// A target that proved its lead showed \p Shown in an answer to something
+  /// A target that proved its lead showed \p Position in an answer to something
   /// that was sent at \p SentAt and arrived by \p Now.
-  void note(const std::string &Group, LogPosition Shown, Millis SentAt,
-            Millis Now);
+  void record(const std::string &Group, LogPosition Position, Millis SentAt,
+              Millis Now);
 
   /// True where a target that says that it leads lacks what its own term had
   /// shown by \p SentAt. A primary that starts again under its id without its
   /// log still takes transactions, and their callers would miss commits that
   /// were acknowledged. Within a term a log that's kept never shrinks.
-  bool hasShrunk(const std::string &Group, LogPosition Shown,
-                 Millis SentAt) const;
+  bool isRegression(const std::string &Group, LogPosition Position,
+                    Millis SentAt) const;
 
   /// The lowest position that is a floor for a read which arrived at
   /// \p ArrivedAt and accepts \p AcceptedAge; the lowest lets the most
@@ -53,16 +53,16 @@
                                    Millis AcceptedAge) const;
 
   /// The youngest proof, to be told to other proxies.
-  std::optional<Proof> youngest(const std::string &Group) const;
+  std::optional<ObservedPosition> latest(const std::string &Group) const;
 
 private:
   /// Longest accepted age that is supported; older proofs are dropped.
-  static constexpr Millis Kept = Millis(60000);
+  static constexpr Millis Retention = Millis(60000);
   /// Proofs this close together are worth one; bounds the table.
   static constexpr Millis Spacing = Millis(20);
-  static constexpr std::size_t MaxProofs = 512;
+  static constexpr std::size_t MaxPositions = 512;
 
-  std::map<std::string, std::deque<Proof>> Groups;
+  std::map<std::string, std::deque<ObservedPosition>> Groups;
 };
 
 } // namespace corianderdyke
--- a/Source/Pipeline/OperationQuotas.cpp
+++ b/Source/Pipeline/OperationQuotas.cpp
@@ -12,38 +12,38 @@
 
 bool SessionPipeline::beginOperation(const CallerSessionPtr &Session,
                                      const SessionJobPtr &Job) {
-  if (Outside.Permits == nullptr ||
-      !Outside.Permits->isLimited(Session->Organisation) ||
-      (Session->Transaction && Session->Transaction->HasBegun))
+  if (Deps.Permits == nullptr ||
+      !Deps.Permits->isLimited(Session->Organisation) ||
+      (Session->Transaction && Session->Transaction->IsCountedInQuota))
     return true;
-  Job->At = SessionJob::Stage::Waiting;
-  Job->QueuedAt = Outside.Time.now();
-  Job->Permit =
-      Outside.Permits->ask(Session->Organisation, Job->QueueUntil,
-                           [this, Job](std::optional<Millis> ComeBack) {
-                             if (Job->At != SessionJob::Stage::Waiting)
-                               return;
-                             if (ComeBack)
-                               refuseOverQuota(Job, *ComeBack);
-                             else
-                               beginPermitted(Job);
-                           });
+  Job->CurrentStage = SessionJob::Stage::Waiting;
+  Job->QueuedAt = Deps.Time.now();
+  Job->PermitRequestId = Deps.Permits->requestPermit(
+      Session->Organisation, Job->QueueDeadline,
+      [this, Job](std::optional<Millis> ComeBack) {
+        if (Job->CurrentStage != SessionJob::Stage::Waiting)
+          return;
+        if (ComeBack)
+          refuseOverQuota(Job, *ComeBack);
+        else
+          beginPermitted(Job);
+      });
   return false;
 }
 
 void SessionPipeline::beginPermitted(const SessionJobPtr &Job) {
-  const CallerSessionPtr Session = Job->Of.lock();
+  const CallerSessionPtr Session = Job->Session.lock();
   if (!Session)
     return;
   if (Session->Transaction)
-    Session->Transaction->HasBegun = true;
-  const Millis Now = Outside.Time.now();
+    Session->Transaction->IsCountedInQuota = true;
+  const Millis Now = Deps.Time.now();
   // It waited for the quota, not in a target's queue; floors are younger now.
   if (Now > Job->QueuedAt) {
-    Job->WaitsSince = Now;
-    place(*Session, *Job);
+    Job->WaitingSince = Now;
+    choosePlacement(*Session, *Job);
   }
-  seekTarget(Job);
+  enqueueOrWaitForFloor(Job);
 }
 
 void SessionPipeline::refuseOverQuota(const SessionJobPtr &Job,
@@ -57,8 +57,8 @@
 }
 
 void SessionPipeline::stopWaitingForPermit(const SessionJobPtr &Job) {
-  if (Job->Permit != 0)
-    Outside.Permits->cancel(Job->Permit);
+  if (Job->PermitRequestId != 0)
+    Deps.Permits->cancel(Job->PermitRequestId);
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/PipelineTimes.cpp
+++ b/Source/Pipeline/PipelineTimes.cpp
@@ -22,19 +22,19 @@
 } // namespace
 
 void SessionPipeline::tick() {
-  const Millis Now = Outside.Time.now();
+  const Millis Now = Deps.Time.now();
   bool IsUrgent = IsStopping;
   for (auto &[Name, Each] : Groups) {
-    giveUpProbe(Name, Each, Now);
-    searchLeader(Name, Each, Now);
-    giveUpWaiting(Each, Now);
-    IsUrgent = IsUrgent || !Each.WantFloor.empty();
+    expireProbe(Name, Each, Now);
+    searchPrimary(Name, Each, Now);
+    expireWaiting(Each, Now);
+    IsUrgent = IsUrgent || !Each.AwaitingFloor.empty();
     if (!Each.Waiting.empty()) {
-      pump(Name);
+      dispatchWaiting(Name);
       IsUrgent = true;
     }
     for (auto &[Id, Pool] : Each.Pools) {
-      Pool.tend(Now);
+      Pool.maintain(Now);
       warmUp(Name, Pool, Now);
       const auto Open = Pool.connections();
       for (const TargetConnectionPtr &Connection : Open)
@@ -51,51 +51,52 @@
   const std::set<SessionJobPtr> Watched = Running;
   for (const SessionJobPtr &Job : Watched)
     if (Running.count(Job) != 0) {
-      suspectSilence(Job, Now);
-      overdue(Job, Now);
+      checkUnresponsive(Job, Now);
+      checkAnswerTimeout(Job, Now);
     }
-  turnAwayWaiting(Now);
+  processPendingOpenings(Now);
   endIdleTransactions(Now);
   closeIdleSessions(Now);
   if (IsUrgent)
-    Ticker.within(WaitingInterval);
+    Ticker.requestWithin(WaitingInterval);
   else if (!Running.empty())
-    Ticker.within(RunningInterval);
+    Ticker.requestWithin(RunningInterval);
   else if (!Sessions.empty())
-    Ticker.within(IdleInterval);
+    Ticker.requestWithin(IdleInterval);
 }
 
-void SessionPipeline::giveUpWaiting(Group &In, Millis Now) {
+void SessionPipeline::expireWaiting(Group &In, Millis Now) {
   const std::list<SessionJobPtr> Waiting = In.Waiting;
   for (const SessionJobPtr &Job : Waiting) {
     // The next statement of a caller that was just refused has connections
     // assigned anew. One that got a connection by that has been sent: its
     // caller would be told that it hasn't run, and send it a second time.
-    if (Job->At != SessionJob::Stage::Waiting)
+    if (Job->CurrentStage != SessionJob::Stage::Waiting)
       continue;
-    const bool IsHopeless = Job->Where == Placement::Leader &&
-                            !In.Outage.isWorthWaiting(Now, Job->WaitUntil);
-    if (!IsHopeless && Now < waitEnd(*Job))
+    const bool IsHopeless = Job->Destination == Placement::Primary &&
+                            !In.Outage.isWorthWaiting(Now, Job->RetryDeadline);
+    if (!IsHopeless && Now < effectiveQueueDeadline(*Job))
       continue;
     In.Waiting.remove(Job);
-    const Millis Back = In.forecast(*Job).expected(In.waiting(*Job) + 1, Now);
+    const Millis Back =
+        In.forecast(*Job).expectedWait(In.waiting(*Job) + 1, Now);
     std::string Why = "no connection came free; come back after " +
                       std::to_string(Back.count()) + " ms";
     if (IsHopeless)
       Why = "no target leads; come back after " +
-            std::to_string(In.Outage.comeBackAfter(Now).count()) + " ms";
+            std::to_string(In.Outage.retryAfter(Now).count()) + " ms";
     finishRefused(Job, {RefusalCode::Busy, std::move(Why)},
                   IsHopeless ? "no leader within its time"
                              : "waited for a connection");
   }
 }
 
-void SessionPipeline::overdue(const SessionJobPtr &Job, Millis Now) {
+void SessionPipeline::checkAnswerTimeout(const SessionJobPtr &Job, Millis Now) {
   const bool IsAlone = [&] {
-    const CallerSessionPtr Session = Job->Of.lock();
+    const CallerSessionPtr Session = Job->Session.lock();
     return Session && !Session->Transaction;
   }();
-  if (Now < Job->SentAt + patience(*Job, IsAlone))
+  if (Now < Job->SentAt + answerTimeout(*Job, IsAlone))
     return;
   const TargetConnectionPtr Used = Job->Connection;
   // An answer that got lost is no sign that the target is in trouble while
@@ -104,51 +105,54 @@
   // What came in the same millisecond, such as the opening of the connection,
   // was no answer to what was sent then.
   if (Pool == nullptr || Pool->lastAnswer() <= Job->SentAt)
-    noteSilent(Used, Now);
+    reportUnresponsive(Used, Now);
   discard(Used);
-  if (IsAlone && !Job->Writes && Job->IsSent && Now >= Job->WaitUntil)
+  if (IsAlone && !Job->Writes && Job->IsSent && Now >= Job->RetryDeadline)
     return finishRefused(Job,
                          {RefusalCode::Timeout, "no answer before the timeout"},
                          "no answer before the timeout");
-  lost(Job, "no answer within " + std::to_string((Now - Job->SentAt).count()) +
-                " ms");
+  handleLostConnection(Job, "no answer within " +
+                                std::to_string((Now - Job->SentAt).count()) +
+                                " ms");
 }
 
 // A statement may be waited for longer than it takes to see that nothing at
 // all comes from its target. Control hears of it by then, and a change of
 // primary begins that much sooner.
-void SessionPipeline::suspectSilence(const SessionJobPtr &Job, Millis Now) {
+void SessionPipeline::checkUnresponsive(const SessionJobPtr &Job, Millis Now) {
   const TargetPool *Pool = poolOf(Job->Connection);
   if (Pool == nullptr || Pool->isShared() ||
       Now < Job->SentAt + SilenceNoticed || Pool->lastAnswer() > Job->SentAt ||
-      Pool->isAvoided(Now))
+      Pool->isBackingOff(Now))
     return;
-  noteSilent(Job->Connection, Now);
+  reportUnresponsive(Job->Connection, Now);
 }
 
-void SessionPipeline::noteSilent(const TargetConnectionPtr &Used, Millis Now) {
+void SessionPipeline::reportUnresponsive(const TargetConnectionPtr &Used,
+                                         Millis Now) {
   // Behind a shared connection the gateway may be the silent one; it reports
   // its targets itself.
   if (!Used || Used->isShared())
     return;
   if (TargetPool *Pool = poolOf(Used))
-    Pool->unreachable(Now);
-  Trouble.emit({Used->to().Id, false});
+    Pool->recordUnreachable(Now);
+  TargetFailed.emit({Used->address().Id, false});
 }
 
 // A statement that may run again, or whose transaction is rolled back with
 // its connection, isn't waited for longer than answers usually take. A write
 // on its own and a commit are: nobody else can tell what became of them.
-Millis SessionPipeline::patience(const SessionJob &Job, bool IsAlone) const {
+Millis SessionPipeline::answerTimeout(const SessionJob &Job,
+                                      bool IsAlone) const {
   if (!Job.IsSent)
-    return OpeningPatience + Job.MayWait;
+    return OpeningPatience + Job.MaxQueueTime;
   const bool Settles =
-      Job.What.Kind == StatementKind::Commit || (IsAlone && Job.Writes);
+      Job.Stmt.Kind == StatementKind::Commit || (IsAlone && Job.Writes);
   const Millis Rest = Job.DeadlineAt - Job.SentAt;
-  if (Settles || (IsAlone && Outside.Time.now() >= Job.WaitUntil))
+  if (Settles || (IsAlone && Deps.Time.now() >= Job.RetryDeadline))
     return Rest;
-  return std::min(Rest,
-                  std::max(AnswerPatience, Job.Route.Objective) + Job.MayWait);
+  return std::min(Rest, std::max(AnswerPatience, Job.Route.Objective) +
+                            Job.MaxQueueTime);
 }
 
 void SessionPipeline::endIdleTransactions(Millis Now) {
@@ -157,25 +161,25 @@
     if (!Each->Transaction || Each->Current)
       continue;
     const bool TooLong =
-        Now - Each->Transaction->LastUsed > plan().TransactionIdle ||
-        outlastsRevocation(*Each, Now);
+        Now - Each->Transaction->LastUsed > plan().TransactionIdleTimeout ||
+        exceedsRevocationGrace(*Each, Now);
     const bool Stops = IsStopping && Now >= TransactionsUntil;
     if (!TooLong && !Stops)
       continue;
     endTransaction(std::move(*Each->Transaction));
     Each->Transaction.reset();
     Each->Phase = SessionPhase::Failed;
-    Each->IsEndUntold = true;
+    Each->IsAbortUnreported = true;
   }
 }
 
 void SessionPipeline::beginStop(Millis TransactionsBy, Millis SessionsBy) {
   IsStopping = true;
-  StopBeganAt = Outside.Time.now();
+  StopBeganAt = Deps.Time.now();
   TransactionsUntil = TransactionsBy;
   SessionsUntil = SessionsBy;
   SessionsAtStop = Sessions.size();
-  Ticker.within(WaitingInterval);
+  Ticker.requestWithin(WaitingInterval);
 }
 
 void SessionPipeline::closeIdleSessions(Millis Now) {
@@ -192,7 +196,7 @@
   for (const auto &[Id, Each] : All) {
     if (Sessions.size() <= MayRemain)
       return;
-    if (!Each->Current && Each->Unstarted.empty() &&
+    if (!Each->Current && Each->PendingStatements.empty() &&
         Each->Phase == SessionPhase::Idle)
       closeSession(Each);
   }
--- a/Source/Pipeline/LeaderSearch.cpp
+++ b/Source/Pipeline/PrimarySearch.cpp
@@ -21,24 +21,25 @@
 
 } // namespace
 
-void SessionPipeline::searchLeader(const std::string &Name, Group &In,
-                                   Millis Now) {
-  if (!In.Outage.isOn() || Now < In.SearchAgainAt)
+void SessionPipeline::searchPrimary(const std::string &Name, Group &In,
+                                    Millis Now) {
+  if (!In.Outage.isActive() || Now < In.SearchAgainAt)
     return;
   In.SearchAgainAt = Now + SearchInterval;
   for (auto &[Id, Pool] : In.Pools) {
     const TargetRecord &Record = Pool.record();
     if (Id == In.Primary || Record.IsGone || Record.IsLeaving)
       continue;
-    const TargetConnectionPtr On = Pool.idleForOwnWork();
+    const TargetConnectionPtr On = Pool.idleForInternalUse();
     if (!On) {
       // Used by the next round.
       if (Pool.isShared() && Pool.opening("") == 0 && mayOpen(Pool, ""))
-        openConnection(Name, Pool, {.IsOwnWork = true});
+        openConnection(Name, Pool, {.IsInternal = true});
       continue;
     }
     On->setBusy(true, Now);
-    On->send({{{.What = TargetCommand::Kind::Begin, .MayWait = SearchInterval},
+    On->send({{{.Operation = TargetCommand::Kind::Begin,
+                .MaxQueueTime = SearchInterval},
                [this, Name, On, SentAt = Now](const StatementAnswer &Answer) {
                  searchAnswered(Name, On, SentAt, Answer);
                }},
@@ -53,17 +54,17 @@
   Group &In = Groups[Name];
   const bool Leads =
       !Answer.Refusal && Answer.Phase == SessionPhase::InTransaction;
-  if (!Leads || !In.Outage.isOn())
+  if (!Leads || !In.Outage.isActive())
     return;
-  const Millis Now = Outside.Time.now();
+  const Millis Now = Deps.Time.now();
   if (Answer.Position) {
-    if (Outside.Floors.hasShrunk(Name, *Answer.Position, SentAt))
+    if (Deps.Floors.isRegression(Name, *Answer.Position, SentAt))
       return;
-    Outside.Floors.note(Name, *Answer.Position, SentAt, Now);
+    Deps.Floors.record(Name, *Answer.Position, SentAt, Now);
   }
-  In.Found = On->to().Id;
-  In.Primary = On->to().Id;
-  In.Outage.noteLeading(Now);
+  In.DiscoveredPrimary = On->address().Id;
+  In.Primary = On->address().Id;
+  In.Outage.recordPrimary(Now);
 }
 
 // Control's word goes before what was found here only once it's newer: before
@@ -71,13 +72,13 @@
 void SessionPipeline::adoptPrimary(const std::string &Name, Group &In,
                                    const TargetDirectory &Known) {
   const auto Told = Known.primaryOf(Name);
-  const std::uint64_t Since = Told ? Told->PrimarySince : 0;
-  const TargetRecord *Found = Known.find(In.Found);
+  const std::uint64_t Since = Told ? Told->PrimaryEpoch : 0;
+  const TargetRecord *Found = Known.find(In.DiscoveredPrimary);
   const bool IsFoundGone = Found == nullptr || Found->IsGone;
-  if (Since > In.ToldSince || IsFoundGone)
-    In.Found.clear();
-  In.ToldSince = Since;
-  if (In.Found.empty())
+  if (Since > In.ControlPrimarySince || IsFoundGone)
+    In.DiscoveredPrimary.clear();
+  In.ControlPrimarySince = Since;
+  if (In.DiscoveredPrimary.empty())
     In.Primary = Told ? Told->Id : "";
 }
 
--- a/Source/Pipeline/QueueLimits.cpp
+++ b/Source/Pipeline/QueueLimits.cpp
@@ -41,28 +41,28 @@
 
 } // namespace
 
-void SessionPipeline::boundWaits(SessionJob &Job) {
-  Job.WaitsSince = Job.ArrivedAt;
-  Job.WaitUntil =
+void SessionPipeline::setWaitDeadlines(SessionJob &Job) {
+  Job.WaitingSince = Job.ArrivedAt;
+  Job.RetryDeadline =
       Job.ArrivedAt + Job.Route.StatementTimeout * WaitParts / TimeoutParts;
-  Job.QueueUntil =
-      std::min(Job.WaitUntil,
+  Job.QueueDeadline =
+      std::min(Job.RetryDeadline,
                Job.ArrivedAt + std::max(Job.Route.Objective, LeastObjective));
 }
 
-Millis SessionPipeline::queueTime(const SessionJob &Job) const {
-  return std::max(waitEnd(Job) - Outside.Time.now(), Millis(0));
+Millis SessionPipeline::remainingQueueTime(const SessionJob &Job) const {
+  return std::max(effectiveQueueDeadline(Job) - Deps.Time.now(), Millis(0));
 }
 
-Millis SessionPipeline::waitEnd(const SessionJob &Job) const {
+Millis SessionPipeline::effectiveQueueDeadline(const SessionJob &Job) const {
   const auto In = Groups.find(Job.Route.Group);
-  const bool LacksLeader = Job.Where == Placement::Leader &&
-                           In != Groups.end() && In->second.Outage.isOn();
+  const bool LacksLeader = Job.Destination == Placement::Primary &&
+                           In != Groups.end() && In->second.Outage.isActive();
   if (LacksLeader || In == Groups.end())
-    return LacksLeader ? Job.WaitUntil : Job.QueueUntil;
-  const Millis Objective = Job.QueueUntil - Job.ArrivedAt;
+    return LacksLeader ? Job.RetryDeadline : Job.QueueDeadline;
+  const Millis Objective = Job.QueueDeadline - Job.ArrivedAt;
   Millis Wait = Objective;
-  if (Outside.Time.now() >= PlannedAt + ReturnLasts) {
+  if (Deps.Time.now() >= FirstPlanAt + ReturnLasts) {
     // What is sent at the end of its objective is answered after it.
     const Millis Answer = answerTime(In->second, Job) * AnswerMargin / 2;
     Wait = std::max((Objective - Answer) / QueuePart,
@@ -70,8 +70,8 @@
   }
   // Time spent on an earlier try whose answer was lost doesn't count as
   // waiting.
-  return std::min(Job.WaitsSince + Wait,
-                  std::max(Job.WaitUntil, Job.ArrivedAt + Wait));
+  return std::min(Job.WaitingSince + Wait,
+                  std::max(Job.RetryDeadline, Job.ArrivedAt + Wait));
 }
 
 // Behind a gateway others count too: it gives each its turn.
@@ -81,24 +81,24 @@
   const auto UnderWay = std::count_if(
       Running.begin(), Running.end(), [&Pool](const SessionJobPtr &Each) {
         return Each->Connection &&
-               Each->Connection->to().Id == Pool.record().Id;
+               Each->Connection->address().Id == Pool.record().Id;
       });
   return !Pool.window().mayBegin(static_cast<std::size_t>(UnderWay));
 }
 
 bool SessionPipeline::refuseIfTooLate(Group &In, const SessionJobPtr &Job) {
   // How long a change of leader takes isn't told by the pace before it.
-  if (Job->Where == Placement::Leader && In.Outage.isOn())
+  if (Job->Destination == Placement::Primary && In.Outage.isActive())
     return false;
-  const Millis Now = Outside.Time.now();
+  const Millis Now = Deps.Time.now();
   std::size_t Ahead = 0;
   for (const SessionJobPtr &Each : In.Waiting) {
     if (Each == Job)
       break;
-    Ahead += Each->Where == Job->Where ? 1 : 0;
+    Ahead += Each->Destination == Job->Destination ? 1 : 0;
   }
-  const Millis Wait = In.forecast(*Job).expected(Ahead, Now);
-  if (Now + Wait <= waitEnd(*Job))
+  const Millis Wait = In.forecast(*Job).expectedWait(Ahead, Now);
+  if (Now + Wait <= effectiveQueueDeadline(*Job))
     return false;
   In.Waiting.remove(Job);
   finishRefused(Job,
@@ -113,7 +113,7 @@
   double Least = 0;
   for (const auto &[Id, Pool] : In.Pools) {
     if (Pool.record().IsGone ||
-        (Job.Where == Placement::Leader && Id != In.Primary))
+        (Job.Destination == Placement::Primary && Id != In.Primary))
       continue;
     const double Here = Pool.window().mean();
     Least = Least == 0 ? Here : std::min(Least, Here);
--- a/Source/Pipeline/ReplicaLag.h
+++ b/Source/Pipeline/ReplicaLag.h
@@ -14,7 +14,7 @@
 class ReplicaLag {
 public:
   /// An answer showed where its log stands.
-  void notePosition(LogPosition Shown, Millis Now) {
+  void recordPosition(LogPosition Shown, Millis Now) {
     Position = Shown;
     PositionAt = Now;
   }
@@ -22,32 +22,33 @@
   /// that lags by more than callers accept does so for seconds, and each read
   /// that tries it loses the way there and back: it's tried again later each
   /// time.
-  void noteRefused(Millis Now) {
+  void recordLagRefusal(Millis Now) {
     // Reads that were on their way together count once.
-    if (isPaused(Now))
+    if (isBackingOff(Now))
       return;
-    LastPause = LastPause == Millis() ? FirstPause
-                                      : std::min(LastPause * 2, LongestPause);
-    PausedUntil = Now + LastPause;
+    LastBackoff = LastBackoff == Millis()
+                      ? InitialBackoff
+                      : std::min(LastBackoff * 2, MaxBackoff);
+    BackoffUntil = Now + LastBackoff;
   }
-  void noteFresh() { LastPause = PausedUntil = Millis(); }
-  bool isPaused(Millis Now) const { return Now < PausedUntil; }
+  void recordCaughtUp() { LastBackoff = BackoffUntil = Millis(); }
+  bool isBackingOff(Millis Now) const { return Now < BackoffUntil; }
   /// True where it's likely to refuse a read that asks for \p Floor. What an
   /// answer showed some time ago says nothing: it has received since.
   bool isBehind(LogPosition Floor, Millis Now) const {
-    return Position < Floor && Now - PositionAt < PositionKept;
+    return Position < Floor && Now - PositionAt < PositionMaxAge;
   }
 
 private:
   /// Replicas that are well catch up in a fraction of this.
-  static constexpr Millis PositionKept = Millis(150);
-  static constexpr Millis FirstPause = Millis(100);
-  static constexpr Millis LongestPause = Millis(1600);
+  static constexpr Millis PositionMaxAge = Millis(150);
+  static constexpr Millis InitialBackoff = Millis(100);
+  static constexpr Millis MaxBackoff = Millis(1600);
 
   LogPosition Position;
   Millis PositionAt = Millis(-1000000);
-  Millis PausedUntil;
-  Millis LastPause;
+  Millis BackoffUntil;
+  Millis LastBackoff;
 };
 
 } // namespace corianderdyke
--- a/Source/Pipeline/SessionOpenings.cpp
+++ b/Source/Pipeline/SessionOpenings.cpp
@@ -24,110 +24,112 @@
   auto Session = std::make_shared<CallerSession>();
   Session->Id = NextSession++;
   Session->Database = Database;
-  Session->KeyDigest = callerKeyDigest(Outside.KeySecret, Key);
+  Session->KeyDigest = callerKeyDigest(Deps.KeySecret, Key);
   Session->Link = std::move(Link);
   Sessions[Session->Id] = Session;
   if (plan().Version > 0)
     admit(Session);
   else
     waitForPlan(Session);
-  return Session->IsGone ? 0 : Session->Id;
+  return Session->IsClosed ? 0 : Session->Id;
 }
 
 void SessionPipeline::waitForPlan(const CallerSessionPtr &Session) {
-  if (!Session->OpensUntil)
-    Session->OpensUntil = Outside.Time.now() + PlanPatience;
-  Ticker.within(WaitingInterval);
+  if (!Session->AdmissionDeadline)
+    Session->AdmissionDeadline = Deps.Time.now() + PlanPatience;
+  Ticker.requestWithin(WaitingInterval);
 }
 
 void SessionPipeline::admit(const CallerSessionPtr &Session) {
   const RoutePolicy *Route = Plan.route(Session->Database);
   if (Route == nullptr)
-    return turnAway(Session,
-                    {RefusalCode::NoDatabase,
-                     "no route has the name '" + Session->Database + "'"});
-  const auto Owner = Organisations.ownerOf(*Route, Session->KeyDigest);
+    return rejectSession(Session,
+                         {RefusalCode::NoDatabase,
+                          "no route has the name '" + Session->Database + "'"});
+  const auto Owner = Organisations.findOrganisation(*Route, Session->KeyDigest);
   if (!Owner && !isPlanCurrent())
     return waitForPlan(Session);
   if (!Owner)
-    return turnAway(Session,
-                    {RefusalCode::Unauthorised, "the key isn't known"});
-  Session->OpensUntil.reset();
+    return rejectSession(Session,
+                         {RefusalCode::Unauthorised, "the key isn't known"});
+  Session->AdmissionDeadline.reset();
   Session->Organisation = *Owner;
   ++Counts.Sessions;
   Session->Link->accept();
   startNext(Session);
 }
 
-void SessionPipeline::turnAway(const CallerSessionPtr &Session,
-                               const StatementRefusal &Why) {
-  Session->IsGone = true;
+void SessionPipeline::rejectSession(const CallerSessionPtr &Session,
+                                    const StatementRefusal &Why) {
+  Session->IsClosed = true;
   Sessions.erase(Session->Id);
   Session->Link->reject(Why);
 }
 
 bool SessionPipeline::isPlanCurrent() const {
-  return !Outside.IsPlanCurrent || Outside.IsPlanCurrent();
+  return !Deps.IsPlanCurrent || Deps.IsPlanCurrent();
 }
 
-void SessionPipeline::admitWaiting() {
+void SessionPipeline::admitPendingOpenings() {
   const auto All = Sessions;
   for (const auto &[Id, Each] : All)
-    if (Each->OpensUntil && !Each->IsGone)
+    if (Each->AdmissionDeadline && !Each->IsClosed)
       admit(Each);
 }
 
-void SessionPipeline::turnAwayWaiting(Millis Now) {
+void SessionPipeline::processPendingOpenings(Millis Now) {
   const auto All = Sessions;
   for (const auto &[Id, Each] : All) {
-    if (!Each->OpensUntil || Each->IsGone)
+    if (!Each->AdmissionDeadline || Each->IsClosed)
       continue;
-    if (IsStopping || Now >= *Each->OpensUntil)
-      turnAway(Each, {RefusalCode::Busy,
-                      "no plan that is known to be the newest has this; come "
-                      "back after " +
-                          std::to_string(PlanPatience.count()) + " ms"});
+    if (IsStopping || Now >= *Each->AdmissionDeadline)
+      rejectSession(Each,
+                    {RefusalCode::Busy,
+                     "no plan that is known to be the newest has this; come "
+                     "back after " +
+                         std::to_string(PlanPatience.count()) + " ms"});
     else if (plan().Version > 0 && isPlanCurrent())
       admit(Each);
     else
-      Ticker.within(WaitingInterval);
+      Ticker.requestWithin(WaitingInterval);
   }
 }
 
 bool SessionPipeline::isRevoked(const CallerSession &Session) const {
   const RoutePolicy *Route = Plan.route(Session.Database);
   // A session without a route learns so with its next statement.
-  return Route != nullptr && Organisations.ownerOf(*Route, Session.KeyDigest) !=
-                                 Session.Organisation;
+  return Route != nullptr &&
+         Organisations.findOrganisation(*Route, Session.KeyDigest) !=
+             Session.Organisation;
 }
 
 void SessionPipeline::revokeSessions() {
   const auto All = Sessions;
   for (const auto &[Id, Each] : All) {
-    if (Each->OpensUntil || Each->IsGone)
+    if (Each->AdmissionDeadline || Each->IsClosed)
       continue;
     if (!isRevoked(*Each)) {
       Each->RevokedAt.reset();
       continue;
     }
     if (!Each->RevokedAt)
-      Each->RevokedAt = Outside.Time.now();
+      Each->RevokedAt = Deps.Time.now();
     endIfRevoked(Each);
   }
 }
 
 // A statement or transaction under way may finish.
 void SessionPipeline::endIfRevoked(const CallerSessionPtr &Session) {
-  if (!Session->RevokedAt || Session->IsGone || Session->Current ||
+  if (!Session->RevokedAt || Session->IsClosed || Session->Current ||
       Session->Phase != SessionPhase::Idle)
     return;
-  if (Session->Unstarted.empty())
+  if (Session->PendingStatements.empty())
     return closeSession(Session);
-  turnAway(Session, {RefusalCode::Unauthorised, "the key was taken away"});
+  rejectSession(Session, {RefusalCode::Unauthorised, "the key was taken away"});
 }
 
-bool SessionPipeline::outlastsRevocation(const CallerSession &Session,
-                                         Millis Now) {
+bool SessionPipeline::exceedsRevocationGrace(const CallerSession &Session,
+                                             Millis Now) {
   return Session.RevokedAt &&
          Now - *Session.RevokedAt >= RevokedTransactionLasts;
 }
--- a/Source/Pipeline/SessionPipeline.cpp
+++ b/Source/Pipeline/SessionPipeline.cpp
@@ -38,9 +38,9 @@
 
 } // namespace
 
-SessionPipeline::SessionPipeline(Ports Outside, Place Where)
-    : Outside(Outside), Where(std::move(Where)),
-      Ticker(Outside.Time, Outside.Timers, [this] { tick(); }) {}
+SessionPipeline::SessionPipeline(Dependencies Deps, Locality OwnLocality)
+    : Deps(Deps), OwnLocality(std::move(OwnLocality)),
+      Ticker(Deps.Time, Deps.Timers, [this] { tick(); }) {}
 
 SessionPipeline::~SessionPipeline() {
   for (auto &[Name, Each] : Groups)
@@ -51,12 +51,12 @@
 
 // Sessions.
 
-void SessionPipeline::receive(std::uint64_t Id, Statement What) {
+void SessionPipeline::receive(std::uint64_t Id, Statement Stmt) {
   const auto Found = Sessions.find(Id);
   if (Found == Sessions.end())
     return;
   const CallerSessionPtr Session = Found->second;
-  Session->Unstarted.push_back(std::move(What));
+  Session->PendingStatements.push_back(std::move(Stmt));
   startNext(Session);
 }
 
@@ -66,10 +66,10 @@
   if (std::exchange(Session->IsStarting, true))
     return;
   endIfRevoked(Session);
-  while (!Session->IsGone && !Session->Current && !Session->OpensUntil &&
-         !Session->Unstarted.empty()) {
-    const Statement Next = std::move(Session->Unstarted.front());
-    Session->Unstarted.pop_front();
+  while (!Session->IsClosed && !Session->Current &&
+         !Session->AdmissionDeadline && !Session->PendingStatements.empty()) {
+    const Statement Next = std::move(Session->PendingStatements.front());
+    Session->PendingStatements.pop_front();
     start(Session, Next);
     endIfRevoked(Session);
   }
@@ -77,93 +77,93 @@
 }
 
 void SessionPipeline::start(const CallerSessionPtr &Session,
-                            const Statement &What) {
-  if (What.Kind == StatementKind::Malformed)
-    return replyRefused(Session, What,
-                        refused(RefusalCode::Malformed, What.Text),
+                            const Statement &Stmt) {
+  if (Stmt.Kind == StatementKind::Malformed)
+    return replyRefused(Session, Stmt,
+                        refused(RefusalCode::Malformed, Stmt.Text),
                         "not understood");
   // Its caller learns from a promise that it may begin anew; a complaint about
   // the statement would end the whole operation.
-  if (std::exchange(Session->IsEndUntold, false) &&
-      What.Kind != StatementKind::Rollback &&
-      What.Kind != StatementKind::Commit)
-    return replyRefused(Session, What,
+  if (std::exchange(Session->IsAbortUnreported, false) &&
+      Stmt.Kind != StatementKind::Rollback &&
+      Stmt.Kind != StatementKind::Commit)
+    return replyRefused(Session, Stmt,
                         refused(RefusalCode::Aborted,
                                 "the transaction was idle, its key was taken "
                                 "away, or its proxy stops"),
                         "transaction ended here");
   if (Session->Phase == SessionPhase::Failed &&
-      What.Kind != StatementKind::Rollback &&
-      What.Kind != StatementKind::Commit)
-    return replyRefused(Session, What,
+      Stmt.Kind != StatementKind::Rollback &&
+      Stmt.Kind != StatementKind::Commit)
+    return replyRefused(Session, Stmt,
                         refused(RefusalCode::Malformed,
                                 "the transaction has failed; end it first"),
                         "transaction failed");
-  switch (What.Kind) {
+  switch (Stmt.Kind) {
   case StatementKind::Begin:
   case StatementKind::BeginRead:
-    return beginTransaction(Session, What);
+    return beginTransaction(Session, Stmt);
   case StatementKind::Rollback:
     rollBack(Session);
     return replyDone(Session);
   case StatementKind::Commit:
     if (Session->Phase == SessionPhase::Idle)
       return replyRefused(
-          Session, What,
+          Session, Stmt,
           refused(RefusalCode::Malformed, "no transaction is open"),
           "no transaction");
     if (Session->Phase == SessionPhase::Failed) {
       rollBack(Session);
       return replyRefused(
-          Session, What,
+          Session, Stmt,
           refused(RefusalCode::Aborted, "the transaction had failed"),
           "transaction failed");
     }
-    return startJob(Session, What);
+    return startJob(Session, Stmt);
   case StatementKind::Set:
   case StatementKind::Prepare:
   case StatementKind::Deallocate:
-    return answerHere(Session, What);
+    return answerLocally(Session, Stmt);
   default:
-    return startJob(Session, What);
+    return startJob(Session, Stmt);
   }
 }
 
 // What needs no target is answered here: a target's slot is scarce, and the
 // values and names are given to whichever connection runs a later statement.
-void SessionPipeline::answerHere(const CallerSessionPtr &Session,
-                                 const Statement &What) {
-  if (What.Kind == StatementKind::Set) {
-    Session->Values[What.Name] = What.Value;
+void SessionPipeline::answerLocally(const CallerSessionPtr &Session,
+                                    const Statement &Stmt) {
+  if (Stmt.Kind == StatementKind::Set) {
+    Session->Values[Stmt.Name] = Stmt.Value;
     if (Session->Transaction)
       Session->Transaction->HasSetValues = true;
-  } else if (What.Kind == StatementKind::Prepare) {
-    Session->Prepared[What.Name] = {What.Value, What.Writes};
-  } else if (Session->Prepared.erase(What.Name) == 0) {
-    return replyRefused(Session, What,
+  } else if (Stmt.Kind == StatementKind::Prepare) {
+    Session->Prepared[Stmt.Name] = {Stmt.Value, Stmt.Writes};
+  } else if (Session->Prepared.erase(Stmt.Name) == 0) {
+    return replyRefused(Session, Stmt,
                         refused(RefusalCode::NoStatement,
-                                "no prepared statement '" + What.Name + "'"),
+                                "no prepared statement '" + Stmt.Name + "'"),
                         "unknown name");
   }
   replyDone(Session);
 }
 
 void SessionPipeline::beginTransaction(const CallerSessionPtr &Session,
-                                       const Statement &What) {
+                                       const Statement &Stmt) {
   if (Session->Phase != SessionPhase::Idle)
     return replyRefused(
-        Session, What,
+        Session, Stmt,
         refused(RefusalCode::Malformed, "a transaction is open already"),
         "transaction open");
   // It takes a connection only with its first statement: callers pause, and
   // connections are scarce.
   SessionTransaction New;
-  New.OnlyReads = What.Kind == StatementKind::BeginRead;
-  New.StartedAt = Outside.Time.now();
+  New.IsReadOnly = Stmt.Kind == StatementKind::BeginRead;
+  New.StartedAt = Deps.Time.now();
   New.LastUsed = New.StartedAt;
   Session->Transaction = std::move(New);
   Session->Phase = SessionPhase::InTransaction;
-  Ticker.within(IdleInterval);
+  Ticker.requestWithin(IdleInterval);
   replyDone(Session);
 }
 
@@ -172,7 +172,7 @@
     endTransaction(std::move(*Session->Transaction));
   Session->Transaction.reset();
   Session->Phase = SessionPhase::Idle;
-  Session->IsEndUntold = false;
+  Session->IsAbortUnreported = false;
 }
 
 void SessionPipeline::endTransaction(SessionTransaction Ended) {
@@ -180,7 +180,7 @@
   if (!Used || Used->stage() == TargetConnection::Stage::Closed)
     return;
   if (Ended.HasSetValues)
-    Used->forgetValues();
+    Used->invalidateValues();
   // The connection serves another session only once the target has said that
   // nothing is open on it.
   Used->send({rollBackStep(Used)});
@@ -188,7 +188,7 @@
 
 TargetConnection::Step
 SessionPipeline::rollBackStep(const TargetConnectionPtr &On) {
-  return {{.What = TargetCommand::Kind::Rollback},
+  return {{.Operation = TargetCommand::Kind::Rollback},
           [this, On](const StatementAnswer &Answer) {
             if (Answer.Refusal || Answer.Phase != SessionPhase::Idle)
               discard(On);
@@ -199,7 +199,7 @@
 
 void SessionPipeline::reply(const CallerSessionPtr &Session,
                             const StatementAnswer &Answer) {
-  if (!Session->IsGone)
+  if (!Session->IsClosed)
     Session->Link->answer(Answer);
 }
 
@@ -208,7 +208,7 @@
 }
 
 void SessionPipeline::replyRefused(const CallerSessionPtr &Session,
-                                   const Statement &What, StatementRefusal Why,
+                                   const Statement &Stmt, StatementRefusal Why,
                                    const std::string &Grounds) {
   if (promisesNothingKept(Why.Code))
     ++Counts.NotRun;
@@ -223,26 +223,26 @@
     Session->Transaction.reset();
     Session->Phase = SessionPhase::Failed;
   }
-  RefusedSignal.emit(*Session, What, Why, Grounds);
+  RefusedSignal.emit(*Session, Stmt, Why, Grounds);
   StatementAnswer Answer = done(Session->Phase);
   Answer.Refusal = std::move(Why);
   reply(Session, Answer);
 }
 
-void SessionPipeline::disconnected(std::uint64_t Id) {
+void SessionPipeline::handleDisconnect(std::uint64_t Id) {
   const auto Found = Sessions.find(Id);
   if (Found == Sessions.end())
     return;
   const CallerSessionPtr Session = Found->second;
   Sessions.erase(Found);
-  Session->IsGone = true;
-  Session->Unstarted.clear();
+  Session->IsClosed = true;
+  Session->PendingStatements.clear();
   if (const SessionJobPtr Job = Session->Current) {
-    if (Job->At == SessionJob::Stage::Waiting) {
+    if (Job->CurrentStage == SessionJob::Stage::Waiting) {
       Groups[Job->Route.Group].Waiting.remove(Job);
-      Groups[Job->Route.Group].WantFloor.remove(Job);
+      Groups[Job->Route.Group].AwaitingFloor.remove(Job);
       stopWaitingForPermit(Job);
-      Job->At = SessionJob::Stage::Done;
+      Job->CurrentStage = SessionJob::Stage::Done;
       Session->Current.reset();
     } else {
       // Its answer decides what becomes of the connection.
@@ -253,7 +253,7 @@
 }
 
 void SessionPipeline::closeSession(const CallerSessionPtr &Session) {
-  Session->IsGone = true;
+  Session->IsClosed = true;
   Sessions.erase(Session->Id);
   Session->Link->close();
 }
@@ -261,58 +261,58 @@
 // Statements that need a target.
 
 void SessionPipeline::startJob(const CallerSessionPtr &Session,
-                               const Statement &What) {
+                               const Statement &Stmt) {
   const RoutePolicy *Route = Plan.route(Session->Database);
   // A change of routes holds from the next transaction on.
   const bool IsBound =
       Session->Transaction && Session->Transaction->Connection != nullptr;
   if (Route == nullptr && !IsBound)
     return replyRefused(
-        Session, What,
+        Session, Stmt,
         refused(RefusalCode::NoDatabase,
                 "no route has the name '" + Session->Database + "' any more"),
         "route removed");
   auto Job = std::make_shared<SessionJob>();
-  Job->What = What;
-  Job->Of = Session;
-  Job->ArrivedAt = Outside.Time.now();
+  Job->Stmt = Stmt;
+  Job->Session = Session;
+  Job->ArrivedAt = Deps.Time.now();
   if (Route != nullptr)
     Job->Route = *Route;
   else
     Job->Route.StatementTimeout = Millis(1000);
   if (IsBound)
-    Job->Route.Group = Session->Transaction->Connection->to().Group;
+    Job->Route.Group = Session->Transaction->Connection->address().Group;
   Job->DeadlineAt = Job->ArrivedAt + Job->Route.StatementTimeout;
-  boundWaits(*Job);
-  Job->Writes = What.Kind == StatementKind::Write;
+  setWaitDeadlines(*Job);
+  Job->Writes = Stmt.Kind == StatementKind::Write;
   if (!resolveExecution(Session, *Job))
     return;
-  place(*Session, *Job);
+  choosePlacement(*Session, *Job);
   Session->Current = Job;
   if (!IsBound)
-    return beginOperation(Session, Job) ? seekTarget(Job) : void();
+    return beginOperation(Session, Job) ? enqueueOrWaitForFloor(Job) : void();
   SessionTransaction &Within = *Session->Transaction;
   Within.LastUsed = Job->ArrivedAt;
   Job->Connection = Within.Connection;
   if (Within.Connection->stage() == TargetConnection::Stage::Closed) {
-    Job->At = SessionJob::Stage::Running;
-    return lost(Job, "the transaction's connection had closed");
+    Job->CurrentStage = SessionJob::Stage::Running;
+    return handleLostConnection(Job, "the transaction's connection had closed");
   }
   Running.insert(Job);
-  Job->At = SessionJob::Stage::Running;
-  Ticker.within(RunningInterval);
+  Job->CurrentStage = SessionJob::Stage::Running;
+  Ticker.requestWithin(RunningInterval);
   runStatement(Job, false);
 }
 
 bool SessionPipeline::resolveExecution(const CallerSessionPtr &Session,
                                        SessionJob &Job) {
-  if (Job.What.Kind != StatementKind::Execute)
+  if (Job.Stmt.Kind != StatementKind::Execute)
     return true;
-  const auto Shape = Session->Prepared.find(Job.What.Name);
+  const auto Shape = Session->Prepared.find(Job.Stmt.Name);
   if (Shape == Session->Prepared.end()) {
-    replyRefused(Session, Job.What,
+    replyRefused(Session, Job.Stmt,
                  refused(RefusalCode::NoStatement,
-                         "no prepared statement '" + Job.What.Name + "'"),
+                         "no prepared statement '" + Job.Stmt.Name + "'"),
                  "unknown name");
     return false;
   }
@@ -320,48 +320,49 @@
   return true;
 }
 
-void SessionPipeline::place(const CallerSession &Session,
-                            SessionJob &Job) const {
+void SessionPipeline::choosePlacement(const CallerSession &Session,
+                                      SessionJob &Job) const {
   const auto &Within = Session.Transaction;
-  const bool MayWrite = Job.Writes || (Within && !Within->OnlyReads);
-  Job.Where = Placement::Leader;
-  if (MayWrite || Job.Route.Reads == Freshness::Primary || Job.Lagged > 1)
+  const bool MayWrite = Job.Writes || (Within && !Within->IsReadOnly);
+  Job.Destination = Placement::Primary;
+  if (MayWrite || Job.Route.Reads == Freshness::Primary ||
+      Job.LaggingRefusals > 1)
     return;
   // What a transaction must not miss is counted from its own first byte.
   const Millis From = Within ? Within->StartedAt : Job.ArrivedAt;
-  auto Floor =
-      Outside.Floors.floor(Job.Route.Group, From, Job.Route.AcceptedAge);
+  auto Floor = Deps.Floors.floor(Job.Route.Group, From, Job.Route.MaxStaleness);
   if (!Floor)
     return;
   if (Job.Route.Reads == Freshness::ReadYourWrites) {
     const auto Own = Session.LastCommit.find(Job.Route.Group);
-    Job.IsFloorOwn = Own != Session.LastCommit.end() && Own->second > *Floor;
-    if (Job.IsFloorOwn)
+    Job.IsFloorOwnCommit =
+        Own != Session.LastCommit.end() && Own->second > *Floor;
+    if (Job.IsFloorOwnCommit)
       Floor = Own->second;
   }
   Job.Floor = Floor;
-  Job.Where = Placement::Replica;
+  Job.Destination = Placement::AnyFresh;
 }
 
 // A read that would go to the leader only for want of a young floor.
 bool SessionPipeline::wantsFloor(const CallerSession &Session,
                                  const SessionJob &Job) {
   const auto &Within = Session.Transaction;
-  const bool MayWrite = Job.Writes || (Within && !Within->OnlyReads);
+  const bool MayWrite = Job.Writes || (Within && !Within->IsReadOnly);
   return !MayWrite && Job.Route.Reads != Freshness::Primary &&
-         Job.Where == Placement::Leader && !Job.HasAskedForFloor;
+         Job.Destination == Placement::Primary && !Job.HasAskedForFloor;
 }
 
-void SessionPipeline::seekTarget(const SessionJobPtr &Job) {
-  const CallerSessionPtr Session = Job->Of.lock();
+void SessionPipeline::enqueueOrWaitForFloor(const SessionJobPtr &Job) {
+  const CallerSessionPtr Session = Job->Session.lock();
   if (Session && wantsFloor(*Session, *Job))
     return waitForFloor(Job);
   enqueue(Job);
 }
 
 void SessionPipeline::enqueue(const SessionJobPtr &Job) {
-  Job->At = SessionJob::Stage::Waiting;
-  Job->QueuedAt = Outside.Time.now();
+  Job->CurrentStage = SessionJob::Stage::Waiting;
+  Job->QueuedAt = Deps.Time.now();
   Group &In = Groups[Job->Route.Group];
   // In the order of priority, then of arrival.
   auto Place = In.Waiting.end();
@@ -369,10 +370,11 @@
          (*std::prev(Place))->Route.Priority > Job->Route.Priority)
     --Place;
   In.Waiting.insert(Place, Job);
-  pump(Job->Route.Group);
-  if (Job->At != SessionJob::Stage::Waiting || refuseIfTooLate(In, Job))
+  dispatchWaiting(Job->Route.Group);
+  if (Job->CurrentStage != SessionJob::Stage::Waiting ||
+      refuseIfTooLate(In, Job))
     return;
-  Ticker.within(WaitingInterval);
+  Ticker.requestWithin(WaitingInterval);
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/SessionPipeline.h
+++ b/Source/Pipeline/SessionPipeline.h
@@ -13,11 +13,11 @@
 #define CORIANDERDYKE_PIPELINE_SESSIONPIPELINE_H
 
 #include "Common/Clock.h"
-#include "Loop/SoonestTimer.h"
+#include "Loop/CoalescingTimer.h"
 #include "Organisations/OrganisationTable.h"
 #include "Pipeline/CallerSession.h"
 #include "Pipeline/FloorTable.h"
-#include "Pipeline/LeaderOutage.h"
+#include "Pipeline/PrimaryOutage.h"
 #include "Pipeline/TargetPool.h"
 #include "Pipeline/WaitForecast.h"
 #include "Plan/PlanIndex.h"
@@ -32,7 +32,7 @@
 struct PipelineCounts {
   std::uint64_t Sessions = 0;
   std::uint64_t ReadsByReplica = 0;
-  std::uint64_t ReadsByLeader = 0;
+  std::uint64_t ReadsByPrimary = 0;
   std::uint64_t Writes = 0;
   std::uint64_t Commits = 0;
   std::uint64_t NotRun = 0;  ///< StatementRefusal, and nothing is kept.
@@ -56,7 +56,7 @@
 
 class SessionPipeline : public sigc::trackable {
 public:
-  struct Ports {
+  struct Dependencies {
     Clock &Time;
     Scheduler &Timers;
     TargetConnector &Targets;
@@ -71,25 +71,25 @@
     PermitSource *Permits = nullptr;
   };
 
-  SessionPipeline(Ports Outside, Place Where);
+  SessionPipeline(Dependencies Deps, Locality OwnLocality);
   ~SessionPipeline();
 
   /// Callers.
   /// Opens a session; \p Key says for which organisation.
   std::uint64_t open(const std::string &Database, const std::string &Key,
                      std::shared_ptr<CallerLink> Link);
-  void receive(std::uint64_t Id, Statement What);
-  void disconnected(std::uint64_t Id);
+  void receive(std::uint64_t Id, Statement Stmt);
+  void handleDisconnect(std::uint64_t Id);
 
   /// What control said.
   void adopt(const RoutePlan &New);
-  void update(const TargetDirectory &Known);
+  void updateTargets(const TargetDirectory &Directory);
   void setProxyCount(std::size_t Count);
 
   /// A planned stop. Sessions between statements are closed a few at a time,
   /// so that they don't all come back at once elsewhere.
   void beginStop(Millis TransactionsBy, Millis SessionsBy);
-  bool isQuiet() const { return Sessions.empty(); }
+  bool hasNoSessions() const { return Sessions.empty(); }
   std::size_t sessions() const { return Sessions.size(); }
 
   const RoutePlan &plan() const { return Plan.plan(); }
@@ -97,9 +97,13 @@
   std::vector<PoolReport> pools() const;
 
   /// Emitted when a target couldn't be reached.
-  sigc::signal<void(const TargetTrouble &)> &signalTrouble() { return Trouble; }
+  sigc::signal<void(const TargetFailure &)> &signalTargetFailure() {
+    return TargetFailed;
+  }
   /// Emitted when a primary answered.
-  sigc::signal<void(const std::string &)> &signalReached() { return Reached; }
+  sigc::signal<void(const std::string &)> &signalPrimaryAnswered() {
+    return PrimaryAnswered;
+  }
   /// Emitted with each statement that isn't answered with a result.
   sigc::signal<void(const CallerSession &, const Statement &,
                     const StatementRefusal &, const std::string &)> &
@@ -109,8 +113,8 @@
 
   /// Emitted when a try gave no result and another follows.
   sigc::signal<void(const SessionJob &, const StatementRefusal &)> &
-  signalMoved() {
-    return Moved;
+  signalRetried() {
+    return Retried;
   }
   /// Emitted with each result of a target.
   sigc::signal<void(const SessionJob &, const std::string &)> &signalServed() {
@@ -138,7 +142,7 @@
   /// One question to a group's leader for its position, on behalf of all
   /// reads that wait for it.
   struct FloorProbe {
-    TargetConnectionPtr On; ///< Null while none is under way.
+    TargetConnectionPtr Connection; ///< Null while none is under way.
     Millis SentAt;
   };
 
@@ -146,26 +150,28 @@
     std::map<std::string, TargetPool> Pools; ///< By target.
     std::string Primary;                     ///< Empty where none is known.
     /// The primary where it was found here against control's last word.
-    std::string Found;
-    std::uint64_t ToldSince = 0; ///< Of the primary in control's last word.
+    std::string DiscoveredPrimary;
+    std::uint64_t ControlPrimarySince =
+        0; ///< Of the primary in control's last word.
     Millis SearchAgainAt;
     std::list<SessionJobPtr> Waiting;
     /// Bounded reads that wait for a young floor.
-    std::list<SessionJobPtr> WantFloor;
+    std::list<SessionJobPtr> AwaitingFloor;
     FloorProbe Probe;
-    LeaderOutage Outage;
-    WaitForecast ForLeader;
-    WaitForecast ForReplica;
-    bool IsPumping = false;
+    PrimaryOutage Outage;
+    WaitForecast PrimaryForecast;
+    WaitForecast ReplicaForecast;
+    bool IsDispatching = false;
 
     WaitForecast &forecast(const SessionJob &Of) {
-      return Of.Where == Placement::Leader ? ForLeader : ForReplica;
+      return Of.Destination == Placement::Primary ? PrimaryForecast
+                                                  : ReplicaForecast;
     }
     /// Statements that wait for the same targets.
     std::size_t waiting(const SessionJob &Like) const {
       return static_cast<std::size_t>(std::count_if(
           Waiting.begin(), Waiting.end(), [&Like](const SessionJobPtr &Each) {
-            return Each->Where == Like.Where;
+            return Each->Destination == Like.Destination;
           }));
     }
   };
@@ -174,35 +180,36 @@
   void admit(const CallerSessionPtr &Session);
   void waitForPlan(const CallerSessionPtr &Session);
   bool isPlanCurrent() const;
-  void turnAway(const CallerSessionPtr &Session, const StatementRefusal &Why);
+  void rejectSession(const CallerSessionPtr &Session,
+                     const StatementRefusal &Why);
   /// Openings that waited for a plan that knows them.
-  void admitWaiting();
-  void turnAwayWaiting(Millis Now);
+  void admitPendingOpenings();
+  void processPendingOpenings(Millis Now);
   // Sessions whose key the plan took away.
   void revokeSessions();
   bool isRevoked(const CallerSession &Session) const;
   void endIfRevoked(const CallerSessionPtr &Session);
   /// True where its transaction has gone on for too long since.
-  static bool outlastsRevocation(const CallerSession &Session, Millis Now);
+  static bool exceedsRevocationGrace(const CallerSession &Session, Millis Now);
   void startNext(const CallerSessionPtr &Session);
-  void start(const CallerSessionPtr &Session, const Statement &What);
-  void answerHere(const CallerSessionPtr &Session, const Statement &What);
-  void beginTransaction(const CallerSessionPtr &Session, const Statement &What);
+  void start(const CallerSessionPtr &Session, const Statement &Stmt);
+  void answerLocally(const CallerSessionPtr &Session, const Statement &Stmt);
+  void beginTransaction(const CallerSessionPtr &Session, const Statement &Stmt);
   void rollBack(const CallerSessionPtr &Session);
   void endTransaction(SessionTransaction Ended);
-  void startJob(const CallerSessionPtr &Session, const Statement &What);
+  void startJob(const CallerSessionPtr &Session, const Statement &Stmt);
   bool resolveExecution(const CallerSessionPtr &Session, SessionJob &Job);
-  void place(const CallerSession &Session, SessionJob &Job) const;
+  void choosePlacement(const CallerSession &Session, SessionJob &Job) const;
   static bool wantsFloor(const CallerSession &Session, const SessionJob &Job);
   void reply(const CallerSessionPtr &Session, const StatementAnswer &Answer);
   void replyDone(const CallerSessionPtr &Session);
-  void replyRefused(const CallerSessionPtr &Session, const Statement &What,
+  void replyRefused(const CallerSessionPtr &Session, const Statement &Stmt,
                     StatementRefusal Why, const std::string &Grounds);
   void closeSession(const CallerSessionPtr &Session);
 
   // Assigning connections.
   void enqueue(const SessionJobPtr &Job);
-  void seekTarget(const SessionJobPtr &Job);
+  void enqueueOrWaitForFloor(const SessionJobPtr &Job);
   // Quotas of organisations.
   /// True where a statement's operation may begin. Else it waits or is
   /// refused.
@@ -217,8 +224,8 @@
   void floorAnswered(const std::string &Name, const TargetConnectionPtr &On,
                      const StatementAnswer &Answer);
   void endProbe(const std::string &Name);
-  void giveUpProbe(const std::string &Name, Group &In, Millis Now);
-  void pump(const std::string &Name);
+  void expireProbe(const std::string &Name, Group &In, Millis Now);
+  void dispatchWaiting(const std::string &Name);
   bool assign(Group &In, const SessionJobPtr &Job);
   /// True where one more statement would only wait inside the target.
   bool isFull(const TargetPool &Pool) const;
@@ -227,8 +234,8 @@
   /// What a statement usually takes from sending to answer.
   Millis answerTime(const Group &In, const SessionJob &Job) const;
   std::vector<TargetPool *> candidates(Group &In, const SessionJob &Job);
-  static void leavePrimaryFree(const Group &In,
-                               std::vector<TargetPool *> &Among);
+  static void excludeCongestedPrimary(const Group &In,
+                                      std::vector<TargetPool *> &Among);
   std::vector<TargetPool *>
   cheapestFirst(const Group &In, const std::vector<TargetPool *> &Among,
                 const SessionJob &Job, Millis Now) const;
@@ -245,13 +252,13 @@
   void opened(const std::string &GroupName, const TargetConnectionPtr &Made);
   void closed(const std::string &GroupName, const TargetConnectionPtr &Gone,
               const std::optional<StatementRefusal> &Why);
-  void endLife(const std::string &GroupName, TargetPool &Pool);
+  void closeStaleConnections(const std::string &GroupName, TargetPool &Pool);
   void release(const TargetConnectionPtr &Used);
   void discard(const TargetConnectionPtr &Used);
   TargetPool *poolOf(const TargetConnectionPtr &Used);
 
   // Finding who leads.
-  void searchLeader(const std::string &Name, Group &In, Millis Now);
+  void searchPrimary(const std::string &Name, Group &In, Millis Now);
   void searchAnswered(const std::string &Name, const TargetConnectionPtr &On,
                       Millis SentAt, const StatementAnswer &Answer);
   static void adoptPrimary(const std::string &Name, Group &In,
@@ -264,21 +271,22 @@
   TargetConnection::Step openingStep(const SessionJobPtr &Job, bool AtLeader);
   void runStatement(const SessionJobPtr &Job, bool RollBackAfter);
   /// How long a statement may wait at most.
-  static void boundWaits(SessionJob &Job);
+  static void setWaitDeadlines(SessionJob &Job);
   /// When a statement that still has no connection is refused.
-  Millis waitEnd(const SessionJob &Job) const;
+  Millis effectiveQueueDeadline(const SessionJob &Job) const;
   /// How long a statement may wait for one of the shared connections.
-  Millis queueTime(const SessionJob &Job) const;
+  Millis remainingQueueTime(const SessionJob &Job) const;
   TargetCommand commandOf(const SessionJobPtr &Job,
                           std::vector<TargetConnection::Step> &Before);
   /// Ends what is open on a connection, which is free with the answer.
   TargetConnection::Step rollBackStep(const TargetConnectionPtr &On);
   void transactionOpened(const SessionJobPtr &Job, bool AtLeader,
                          const StatementAnswer &Answer);
-  void leaderOpened(const SessionJobPtr &Job, const StatementAnswer &Answer);
-  bool lacksItsLog(const SessionJobPtr &Job,
-                   const StatementAnswer &Answer) const;
-  void leaderHasShrunk(const SessionJobPtr &Job);
+  void handlePrimaryOpened(const SessionJobPtr &Job,
+                           const StatementAnswer &Answer);
+  bool hasLostLog(const SessionJobPtr &Job,
+                  const StatementAnswer &Answer) const;
+  void handleLostLog(const SessionJobPtr &Job);
   void openingRefused(const SessionJobPtr &Job, const StatementAnswer &Answer);
   void retryOpening(const SessionJobPtr &Job, const TargetConnectionPtr &On,
                     const StatementRefusal &Why);
@@ -289,40 +297,42 @@
   void answeredAlone(const SessionJobPtr &Job, const CallerSessionPtr &Session,
                      const StatementAnswer &Answer);
   /// No gateway reaches the target: others are asked meanwhile.
-  void noGateway(const SessionJobPtr &Job, const TargetConnectionPtr &Used,
-                 const StatementRefusal &Why);
-  void lost(const SessionJobPtr &Job, const std::string &Grounds);
+  void retryThroughAnother(const SessionJobPtr &Job,
+                           const TargetConnectionPtr &Used,
+                           const StatementRefusal &Why);
+  void handleLostConnection(const SessionJobPtr &Job,
+                            const std::string &Grounds);
   /// The gateway has answered no keepalive. Retries a read outside a
   /// transaction elsewhere; everything else waits for its answer.
-  void noteDoubt(const TargetConnectionPtr &Silent);
+  void handleKeepaliveTimeout(const TargetConnectionPtr &Silent);
   void tryAgain(const SessionJobPtr &Job, const StatementRefusal &Why,
                 Millis After);
   void finishRefused(const SessionJobPtr &Job, StatementRefusal Why,
                      const std::string &Grounds);
-  void noteAnswer(const SessionJobPtr &Job, const StatementAnswer &Answer,
-                  bool ProvesLead);
+  void recordAnswer(const SessionJobPtr &Job, const StatementAnswer &Answer,
+                    bool ProvesLead);
 
   // Time.
   void tick();
-  void giveUpWaiting(Group &In, Millis Now);
-  void overdue(const SessionJobPtr &Job, Millis Now);
-  void noteSilent(const TargetConnectionPtr &Used, Millis Now);
-  void suspectSilence(const SessionJobPtr &Job, Millis Now);
-  Millis patience(const SessionJob &Job, bool IsAlone) const;
+  void expireWaiting(Group &In, Millis Now);
+  void checkAnswerTimeout(const SessionJobPtr &Job, Millis Now);
+  void reportUnresponsive(const TargetConnectionPtr &Used, Millis Now);
+  void checkUnresponsive(const SessionJobPtr &Job, Millis Now);
+  Millis answerTimeout(const SessionJob &Job, bool IsAlone) const;
   void closeIdleSessions(Millis Now);
   void endIdleTransactions(Millis Now);
 
-  Ports Outside;
-  Place Where;
+  Dependencies Deps;
+  Locality OwnLocality;
   PlanIndex Plan;
   OrganisationTable Organisations; ///< Of the plan.
-  Millis PlannedAt;                ///< When the first plan was adopted.
+  Millis FirstPlanAt;              ///< When the first plan was adopted.
   std::map<std::string, Group> Groups;
   std::map<std::uint64_t, CallerSessionPtr> Sessions;
   std::set<SessionJobPtr> Running;
   std::uint64_t NextSession = 1;
   std::size_t Proxies = 8;
-  SoonestTimer Ticker;
+  CoalescingTimer Ticker;
   bool IsStopping = false;
   Millis StopBeganAt;
   Millis TransactionsUntil;
@@ -332,9 +342,9 @@
   /// few from each to know what's usual there.
   StatementWindow AnswerTimes;
   PipelineCounts Counts;
-  sigc::signal<void(const TargetTrouble &)> Trouble;
-  sigc::signal<void(const std::string &)> Reached;
-  sigc::signal<void(const SessionJob &, const StatementRefusal &)> Moved;
+  sigc::signal<void(const TargetFailure &)> TargetFailed;
+  sigc::signal<void(const std::string &)> PrimaryAnswered;
+  sigc::signal<void(const SessionJob &, const StatementRefusal &)> Retried;
   sigc::signal<void(const SessionJob &, const std::string &)> Served;
   sigc::signal<void(const CallerSession &, const Statement &,
                     const StatementRefusal &, const std::string &)>
--- a/Source/Pipeline/StatementAnswers.cpp
+++ b/Source/Pipeline/StatementAnswers.cpp
@@ -18,44 +18,45 @@
 
 } // namespace
 
-void SessionPipeline::noteAnswer(const SessionJobPtr &Job,
-                                 const StatementAnswer &Answer,
-                                 bool ProvesLead) {
+void SessionPipeline::recordAnswer(const SessionJobPtr &Job,
+                                   const StatementAnswer &Answer,
+                                   bool ProvesLead) {
   TargetPool *Pool = poolOf(Job->Connection);
   if (Pool != nullptr) {
-    Pool->reached(Outside.Time.now());
+    Pool->recordReachable(Deps.Time.now());
     if (Pool->record().IsPrimary && !Pool->isShared())
-      Reached.emit(Pool->record().Id);
+      PrimaryAnswered.emit(Pool->record().Id);
     if (!Answer.Refusal) {
-      const Millis Taken = Outside.Time.now() - Job->SentAt;
-      Pool->window().note(Taken, Outside.Time.now());
-      AnswerTimes.note(Taken, Outside.Time.now());
+      const Millis Taken = Deps.Time.now() - Job->SentAt;
+      Pool->window().recordAnswerTime(Taken, Deps.Time.now());
+      AnswerTimes.recordAnswerTime(Taken, Deps.Time.now());
     }
     if (Answer.Position)
-      Pool->lag().notePosition(*Answer.Position, Outside.Time.now());
-    if (Job->Floor && Job->Where == Placement::Replica) {
+      Pool->lag().recordPosition(*Answer.Position, Deps.Time.now());
+    if (Job->Floor && Job->Destination == Placement::AnyFresh) {
       if (!Answer.Refusal)
-        Pool->lag().noteFresh();
-      else if (Answer.Refusal->Code == RefusalCode::Lagging && !Job->IsFloorOwn)
-        Pool->lag().noteRefused(Outside.Time.now());
+        Pool->lag().recordCaughtUp();
+      else if (Answer.Refusal->Code == RefusalCode::Lagging &&
+               !Job->IsFloorOwnCommit)
+        Pool->lag().recordLagRefusal(Deps.Time.now());
     }
     if (Answer.Refusal && Answer.Refusal->Code == RefusalCode::ReadOnly)
-      Pool->noteNotLeading(Outside.Time.now());
+      Pool->recordNotPrimary(Deps.Time.now());
   }
   if (!ProvesLead || Answer.Refusal)
     return;
-  Groups[Job->Route.Group].Outage.noteLeading(Outside.Time.now());
+  Groups[Job->Route.Group].Outage.recordPrimary(Deps.Time.now());
   if (Answer.Position)
-    Outside.Floors.note(Job->Route.Group, *Answer.Position, Job->SentAt,
-                        Outside.Time.now());
+    Deps.Floors.record(Job->Route.Group, *Answer.Position, Job->SentAt,
+                       Deps.Time.now());
 }
 
 void SessionPipeline::answered(const SessionJobPtr &Job,
                                const StatementAnswer &Answer) {
-  if (Job->At != SessionJob::Stage::Running)
+  if (Job->CurrentStage != SessionJob::Stage::Running)
     return;
   Running.erase(Job);
-  const CallerSessionPtr Session = Job->Of.lock();
+  const CallerSessionPtr Session = Job->Session.lock();
   if (!Session) {
     discard(Job->Connection);
     return;
@@ -63,10 +64,11 @@
   // A success that its target didn't sign answers something else: an answer
   // got lost or came twice on the way. Passed on, its caller would be told of
   // a result that nobody has; all that follows on the connection is as wrong.
-  if (!Answer.Refusal && Answer.Proof.empty()) {
-    const std::string From = Job->Connection ? Job->Connection->to().Id : "";
+  if (!Answer.Refusal && Answer.Signature.empty()) {
+    const std::string From =
+        Job->Connection ? Job->Connection->address().Id : "";
     discard(Job->Connection);
-    return lost(Job, "target " + From + " signed no result");
+    return handleLostConnection(Job, "target " + From + " signed no result");
   }
   if (Session->Transaction)
     answeredInTransaction(Job, Session, Answer);
@@ -78,19 +80,20 @@
                                             const CallerSessionPtr &Session,
                                             const StatementAnswer &Answer) {
   SessionTransaction &Within = *Session->Transaction;
-  Within.LastUsed = Outside.Time.now();
-  const bool Commits = Job->What.Kind == StatementKind::Commit;
+  Within.LastUsed = Deps.Time.now();
+  const bool Commits = Job->Stmt.Kind == StatementKind::Commit;
   // The commit of a transaction that wrote nothing proves no lead.
-  noteAnswer(Job, Answer, Within.AtLeader && (!Commits || Within.HasWritten));
+  recordAnswer(Job, Answer,
+               Within.AtPrimary && (!Commits || Within.HasWritten));
   if (Answer.Refusal && Answer.Refusal->Code == RefusalCode::Busy &&
       Answer.Phase == SessionPhase::InTransaction && Job->Tries < MaxTries &&
-      Outside.Time.now() < Job->WaitUntil) {
+      Deps.Time.now() < Job->RetryDeadline) {
     ++Job->Tries;
     ++Counts.Retries;
     Running.insert(Job);
-    Outside.Timers.after(busyPause(*Job), [this, Weak = std::weak_ptr(Job)] {
+    Deps.Timers.after(busyPause(*Job), [this, Weak = std::weak_ptr(Job)] {
       const SessionJobPtr Again = Weak.lock();
-      if (Again && Again->At == SessionJob::Stage::Running &&
+      if (Again && Again->CurrentStage == SessionJob::Stage::Running &&
           Running.count(Again) != 0)
         runStatement(Again, false);
     });
@@ -100,9 +103,9 @@
       Answer.Phase != SessionPhase::InTransaction) {
     // The target doesn't hold the transaction any more.
     discard(Within.Connection);
-    return lost(Job, "the target had ended the transaction");
+    return handleLostConnection(Job, "the target had ended the transaction");
   }
-  Job->At = SessionJob::Stage::Done;
+  Job->CurrentStage = SessionJob::Stage::Done;
   Session->Current.reset();
   if (Answer.Refusal) {
     const TargetConnectionPtr Used = Within.Connection;
@@ -111,8 +114,8 @@
       Session->Transaction.reset();
       Session->Phase = SessionPhase::Idle;
     }
-    replyRefused(Session, Job->What, *Answer.Refusal,
-                 "target " + Used->to().Id);
+    replyRefused(Session, Job->Stmt, *Answer.Refusal,
+                 "target " + Used->address().Id);
   } else {
     if (Job->Writes) {
       Within.HasWritten = true;
@@ -124,7 +127,7 @@
         Session->LastCommit[Job->Route.Group] = *Answer.Position;
       const TargetConnectionPtr Used = std::move(Within.Connection);
       if (Within.HasSetValues)
-        Used->forgetValues();
+        Used->invalidateValues();
       Session->Transaction.reset();
       Session->Phase = SessionPhase::Idle;
       if (Answer.Phase == SessionPhase::Idle)
@@ -133,12 +136,12 @@
         discard(Used);
     }
     if (Job->Connection)
-      Served.emit(*Job, Job->Connection->to().Id);
+      Served.emit(*Job, Job->Connection->address().Id);
     StatementAnswer Out = Answer;
     Out.Phase = Session->Phase;
     reply(Session, Out);
   }
-  if (Session->IsGone)
+  if (Session->IsClosed)
     rollBack(Session);
   startNext(Session);
 }
@@ -146,10 +149,10 @@
 void SessionPipeline::answeredAlone(const SessionJobPtr &Job,
                                     const CallerSessionPtr &Session,
                                     const StatementAnswer &Answer) {
-  const bool AtLeader = Job->Where == Placement::Leader;
-  noteAnswer(Job, Answer, AtLeader);
+  const bool AtLeader = Job->Destination == Placement::Primary;
+  recordAnswer(Job, Answer, AtLeader);
   const TargetConnectionPtr Used = std::move(Job->Connection);
-  const std::string Target = Used->to().Id;
+  const std::string Target = Used->address().Id;
   // A read at the leader is followed by the end of its transaction.
   if (AtLeader && !Job->Writes) {
     // The connection is released by the rollback's answer.
@@ -161,14 +164,14 @@
   if (Answer.Refusal) {
     switch (Answer.Refusal->Code) {
     case RefusalCode::Unreachable:
-      return noGateway(Job, Used, *Answer.Refusal);
+      return retryThroughAnother(Job, Used, *Answer.Refusal);
     case RefusalCode::Busy:
       return tryAgain(Job, *Answer.Refusal, busyPause(*Job));
     case RefusalCode::ReadOnly:
       return tryAgain(Job, *Answer.Refusal, Millis(0));
     case RefusalCode::Lagging:
-      ++Job->Lagged;
-      Job->Avoid.insert(Target);
+      ++Job->LaggingRefusals;
+      Job->ExcludedTargets.insert(Target);
       return tryAgain(Job, *Answer.Refusal, Millis(0));
     case RefusalCode::NoStatement:
       // What the target holds for this connection isn't what is noted here.
@@ -178,14 +181,14 @@
       return finishRefused(Job, *Answer.Refusal, "target " + Target);
     }
   }
-  Job->At = SessionJob::Stage::Done;
+  Job->CurrentStage = SessionJob::Stage::Done;
   Session->Current.reset();
   if (Job->Writes) {
     ++Counts.Writes;
     if (Answer.Position)
       Session->LastCommit[Job->Route.Group] = *Answer.Position;
   } else if (AtLeader) {
-    ++Counts.ReadsByLeader;
+    ++Counts.ReadsByPrimary;
   } else {
     ++Counts.ReadsByReplica;
   }
@@ -200,26 +203,26 @@
                                const StatementRefusal &Why, Millis After) {
   Job->IsSent = false;
   Job->Connection.reset();
-  const Millis Now = Outside.Time.now();
+  const Millis Now = Deps.Time.now();
   if (++Job->Tries > MaxTries && Why.Code != RefusalCode::ReadOnly &&
       Why.Code != RefusalCode::Busy && Why.Code != RefusalCode::Unreachable)
     return finishRefused(Job, Why, "tried at several targets");
-  if (Now >= waitEnd(*Job))
+  if (Now >= effectiveQueueDeadline(*Job))
     return finishRefused(Job, Why, "no time for another try");
   ++Counts.Retries;
-  Moved.emit(*Job, Why);
+  Retried.emit(*Job, Why);
   Job->RetryAt = Now + After;
-  if (const CallerSessionPtr Session = Job->Of.lock())
-    place(*Session, *Job);
+  if (const CallerSessionPtr Session = Job->Session.lock())
+    choosePlacement(*Session, *Job);
   enqueue(Job);
 }
 
-void SessionPipeline::noGateway(const SessionJobPtr &Job,
-                                const TargetConnectionPtr &Used,
-                                const StatementRefusal &Why) {
+void SessionPipeline::retryThroughAnother(const SessionJobPtr &Job,
+                                          const TargetConnectionPtr &Used,
+                                          const StatementRefusal &Why) {
   if (TargetPool *Pool = poolOf(Used))
-    Pool->unreachable(Outside.Time.now());
-  Job->Avoid.insert(Used->to().Id);
+    Pool->recordUnreachable(Deps.Time.now());
+  Job->ExcludedTargets.insert(Used->address().Id);
   tryAgain(Job, Why, Millis(0));
 }
 
@@ -229,8 +232,9 @@
 //
 // Not while answers are slow everywhere: the gateway is then overloaded, and
 // retries add to its load.
-void SessionPipeline::noteDoubt(const TargetConnectionPtr &Silent) {
-  if (!AnswerTimes.isCalm())
+void SessionPipeline::handleKeepaliveTimeout(
+    const TargetConnectionPtr &Silent) {
+  if (!AnswerTimes.isUncongested())
     return;
   // A connection carries one statement at a time.
   const auto Found = std::find_if(Running.begin(), Running.end(),
@@ -239,47 +243,47 @@
                                   });
   if (Found == Running.end())
     return;
-  const CallerSessionPtr Session = (*Found)->Of.lock();
+  const CallerSessionPtr Session = (*Found)->Session.lock();
   if ((*Found)->Writes || !Session || Session->Transaction)
     return;
   const auto Taken = Running.extract(Found);
   const SessionJobPtr &Job = Taken.value();
   discard(Silent);
-  Job->WaitsSince = Outside.Time.now();
+  Job->WaitingSince = Deps.Time.now();
   tryAgain(Job,
-           refused(RefusalCode::Busy,
-                   "no sign of life on the way to target " + Silent->to().Id),
+           refused(RefusalCode::Busy, "no sign of life on the way to target " +
+                                          Silent->address().Id),
            Millis(0));
 }
 
 // The connection is gone or its answer overdue. What the caller may be told
 // depends on what had been sent: a promise that nothing is kept must be true
 // whatever the target did with it.
-void SessionPipeline::lost(const SessionJobPtr &Job,
-                           const std::string &Grounds) {
+void SessionPipeline::handleLostConnection(const SessionJobPtr &Job,
+                                           const std::string &Grounds) {
   Running.erase(Job);
-  const CallerSessionPtr Session = Job->Of.lock();
+  const CallerSessionPtr Session = Job->Session.lock();
   if (!Session)
     return;
   if (Session->Transaction &&
       (Session->Transaction->Connection || Job->IsSent)) {
     SessionTransaction &Within = *Session->Transaction;
-    const bool MayBeKept = Job->What.Kind == StatementKind::Commit &&
+    const bool MayBeKept = Job->Stmt.Kind == StatementKind::Commit &&
                            Job->IsSent && Within.HasWritten;
-    Job->At = SessionJob::Stage::Done;
+    Job->CurrentStage = SessionJob::Stage::Done;
     Session->Current.reset();
-    const bool Commits = Job->What.Kind == StatementKind::Commit;
+    const bool Commits = Job->Stmt.Kind == StatementKind::Commit;
     if (Commits) {
       Session->Transaction.reset();
       Session->Phase = SessionPhase::Idle;
     }
-    replyRefused(Session, Job->What,
+    replyRefused(Session, Job->Stmt,
                  MayBeKept ? refused(RefusalCode::Unknown,
                                      "the answer to the commit was lost")
                            : refused(RefusalCode::Aborted,
                                      "the transaction's connection was lost"),
                  Grounds);
-    if (Session->IsGone)
+    if (Session->IsClosed)
       rollBack(Session);
     return startNext(Session);
   }
@@ -288,9 +292,9 @@
         Job, refused(RefusalCode::Unknown, "the answer to the write was lost"),
         Grounds);
   if (Job->Connection)
-    Job->Avoid.insert(Job->Connection->to().Id);
-  if (AnswerTimes.isCalm())
-    Job->WaitsSince = Outside.Time.now();
+    Job->ExcludedTargets.insert(Job->Connection->address().Id);
+  if (AnswerTimes.isUncongested())
+    Job->WaitingSince = Deps.Time.now();
   tryAgain(Job, refused(RefusalCode::Busy, Grounds), Millis(0));
 }
 
@@ -298,12 +302,12 @@
                                     StatementRefusal Why,
                                     const std::string &Grounds) {
   Running.erase(Job);
-  Job->At = SessionJob::Stage::Done;
-  const CallerSessionPtr Session = Job->Of.lock();
+  Job->CurrentStage = SessionJob::Stage::Done;
+  const CallerSessionPtr Session = Job->Session.lock();
   if (!Session)
     return;
   Session->Current.reset();
-  replyRefused(Session, Job->What, std::move(Why), Grounds);
+  replyRefused(Session, Job->Stmt, std::move(Why), Grounds);
   startNext(Session);
 }
 
--- a/Source/Pipeline/StatementRuns.cpp
+++ b/Source/Pipeline/StatementRuns.cpp
@@ -9,16 +9,16 @@
 
 void SessionPipeline::run(const SessionJobPtr &Job,
                           const TargetConnectionPtr &On) {
-  const CallerSessionPtr Session = Job->Of.lock();
+  const CallerSessionPtr Session = Job->Session.lock();
   if (!Session) {
     release(On);
     return;
   }
-  Job->At = SessionJob::Stage::Running;
-  Job->SentAt = Outside.Time.now();
+  Job->CurrentStage = SessionJob::Stage::Running;
+  Job->SentAt = Deps.Time.now();
   Running.insert(Job);
-  Ticker.within(RunningInterval);
-  const bool AtLeader = Job->Where == Placement::Leader;
+  Ticker.requestWithin(RunningInterval);
+  const bool AtLeader = Job->Destination == Placement::Primary;
   if (Session->Transaction || (AtLeader && !Job->Writes))
     return openTransaction(Job, AtLeader);
   runStatement(Job, false);
@@ -32,26 +32,26 @@
 void SessionPipeline::openTransaction(const SessionJobPtr &Job, bool AtLeader) {
   if (Job->Connection->isShared())
     return openAndRun(Job, AtLeader);
-  const CallerSessionPtr Session = Job->Of.lock();
+  const CallerSessionPtr Session = Job->Session.lock();
   std::vector<TargetConnection::Step> Steps;
-  Job->Connection->adjust(Session->Values, Steps);
+  Job->Connection->appendValueSteps(Session->Values, Steps);
   Steps.push_back(openingStep(Job, AtLeader));
   Job->Connection->send(std::move(Steps));
 }
 
 TargetConnection::Step SessionPipeline::openingStep(const SessionJobPtr &Job,
                                                     bool AtLeader) {
-  Job->MayWait = queueTime(*Job);
-  const CallerSessionPtr Session = Job->Of.lock();
+  Job->MaxQueueTime = remainingQueueTime(*Job);
+  const CallerSessionPtr Session = Job->Session.lock();
   const bool IsAlone = !Session->Transaction;
-  return {{.What = AtLeader ? TargetCommand::Kind::Begin
-                            : TargetCommand::Kind::BeginRead,
-           .After = AtLeader ? std::nullopt : Job->Floor,
+  return {{.Operation = AtLeader ? TargetCommand::Kind::Begin
+                                 : TargetCommand::Kind::BeginRead,
+           .MinPosition = AtLeader ? std::nullopt : Job->Floor,
            .Priority = Job->Route.Priority,
-           .MayWait = Job->MayWait},
+           .MaxQueueTime = Job->MaxQueueTime},
           [this, Job, AtLeader, IsAlone](const StatementAnswer &Answer) {
             if (IsAlone)
-              leaderOpened(Job, Answer);
+              handlePrimaryOpened(Job, Answer);
             else
               transactionOpened(Job, AtLeader, Answer);
           }};
@@ -59,18 +59,18 @@
 
 void SessionPipeline::transactionOpened(const SessionJobPtr &Job, bool AtLeader,
                                         const StatementAnswer &Answer) {
-  if (Job->At != SessionJob::Stage::Running)
+  if (Job->CurrentStage != SessionJob::Stage::Running)
     return;
-  const CallerSessionPtr Session = Job->Of.lock();
-  if (AtLeader && lacksItsLog(Job, Answer))
-    return leaderHasShrunk(Job);
-  noteAnswer(Job, Answer, AtLeader);
+  const CallerSessionPtr Session = Job->Session.lock();
+  if (AtLeader && hasLostLog(Job, Answer))
+    return handleLostLog(Job);
+  recordAnswer(Job, Answer, AtLeader);
   if (Answer.Refusal || Answer.Phase != SessionPhase::InTransaction)
     return openingRefused(Job, Answer);
-  if (!Session || !Session->Transaction || Session->IsGone) {
+  if (!Session || !Session->Transaction || Session->IsClosed) {
     // The caller left meanwhile.
     Running.erase(Job);
-    Job->At = SessionJob::Stage::Done;
+    Job->CurrentStage = SessionJob::Stage::Done;
     if (Session)
       Session->Current.reset();
     SessionTransaction Unused;
@@ -78,8 +78,8 @@
     return endTransaction(std::move(Unused));
   }
   Session->Transaction->Connection = Job->Connection;
-  Session->Transaction->AtLeader = AtLeader;
-  Job->MayWait = Millis(0);
+  Session->Transaction->AtPrimary = AtLeader;
+  Job->MaxQueueTime = Millis(0);
   // A gateway sends the statement by itself.
   if (!Job->IsSent)
     runStatement(Job, false);
@@ -89,10 +89,10 @@
 // gateway sends the second only once the first has succeeded. A read alone is
 // followed by the end of its transaction.
 void SessionPipeline::openAndRun(const SessionJobPtr &Job, bool AtLeader) {
-  const CallerSessionPtr Session = Job->Of.lock();
+  const CallerSessionPtr Session = Job->Session.lock();
   const TargetConnectionPtr On = Job->Connection;
   std::vector<TargetConnection::Step> Steps;
-  On->adjust(Session->Values, Steps);
+  On->appendValueSteps(Session->Values, Steps);
   TargetCommand Own = commandOf(Job, Steps);
   Own.NeedsPrevious = true;
   // After a refused opening the job may be under way again elsewhere when the
@@ -119,21 +119,22 @@
   On->send(std::move(Steps));
 }
 
-bool SessionPipeline::lacksItsLog(const SessionJobPtr &Job,
-                                  const StatementAnswer &Answer) const {
+bool SessionPipeline::hasLostLog(const SessionJobPtr &Job,
+                                 const StatementAnswer &Answer) const {
   return !Answer.Refusal && Answer.Position &&
-         Outside.Floors.hasShrunk(Job->Route.Group, *Answer.Position,
+         Deps.Floors.isRegression(Job->Route.Group, *Answer.Position,
                                   Job->SentAt);
 }
 
 // As if it had said that it doesn't lead. Where a gateway has sent the
 // statement behind the opening already, its answer is for a try that is over.
-void SessionPipeline::leaderHasShrunk(const SessionJobPtr &Job) {
+void SessionPipeline::handleLostLog(const SessionJobPtr &Job) {
   if (TargetPool *Pool = poolOf(Job->Connection))
-    Pool->noteNotLeading(Outside.Time.now());
+    Pool->recordNotPrimary(Deps.Time.now());
   discard(Job->Connection);
-  lost(Job, "target " + Job->Connection->to().Id +
-                " has lost a part of its log and isn't believed to lead");
+  handleLostConnection(
+      Job, "target " + Job->Connection->address().Id +
+               " has lost a part of its log and isn't believed to lead");
 }
 
 void SessionPipeline::openingRefused(const SessionJobPtr &Job,
@@ -156,29 +157,29 @@
                                    const TargetConnectionPtr &On,
                                    const StatementRefusal &Why) {
   if (Why.Code == RefusalCode::Lagging) {
-    ++Job->Lagged;
-    Job->Avoid.insert(On->to().Id);
+    ++Job->LaggingRefusals;
+    Job->ExcludedTargets.insert(On->address().Id);
     return tryAgain(Job, Why, Millis(0));
   }
   if (Why.Code == RefusalCode::Unreachable)
-    return noGateway(Job, On, Why);
+    return retryThroughAnother(Job, On, Why);
   tryAgain(Job, Why, busyPause(*Job));
 }
 
-void SessionPipeline::leaderOpened(const SessionJobPtr &Job,
-                                   const StatementAnswer &Answer) {
-  if (Job->At != SessionJob::Stage::Running)
+void SessionPipeline::handlePrimaryOpened(const SessionJobPtr &Job,
+                                          const StatementAnswer &Answer) {
+  if (Job->CurrentStage != SessionJob::Stage::Running)
     return;
-  if (lacksItsLog(Job, Answer))
-    return leaderHasShrunk(Job);
+  if (hasLostLog(Job, Answer))
+    return handleLostLog(Job);
   if (!Answer.Refusal && Answer.Phase == SessionPhase::InTransaction) {
-    Job->MayWait = Millis(0);
+    Job->MaxQueueTime = Millis(0);
     // A gateway sends the statement by itself.
     if (!Job->IsSent)
       runStatement(Job, true);
     return;
   }
-  noteAnswer(Job, Answer, false);
+  recordAnswer(Job, Answer, false);
   openingRefused(Job, Answer);
 }
 
@@ -186,34 +187,34 @@
 SessionPipeline::commandOf(const SessionJobPtr &Job,
                            std::vector<TargetConnection::Step> &Before) {
   TargetCommand Out;
-  Out.Id = Job->What.Id;
-  Out.Text = Job->What.Text;
-  const CallerSessionPtr Session = Job->Of.lock();
+  Out.Id = Job->Stmt.Id;
+  Out.Text = Job->Stmt.Text;
+  const CallerSessionPtr Session = Job->Session.lock();
   const bool IsAlone = Session && !Session->Transaction;
-  if (IsAlone && Job->Where == Placement::Replica)
-    Out.After = Job->Floor;
-  if (IsAlone && (Job->Writes || Job->Where == Placement::Replica)) {
-    Job->MayWait = queueTime(*Job);
+  if (IsAlone && Job->Destination == Placement::AnyFresh)
+    Out.MinPosition = Job->Floor;
+  if (IsAlone && (Job->Writes || Job->Destination == Placement::AnyFresh)) {
+    Job->MaxQueueTime = remainingQueueTime(*Job);
     Out.Priority = Job->Route.Priority;
-    Out.MayWait = Job->MayWait;
+    Out.MaxQueueTime = Job->MaxQueueTime;
   }
-  if (Job->What.Kind == StatementKind::Execute && Session) {
-    Out.What = TargetCommand::Kind::Execute;
+  if (Job->Stmt.Kind == StatementKind::Execute && Session) {
+    Out.Operation = TargetCommand::Kind::Execute;
     Out.Name =
-        Job->Connection->prepare(Session->Prepared[Job->What.Name], Before);
-    Out.Text = Job->What.Arguments;
+        Job->Connection->prepare(Session->Prepared[Job->Stmt.Name], Before);
+    Out.Text = Job->Stmt.Arguments;
   }
   return Out;
 }
 
 void SessionPipeline::runStatement(const SessionJobPtr &Job,
                                    bool RollBackAfter) {
-  const CallerSessionPtr Session = Job->Of.lock();
+  const CallerSessionPtr Session = Job->Session.lock();
   const TargetConnectionPtr On = Job->Connection;
   if (!Session || !On)
     return;
   std::vector<TargetConnection::Step> Steps;
-  On->adjust(Session->Values, Steps);
+  On->appendValueSteps(Session->Values, Steps);
   TargetCommand Own = commandOf(Job, Steps);
   Steps.push_back({std::move(Own), [this, Job](const StatementAnswer &Answer) {
                      answered(Job, Answer);
@@ -221,7 +222,7 @@
   if (RollBackAfter)
     Steps.push_back(rollBackStep(On));
   Job->IsSent = true;
-  Job->SentAt = Outside.Time.now();
+  Job->SentAt = Deps.Time.now();
   On->send(std::move(Steps));
 }
 
--- a/Source/Pipeline/StatementWindow.h
+++ b/Source/Pipeline/StatementWindow.h
@@ -25,11 +25,11 @@
 class StatementWindow {
 public:
   /// A statement was answered \p Taken after it was sent.
-  void note(Millis Taken, Millis Now) {
+  void recordAnswerTime(Millis Taken, Millis Now) {
     const auto Last = std::max(static_cast<double>(Taken.count()), 1.0);
     Mean += Gain * (Last - Mean);
-    noteLeast(Last);
-    if (!isCrowded()) {
+    updateBaseline(Last);
+    if (!isCongested()) {
       Size = std::min(Size + 1 / Size, Largest);
       return;
     }
@@ -44,9 +44,11 @@
     return static_cast<double>(UnderWay) < Size;
   }
   /// True while statements wait inside the target.
-  bool isCrowded() const { return Least > 0 && Mean > Least * Crowded; }
+  bool isCongested() const {
+    return Baseline > 0 && Mean > Baseline * CongestionFactor;
+  }
   /// True where answers are known to come about as soon as the work allows.
-  bool isCalm() const { return Least > 0 && !isCrowded(); }
+  bool isUncongested() const { return Baseline > 0 && !isCongested(); }
   /// Mean time from sending to answer, in milliseconds.
   double mean() const { return Mean; }
 
@@ -54,12 +56,13 @@
   /// Answers of one kind differ by several times, and the least of a moving
   /// mean of ten is a matter of luck: it was half of the true mean, and targets
   /// that were well counted as crowded. Batches of more answers are nearer.
-  void noteLeast(double Last) {
+  void updateBaseline(double Last) {
     BatchSum += Last;
     if (++BatchSize < Batch)
       return;
     const double OfBatch = BatchSum / Batch;
-    Least = Least == 0 ? OfBatch : std::min(OfBatch, Least * (1 + Drift));
+    Baseline =
+        Baseline == 0 ? OfBatch : std::min(OfBatch, Baseline * (1 + Drift));
     BatchSum = 0;
     BatchSize = 0;
   }
@@ -74,13 +77,13 @@
   static constexpr double Drift = 0.015;
   /// Two statements wait for each that runs: a slot that comes free finds the
   /// next one there, though each proxy counts only its own.
-  static constexpr double Crowded = 2;
+  static constexpr double CongestionFactor = 2;
   static constexpr double Shrink = 0.8;
   /// More than a proxy has connections to one target.
   static constexpr double Largest = 64;
 
   double Mean = 5;
-  double Least = 0; ///< 0 before the first batch.
+  double Baseline = 0; ///< 0 before the first batch.
   double BatchSum = 0;
   int BatchSize = 0;
   double Size = 8;
--- a/Source/Pipeline/TargetConnection.cpp
+++ b/Source/Pipeline/TargetConnection.cpp
@@ -10,49 +10,50 @@
 TargetConnection::TargetConnection(TargetConnector &Connector,
                                    const TargetAddress &To, Millis Now,
                                    Events Handlers)
-    : To(To), Handlers(std::move(Handlers)), IdleSince(Now), OpenedAt(Now) {
+    : Address(To), Handlers(std::move(Handlers)), IdleSince(Now),
+      OpenedAt(Now) {
   Link = Connector.open(
       To, {[this] {
-             At = Stage::Idle;
+             CurrentStage = Stage::Idle;
              HasOpened = true;
              const auto Handler = this->Handlers.OnOpen;
              Handler();
            },
            [this](const StatementAnswer &Answer) { answered(Answer); },
            [this](const std::optional<StatementRefusal> &Why) { closed(Why); },
-           this->Handlers.OnSilent});
+           this->Handlers.OnKeepaliveTimeout});
   IsShared = Link->isShared();
 }
 
-void TargetConnection::adjust(const SessionValues &Wanted,
-                              std::vector<Step> &Out) {
-  if (carries(Wanted))
+void TargetConnection::appendValueSteps(const SessionValues &Wanted,
+                                        std::vector<Step> &Out) {
+  if (hasValues(Wanted))
     return;
-  bool Extends = ValuesKnown;
+  bool Extends = AreValuesValid;
   for (const auto &[Name, Value] : Values)
     Extends = Extends && Wanted.count(Name) != 0;
   if (!Extends) {
-    Out.push_back({{.What = TargetCommand::Kind::Reset}});
+    Out.push_back({{.Operation = TargetCommand::Kind::Reset}});
     Values.clear();
     Prepared.clear();
-    ValuesKnown = true;
+    AreValuesValid = true;
   }
   for (const auto &[Name, Value] : Wanted) {
     const auto Known = Values.find(Name);
     if (Known == Values.end() || Known->second != Value)
-      Out.push_back({{.What = TargetCommand::Kind::SetValue,
+      Out.push_back({{.Operation = TargetCommand::Kind::SetValue,
                       .Text = Value,
                       .Name = Name}});
   }
   Values = Wanted;
 }
 
-std::string TargetConnection::prepare(const PreparedShape &Shape,
+std::string TargetConnection::prepare(const PreparedStatement &Shape,
                                       std::vector<Step> &Out) {
   std::string &Name = Prepared[Shape];
   if (Name.empty()) {
     Name = "p" + std::to_string(NextName++);
-    Out.push_back({{.What = TargetCommand::Kind::Prepare,
+    Out.push_back({{.Operation = TargetCommand::Kind::Prepare,
                     .Text = Shape.Text,
                     .Name = Name}});
   }
@@ -64,20 +65,20 @@
   Commands.reserve(Steps.size());
   for (Step &Each : Steps) {
     Commands.push_back(std::move(Each.Command));
-    Awaited.push_back(std::move(Each.Handler));
+    PendingHandlers.push_back(std::move(Each.Handler));
   }
   if (Link)
     Link->send(Commands);
 }
 
 void TargetConnection::answered(const StatementAnswer &Answer) {
-  if (Awaited.empty()) {
+  if (PendingHandlers.empty()) {
     // An answer to nothing: the order of answers can't be trusted any more.
     closed(std::nullopt);
     return;
   }
-  const OnAnswer Handler = std::move(Awaited.front());
-  Awaited.pop_front();
+  const OnAnswer Handler = std::move(PendingHandlers.front());
+  PendingHandlers.pop_front();
   if (Handler)
     Handler(Answer);
   else if (Answer.Refusal)
@@ -85,26 +86,26 @@
 }
 
 void TargetConnection::closed(const std::optional<StatementRefusal> &Why) {
-  if (At == Stage::Closed)
+  if (CurrentStage == Stage::Closed)
     return;
-  At = Stage::Closed;
-  Awaited.clear();
+  CurrentStage = Stage::Closed;
+  PendingHandlers.clear();
   const auto Handler = std::exchange(Handlers, {}).OnClose;
   if (Handler)
     Handler(Why);
 }
 
 void TargetConnection::close() {
-  At = Stage::Closed;
+  CurrentStage = Stage::Closed;
   Handlers = {};
-  Awaited.clear();
+  PendingHandlers.clear();
   Link.reset();
 }
 
 void TargetConnection::setBusy(bool Busy, Millis Now) {
-  if (At == Stage::Closed)
+  if (CurrentStage == Stage::Closed)
     return;
-  At = Busy ? Stage::Busy : Stage::Idle;
+  CurrentStage = Busy ? Stage::Busy : Stage::Idle;
   if (!Busy)
     IdleSince = Now;
 }
--- a/Source/Pipeline/TargetConnection.h
+++ b/Source/Pipeline/TargetConnection.h
@@ -13,11 +13,11 @@
 namespace corianderdyke {
 
 /// A shape that a caller prepared.
-struct PreparedShape {
+struct PreparedStatement {
   std::string Text; ///< What is prepared, without the name.
   bool Writes = false;
 
-  auto operator<=>(const PreparedShape &) const = default;
+  auto operator<=>(const PreparedStatement &) const = default;
 };
 
 /// Remembers which session values and prepared names the target holds for
@@ -36,16 +36,16 @@
   struct Events {
     std::function<void()> OnOpen;
     std::function<void(std::optional<StatementRefusal>)> OnClose;
-    std::function<void()> OnSilent = nullptr; ///< As a link's.
+    std::function<void()> OnKeepaliveTimeout = nullptr; ///< As a link's.
   };
 
   TargetConnection(TargetConnector &Connector, const TargetAddress &To,
                    Millis Now, Events Handlers);
 
   /// Adds what gives this connection exactly these values.
-  void adjust(const SessionValues &Wanted, std::vector<Step> &Out);
+  void appendValueSteps(const SessionValues &Wanted, std::vector<Step> &Out);
   /// Adds what makes a shape known here; the name that it has here.
-  std::string prepare(const PreparedShape &Shape, std::vector<Step> &Out);
+  std::string prepare(const PreparedStatement &Shape, std::vector<Step> &Out);
   /// Sends steps in one write. One without a handler must succeed: where it
   /// fails the connection closes, since what the target holds for it isn't
   /// known any more.
@@ -53,14 +53,14 @@
   /// Ends it at once; no handler runs any more.
   void close();
   /// The values can't be relied on: the next use clears them.
-  void forgetValues() { ValuesKnown = false; }
-  bool carries(const SessionValues &Wanted) const {
-    return ValuesKnown && Values == Wanted;
+  void invalidateValues() { AreValuesValid = false; }
+  bool hasValues(const SessionValues &Wanted) const {
+    return AreValuesValid && Values == Wanted;
   }
 
-  const TargetAddress &to() const { return To; }
+  const TargetAddress &address() const { return Address; }
   bool isShared() const { return IsShared; }
-  Stage stage() const { return At; }
+  Stage stage() const { return CurrentStage; }
   void setBusy(bool Busy, Millis Now);
   Millis idleSince() const { return IdleSince; }
   Millis openedAt() const { return OpenedAt; }
@@ -71,18 +71,18 @@
   void answered(const StatementAnswer &Answer);
   void closed(const std::optional<StatementRefusal> &Why);
 
-  TargetAddress To;
+  TargetAddress Address;
   bool IsShared = false;
   Events Handlers;
   std::unique_ptr<TargetLink> Link;
-  Stage At = Stage::Opening;
+  Stage CurrentStage = Stage::Opening;
   SessionValues Values;
-  bool ValuesKnown = true;
+  bool AreValuesValid = true;
   /// Names at the target by shape; lost with a reset.
-  std::map<PreparedShape, std::string> Prepared;
+  std::map<PreparedStatement, std::string> Prepared;
   std::uint64_t NextName = 1;
   bool HasOpened = false;
-  std::deque<OnAnswer> Awaited;
+  std::deque<OnAnswer> PendingHandlers;
   Millis IdleSince;
   Millis OpenedAt;
 };
--- a/Source/Pipeline/TargetPool.cpp
+++ b/Source/Pipeline/TargetPool.cpp
@@ -9,10 +9,10 @@
 namespace corianderdyke {
 
 void TargetPool::update(const TargetRecord &New, Millis Now) {
-  if (beginsLife(New))
-    Seen = Observations(Now);
+  if (isNewIncarnation(New))
+    Observed = Observations(Now);
   if (New.IsLeaving && !Record.IsLeaving)
-    Seen.LeavingSince = Now;
+    Observed.LeavingSince = Now;
   Record = New;
 }
 
@@ -21,9 +21,10 @@
   TargetConnectionPtr Best;
   for (const TargetConnectionPtr &Each : All) {
     if (Each->stage() != TargetConnection::Stage::Idle ||
-        Each->to().IsOwnWork || Each->to().Organisation != Organisation)
+        Each->address().IsInternal ||
+        Each->address().Organisation != Organisation)
       continue;
-    if (Each->carries(Wanted))
+    if (Each->hasValues(Wanted))
       return Each;
     if (!Best || Each->idleSince() > Best->idleSince())
       Best = Each;
@@ -33,11 +34,11 @@
 
 // A link to shared connections takes one of its own organisation with each
 // statement, so only one that is marked keeps questions from waiting for that.
-TargetConnectionPtr TargetPool::idleForOwnWork() const {
+TargetConnectionPtr TargetPool::idleForInternalUse() const {
   TargetConnectionPtr Best;
   for (const TargetConnectionPtr &Each : All)
     if (Each->stage() == TargetConnection::Stage::Idle &&
-        (!IsShared || !IsDivided || Each->to().IsOwnWork) &&
+        (!IsShared || !IsPerOrganisation || Each->address().IsInternal) &&
         (!Best || Each->idleSince() > Best->idleSince()))
       Best = Each;
   return Best;
@@ -45,14 +46,14 @@
 
 std::size_t TargetPool::size(const std::string &Organisation) const {
   return count([&](const TargetConnection &Each) {
-    return Each.to().Organisation == Organisation;
+    return Each.address().Organisation == Organisation;
   });
 }
 
 std::size_t TargetPool::opening(const std::string &Organisation) const {
   return count([&](const TargetConnection &Each) {
     return Each.stage() == TargetConnection::Stage::Opening &&
-           Each.to().Organisation == Organisation;
+           Each.address().Organisation == Organisation;
   });
 }
 
@@ -61,30 +62,30 @@
   TargetConnectionPtr Longest;
   for (const TargetConnectionPtr &Each : All)
     if (Each->stage() == TargetConnection::Stage::Idle &&
-        Each->to().Organisation != Organisation &&
+        Each->address().Organisation != Organisation &&
         (!Longest || Each->idleSince() < Longest->idleSince()))
       Longest = Each;
   return Longest;
 }
 
-std::size_t TargetPool::mostConnections() const {
-  return IsShared ? MaxLinks : Seen.Limit.value_or(Share + Burst);
+std::size_t TargetPool::connectionLimit() const {
+  return IsShared ? MaxLinks : Observed.Limit.value_or(Share + Burst);
 }
 
 void TargetPool::setShared(bool New, Millis Now) {
   if (std::exchange(IsShared, New) != New)
-    tend(Now);
+    maintain(Now);
 }
 
 bool TargetPool::mayOpen(const std::string &Organisation, Millis Now) const {
-  if (isAvoided(Now) || (!IsShared && Now < Seen.OpenAgainAt))
+  if (isBackingOff(Now) || (!IsShared && Now < Observed.NextOpenAt))
     return false;
-  return All.size() < mostConnections() || replaceable(Organisation);
+  return All.size() < connectionLimit() || replaceable(Organisation);
 }
 
 void TargetPool::open(TargetConnector &Connector, const ConnectionPurpose &For,
                       Millis Now, OpenHandlers Handlers) {
-  if (All.size() >= mostConnections())
+  if (All.size() >= connectionLimit())
     if (const TargetConnectionPtr Replaced = replaceable(For.Organisation)) {
       Replaced->close();
       remove(Replaced);
@@ -93,7 +94,7 @@
   auto Made = std::make_shared<TargetConnection>(
       Connector,
       TargetAddress{Record.Group, Record.Id, Record.Address, For.Organisation,
-                    For.IsOwnWork},
+                    For.IsInternal},
       Now,
       TargetConnection::Events{
           [Weak, OnOpen = std::move(Handlers.OnOpen)] {
@@ -105,7 +106,7 @@
             if (const TargetConnectionPtr Gone = Weak->lock())
               OnClose(Gone, Why);
           },
-          [Weak, OnSilent = std::move(Handlers.OnSilent)] {
+          [Weak, OnSilent = std::move(Handlers.OnKeepaliveTimeout)] {
             const TargetConnectionPtr Silent = Weak->lock();
             if (Silent && OnSilent)
               OnSilent(Silent);
@@ -114,14 +115,14 @@
   All.push_back(std::move(Made));
 }
 
-bool TargetPool::noteClosed(const TargetConnectionPtr &Gone,
-                            const std::optional<StatementRefusal> &Why,
-                            Millis Now) {
+bool TargetPool::handleClosed(const TargetConnectionPtr &Gone,
+                              const std::optional<StatementRefusal> &Why,
+                              Millis Now) {
   remove(Gone);
   if (isAtLimit(Why))
-    refusedConnection(Now);
+    recordConnectionRefused(Now);
   else if (!Gone->hasOpened())
-    unreachable(Now);
+    recordUnreachable(Now);
   return !Gone->hasOpened() && (!Why || Why->Code == RefusalCode::Misrouted);
 }
 
@@ -135,39 +136,42 @@
   return All;
 }
 
-void TargetPool::refusedConnection(Millis Now) {
-  Seen.Limit = std::max<std::size_t>(1, All.size());
-  Seen.LimitRaisedAt = Now;
-  Seen.OpenAgainAt = Now + RefusedPause;
+void TargetPool::recordConnectionRefused(Millis Now) {
+  Observed.Limit = std::max<std::size_t>(1, All.size());
+  Observed.LimitRaisedAt = Now;
+  Observed.NextOpenAt = Now + RefusedPause;
 }
 
-void TargetPool::unreachable(Millis Now) {
-  Seen.LastAvoid = Seen.LastAvoid == Millis()
-                       ? FirstAvoid
-                       : std::min(Seen.LastAvoid * 2, LongestAvoid);
-  Seen.AvoidUntil = Now + Seen.LastAvoid;
+void TargetPool::recordUnreachable(Millis Now) {
+  Observed.LastBackoff = Observed.LastBackoff == Millis()
+                             ? InitialBackoff
+                             : std::min(Observed.LastBackoff * 2, MaxBackoff);
+  Observed.BackoffUntil = Now + Observed.LastBackoff;
 }
 
-void TargetPool::reached(Millis Now) {
-  Seen.LastAnswer = Now;
-  Seen.LastAvoid = Millis();
-  Seen.AvoidUntil = Millis();
+void TargetPool::recordReachable(Millis Now) {
+  Observed.LastAnswer = Now;
+  Observed.LastBackoff = Millis();
+  Observed.BackoffUntil = Millis();
 }
 
-void TargetPool::tend(Millis Now) {
-  const Millis Recovery = IsDivided ? LimitRecoveryWhereDivided : LimitRecovery;
-  if (Seen.Limit && Now - Seen.LimitRaisedAt >= Recovery) {
-    Seen.LimitRaisedAt = Now;
-    if (++*Seen.Limit >= Share + Burst)
-      Seen.Limit.reset();
+void TargetPool::maintain(Millis Now) {
+  const Millis Recovery =
+      IsPerOrganisation ? LimitRecoveryWhereDivided : LimitRecovery;
+  if (Observed.Limit && Now - Observed.LimitRaisedAt >= Recovery) {
+    Observed.LimitRaisedAt = Now;
+    if (++*Observed.Limit >= Share + Burst)
+      Observed.Limit.reset();
   }
   if (All.empty())
     return;
-  const bool ServesOn =
-      Record.IsLeaving ? Record.IsPrimary && mayTakeWork(Now) : !Record.IsGone;
-  const std::size_t Kept = ServesOn ? kept() : 0;
-  const Millis IdleBorne =
-      IsDivided && IsPressed && !IsRetiring ? IdleWherePressed : IdleBeyondWarm;
+  const bool ServesOn = Record.IsLeaving
+                            ? Record.IsPrimary && acceptsNewWork(Now)
+                            : !Record.IsGone;
+  const std::size_t Kept = ServesOn ? minWarmConnections() : 0;
+  const Millis IdleBorne = IsPerOrganisation && IsSaturated && !IsRetiring
+                               ? SaturatedIdleTimeout
+                               : IdleTimeout;
   std::vector<TargetConnectionPtr> Before = All;
   // The one that was idle for longest goes first; links all stay or all go.
   if (!IsShared)
--- a/Source/Pipeline/WaitForecast.h
+++ b/Source/Pipeline/WaitForecast.h
@@ -20,21 +20,23 @@
 class WaitForecast {
 public:
   /// A statement left the queue for a target while \p Behind still waited.
-  void noteLeft(std::size_t Behind, Millis Now) {
+  void recordDeparture(std::size_t Behind, Millis Now) {
     if (IsBacklogged)
-      Pace += Gain * (static_cast<double>((Now - LastLeft).count()) - Pace);
+      MeanInterval +=
+          Gain * (static_cast<double>((Now - LastLeft).count()) - MeanInterval);
     LastLeft = Now;
     IsBacklogged = Behind > 0;
   }
 
   /// The expected wait behind \p Ahead others. The time since the last one
   /// left counts: a target that has stopped doesn't look fast.
-  Millis expected(std::size_t Ahead, Millis Now) const {
+  Millis expectedWait(std::size_t Ahead, Millis Now) const {
     if (Ahead == 0)
       return Millis(0);
     const double Since =
         IsBacklogged ? static_cast<double>((Now - LastLeft).count()) : 0;
-    const double Each = std::max(Pace, Since / static_cast<double>(Ahead + 1));
+    const double Each =
+        std::max(MeanInterval, Since / static_cast<double>(Ahead + 1));
     return Millis(static_cast<std::int64_t>(Each * static_cast<double>(Ahead)));
   }
 
@@ -44,7 +46,8 @@
 
   bool IsBacklogged = false;
   Millis LastLeft;
-  double Pace = 2; ///< Milliseconds from one to the next while some wait.
+  double MeanInterval =
+      2; ///< Milliseconds from one to the next while some wait.
 };
 
 } // namespace corianderdyke
--- a/Source/Plan/RoutePlan.cpp
+++ b/Source/Plan/RoutePlan.cpp
@@ -26,9 +26,9 @@
   std::map<std::string, std::string> Holders; // By key.
   for (const PlannedOrganisation &Each : All) {
     const std::string Where = "organisation '" + Each.Name + "': ";
-    if (!isWord(Each.Name) || Each.Name == PublicCallers)
+    if (!isWord(Each.Name) || Each.Name == PublicOrganisation)
       Out.push_back(Where + "the name must be one word other than '" +
-                    PublicCallers + "'");
+                    PublicOrganisation + "'");
     if (!Names.insert(Each.Name).second)
       Out.push_back(Where + "the name is used twice");
     if (Each.Limit && (Each.Limit->PerSecond < 0 || Each.Limit->Burst < 0))
@@ -47,7 +47,7 @@
 
 } // namespace
 
-std::vector<std::string> faultsOf(const RoutePlan &Plan) {
+std::vector<std::string> validationErrors(const RoutePlan &Plan) {
   std::vector<std::string> Out;
   if (Plan.Version == 0)
     Out.emplace_back("the version must be 1 or more");
--- a/Source/Plan/RoutePlan.h
+++ b/Source/Plan/RoutePlan.h
@@ -19,9 +19,9 @@
 
 /// What a read must not miss.
 enum class Freshness : std::uint8_t {
-  Primary,        ///< Any commit acknowledged before the read.
-  Bounded,        ///< Any acknowledged longer ago than the accepted age.
-  ReadYourWrites, ///< As Bounded, and any commit of the same session.
+  Primary,          ///< Any commit acknowledged before the read.
+  BoundedStaleness, ///< Any acknowledged longer ago than the accepted age.
+  ReadYourWrites,   ///< As Bounded, and any commit of the same session.
 };
 
 /// How statements to one database name are served.
@@ -30,7 +30,7 @@
   std::string Database; ///< As callers name it.
   std::string Prefix;
   Freshness Reads = Freshness::Primary;
-  Millis AcceptedAge;         ///< Of reads; not for Primary.
+  Millis MaxStaleness;        ///< Of reads; not for Primary.
   Millis StatementTimeout;    ///< Of one statement.
   Millis Objective;           ///< Of a whole operation.
   std::uint32_t Priority = 0; ///< 0 is the highest.
@@ -40,7 +40,7 @@
 
   auto operator<=>(const RoutePolicy &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Name, Database, Prefix, Reads, AcceptedAge, StatementTimeout, Objective,
+    Ar(Name, Database, Prefix, Reads, MaxStaleness, StatementTimeout, Objective,
        Priority, Group, MaxAttempts, IsPublic);
   }
 };
@@ -52,13 +52,13 @@
 
   /// Connections to a target that all proxies may hold together, one at least.
   std::size_t usableConnections() const {
-    return std::max<std::size_t>(MaxConnections, SpareConnections + 1) -
-           SpareConnections;
+    return std::max<std::size_t>(MaxConnections, ReservedConnections + 1) -
+           ReservedConnections;
   }
 
   /// Left for control, and for those that the target hasn't noticed to be
   /// closed.
-  static constexpr std::size_t SpareConnections = 2;
+  static constexpr std::size_t ReservedConnections = 2;
 
   auto operator<=>(const GroupPolicy &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
@@ -76,7 +76,7 @@
 };
 
 /// In place of an organisation, for callers of public routes.
-constexpr const char *PublicCallers = "-";
+constexpr const char *PublicOrganisation = "-";
 
 /// A customer, known by the keys that its callers open sessions with.
 struct PlannedOrganisation {
@@ -100,18 +100,19 @@
   std::vector<GroupPolicy> Groups;
   /// Empty: callers need no key, and targets are told of no organisation.
   std::vector<PlannedOrganisation> Organisations;
-  Millis TransactionIdle = Millis(3000);
+  Millis TransactionIdleTimeout = Millis(3000);
   /// The operator's own document, to be shown again in full.
   std::string Document;
 
   bool operator==(const RoutePlan &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Version, Routes, Groups, Organisations, TransactionIdle, Document);
+    Ar(Version, Routes, Groups, Organisations, TransactionIdleTimeout,
+       Document);
   }
 };
 
 /// All that keeps a plan from being accepted; empty where nothing does.
-std::vector<std::string> faultsOf(const RoutePlan &Plan);
+std::vector<std::string> validationErrors(const RoutePlan &Plan);
 
 } // namespace corianderdyke
 
--- a/Source/Proxy/AnswerJudge.cpp
+++ b/Source/Proxy/AnswerClassifier.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Judges what a target's answer proves about a statement.
 
-#include "Proxy/AnswerJudge.h"
+#include "Proxy/AnswerClassifier.h"
 
 #include "Proxy/TargetProtocol.h"
 
@@ -11,25 +11,25 @@
 
 constexpr int StatusOk = 200;
 
-Verdict refusalOf(const std::string &Reason) {
+AnswerClass refusalOf(const std::string &Reason) {
   if (Reason == target_reason::OtherTerm || Reason == target_reason::NotPrimary)
-    return Verdict::OtherTerm;
+    return AnswerClass::TermMismatch;
   if (Reason == target_reason::Behind)
-    return Verdict::Behind;
+    return AnswerClass::BehindFloor;
   if (Reason == target_reason::NotConnected)
-    return Verdict::Stale;
-  return Verdict::Refused;
+    return AnswerClass::NotConnected;
+  return AnswerClass::Refused;
 }
 
 } // namespace
 
-Verdict judge(const Expected<HttpResponse> &Answer) {
+AnswerClass classifyAnswer(const Expected<HttpResponse> &Answer) {
   if (!Answer || Answer->header(target_header::Term).empty())
-    return Verdict::Lost;
+    return AnswerClass::NoAnswer;
   const std::string &Reason = Answer->header(target_header::Reason);
   if (!Reason.empty())
     return refusalOf(Reason);
-  return Answer->Status == StatusOk ? Verdict::Ran : Verdict::Failed;
+  return Answer->Status == StatusOk ? AnswerClass::Ran : AnswerClass::Failed;
 }
 
 } // namespace corianderdyke
--- a/Source/Proxy/ConnectionPlan.cpp
+++ b/Source/Proxy/ConcurrencyLimiter.cpp
@@ -1,71 +1,79 @@
 /// \file
 /// How many statements a proxy has under way at each target.
 
-#include "Proxy/ConnectionPlan.h"
+#include "Proxy/ConcurrencyLimiter.h"
 
 #include <algorithm>
 
 namespace corianderdyke {
 
-void ConnectionPlan::noteSent(const std::string &Target, bool Begins) {
-  Sent &Of = UnderWay[Target];
+void ConcurrencyLimiter::recordSent(const std::string &Target,
+                                    bool BeginsTransaction) {
+  InFlightCounts &Of = InFlight[Target];
   ++Of.All;
-  Of.Begins += Begins ? 1 : 0;
+  Of.Begins += BeginsTransaction ? 1 : 0;
 }
 
-void ConnectionPlan::noteAnswered(const std::string &Target, bool Begins) {
-  Sent &Of = UnderWay[Target];
+void ConcurrencyLimiter::recordAnswered(const std::string &Target,
+                                        bool Begins) {
+  InFlightCounts &Of = InFlight[Target];
   --Of.All;
   Of.Begins -= Begins ? 1 : 0;
 }
 
-ConnectionPlan::Sent ConnectionPlan::sentTo(const std::string &Target) const {
-  const auto Found = UnderWay.find(Target);
-  return Found == UnderWay.end() ? Sent() : Found->second;
+ConcurrencyLimiter::InFlightCounts
+ConcurrencyLimiter::inFlightCounts(const std::string &Target) const {
+  const auto Found = InFlight.find(Target);
+  return Found == InFlight.end() ? InFlightCounts() : Found->second;
 }
 
-TargetCapacity ConnectionPlan::capacityOf(const std::string &Database) const {
+TargetCapacity
+ConcurrencyLimiter::capacityOf(const std::string &Database) const {
   const DatabasePolicy *Policy =
-      View.Current ? View.Current->database(Database) : nullptr;
+      View.CurrentManifest ? View.CurrentManifest->database(Database) : nullptr;
   return Policy == nullptr ? TargetCapacity()
                            : TargetCapacity{Policy->SlotsPerTarget,
                                             Policy->ConnectionsPerTarget};
 }
 
-std::size_t ConnectionPlan::underWay(const std::string &Target) const {
+std::size_t
+ConcurrencyLimiter::pendingStatements(const std::string &Target) const {
   const auto Pool = Pools.find(Target);
-  return sentTo(Target).All + (Pool ? Pool->waiting() : 0);
+  return inFlightCounts(Target).All + (Pool ? Pool->waiting() : 0);
 }
 
-std::size_t ConnectionPlan::pinned(const std::string &Target) const {
+std::size_t ConcurrencyLimiter::pinned(const std::string &Target) const {
   const auto Pool = Pools.find(Target);
-  const Sent Of = sentTo(Target);
+  const InFlightCounts Of = inFlightCounts(Target);
   return Pool->inUse() + Pool->waiting() - (Of.All - Of.Begins);
 }
 
 /// Callers who think between two statements would stop everyone else at this
 /// proxy. An even part of the connections can always be had, whatever the
 /// others want; one of it stays free of transactions where it's two or more.
-std::size_t ConnectionPlan::mostTransactions(const TargetCapacity &Of) const {
+std::size_t
+ConcurrencyLimiter::maxTransactions(const TargetCapacity &Of) const {
   const std::size_t Proxies = std::max<std::size_t>(View.Proxies.size(), 1);
   return std::max<std::size_t>(Of.Connections / Proxies, 2) - 1;
 }
 
-bool ConnectionPlan::hasRoom(const std::string &Target,
-                             const std::string &Database, bool Begins) const {
+bool ConcurrencyLimiter::hasCapacity(const std::string &Target,
+                                     const std::string &Database,
+                                     bool Begins) const {
   const auto Pool = Pools.find(Target);
   if (!Pool)
     return true;
   if (Pool->inUse() + Pool->waiting() >= Pool->limit())
     return false;
   const TargetCapacity Capacity = capacityOf(Database);
-  if (Begins && pinned(Target) >= mostTransactions(Capacity))
+  if (Begins && pinned(Target) >= maxTransactions(Capacity))
     return false;
-  return underWay(Target) <
-         statementsAtOnce(static_cast<std::uint32_t>(Pool->limit()), Capacity);
+  return pendingStatements(Target) <
+         maxConcurrentStatements(static_cast<std::uint32_t>(Pool->limit()),
+                                 Capacity);
 }
 
-std::map<std::string, ConnectionUse> ConnectionPlan::use() const {
+std::map<std::string, ConnectionUse> ConcurrencyLimiter::connectionUse() const {
   std::map<std::string, ConnectionUse> Out;
   for (const std::string &Name : Pools.targets()) {
     const TargetAnnouncement *Known = View.target(Name);
@@ -79,7 +87,7 @@
         (Queues.queued(Known->Database, Access::Read) + Others - 1) / Others;
     if (Group != nullptr && Group->Primary == Name)
       Queued += Queues.queued(Known->Database, Access::Write);
-    const std::size_t Statements = underWay(Name);
+    const std::size_t Statements = pendingStatements(Name);
     const std::size_t InTransactions =
         Pool->inUse() - std::min(Pool->inUse(), Statements);
     Out[Name] = {static_cast<std::uint32_t>(Pool->total()),
@@ -90,7 +98,7 @@
   return Out;
 }
 
-bool ConnectionPlan::isShort() const {
+bool ConcurrencyLimiter::needsConnections() const {
   for (const QueueStatus &Each : Queues.status())
     if (Each.Queued > 0)
       return true;
--- a/Source/Proxy/ConnectionPool.cpp
+++ b/Source/Proxy/ConnectionPool.cpp
@@ -16,14 +16,14 @@
 
 void PooledConnection::close() {
   if (Connection)
-    Pool->giveBack(std::move(Connection), Reusable);
+    Pool->release(std::move(Connection), Reusable);
 }
 
 ConnectionPool::Ticket ConnectionPool::acquire(Handler OnReady) {
   const Ticket Id = NextId++;
   Waiting.push_back({Id, std::move(OnReady)});
-  Refused = false;
-  serve();
+  OpeningFailed = false;
+  serveWaiters();
   return Id;
 }
 
@@ -35,23 +35,23 @@
     Waiting.erase(Found);
 }
 
-void ConnectionPool::giveBack(std::unique_ptr<HttpConnection> Used,
-                              bool Reusable) {
+void ConnectionPool::release(std::unique_ptr<HttpConnection> Used,
+                             bool Reusable) {
   --Busy;
-  Refused = false;
+  OpeningFailed = false;
   if (Reusable && total() < Limit)
     Idle.push_back(std::move(Used));
-  serve();
+  serveWaiters();
 }
 
 void ConnectionPool::setLimit(std::size_t NewLimit) {
   Limit = NewLimit;
   while (total() > Limit && !Idle.empty())
     Idle.pop_back();
-  serve();
+  serveWaiters();
 }
 
-void ConnectionPool::serve() {
+void ConnectionPool::serveWaiters() {
   const auto Self = shared_from_this();
   while (!Waiting.empty() && !Idle.empty()) {
     const Handler Next = std::move(Waiting.front().OnReady);
@@ -61,11 +61,11 @@
     Idle.pop_back();
     Next(PooledConnection(Self, std::move(Free)));
   }
-  while (!Refused && Opening.size() < Waiting.size() && total() < Limit)
-    openOne();
+  while (!OpeningFailed && Opening.size() < Waiting.size() && total() < Limit)
+    openConnection();
 }
 
-void ConnectionPool::openOne() {
+void ConnectionPool::openConnection() {
   const std::uint64_t Id = NextId++;
   const auto &Made = Opening[Id] = Connector.connect(To);
   HttpRequest Hello;
@@ -75,20 +75,20 @@
       std::move(Hello), OpenTimeout,
       [Weak = weak_from_this(), Id](const Expected<HttpResponse> &Answer) {
         if (const auto Self = Weak.lock())
-          Self->opened(Id, Answer);
+          Self->handleOpened(Id, Answer);
       });
 }
 
-void ConnectionPool::opened(std::uint64_t Id,
-                            const Expected<HttpResponse> &Answer) {
+void ConnectionPool::handleOpened(std::uint64_t Id,
+                                  const Expected<HttpResponse> &Answer) {
   std::unique_ptr<HttpConnection> Made = std::move(Opening[Id]);
   Opening.erase(Id);
   if (Answer && Answer->Status == StatusOk) {
     Idle.push_back(std::move(Made));
-    serve();
+    serveWaiters();
     return;
   }
-  Refused = true;
+  OpeningFailed = true;
   if (total() != 0)
     return;
   // Nothing is open and nothing will come back: whoever waits would wait for
--- a/Source/Proxy/ConnectionPool.h
+++ b/Source/Proxy/ConnectionPool.h
@@ -53,10 +53,10 @@
     Handler OnReady;
   };
 
-  void giveBack(std::unique_ptr<HttpConnection> Used, bool Reusable);
-  void serve();
-  void openOne();
-  void opened(std::uint64_t Id, const Expected<HttpResponse> &Answer);
+  void release(std::unique_ptr<HttpConnection> Used, bool Reusable);
+  void serveWaiters();
+  void openConnection();
+  void handleOpened(std::uint64_t Id, const Expected<HttpResponse> &Answer);
 
   HttpConnector &Connector;
   Endpoint To;
@@ -68,7 +68,7 @@
   std::uint64_t NextId = 1;
   /// The target refused the last opening: the server is full whatever our
   /// limit says. Waiters then wait for a connection that comes back.
-  bool Refused = false;
+  bool OpeningFailed = false;
 };
 
 /// A connection in use. It's closed when this ends, unless its user marked it
--- a/Source/Proxy/DurabilityGate.cpp
+++ b/Source/Proxy/DurabilityGate.cpp
@@ -16,7 +16,7 @@
   return Id;
 }
 
-void DurabilityGate::check() {
+void DurabilityGate::resolveHeldWrites() {
   std::vector<std::pair<Handler, Durability>> Settled;
   for (auto Each = Held.begin(); Each != Held.end();) {
     const Durability Now = durability(Each->second.Write);
@@ -34,11 +34,12 @@
 Durability DurabilityGate::durability(const PendingWrite &Write) const {
   const GroupRecord *Group = View.group(Write.Database);
   const DatabasePolicy *Policy =
-      View.Current ? View.Current->database(Write.Database) : nullptr;
+      View.CurrentManifest ? View.CurrentManifest->database(Write.Database)
+                           : nullptr;
   if (Group == nullptr || Policy == nullptr || Group->Term != Write.Term ||
       !Group->hasPrimary())
     return Durability::Superseded;
-  return Table.copies(*Group, Write.Position) < Policy->Copies
+  return Table.countCopies(*Group, Write.Position) < Policy->AcknowledgedCopies
              ? Durability::Pending
              : Durability::Durable;
 }
--- a/Source/Proxy/DurabilityGate.h
+++ b/Source/Proxy/DurabilityGate.h
@@ -44,7 +44,7 @@
   void cancel(Ticket Id) { Held.erase(Id); }
 
   /// Settles what can be settled after news from targets or a new view.
-  void check();
+  void resolveHeldWrites();
 
   std::size_t size() const { return Held.size(); }
 
--- a/Source/Proxy/GracefulStop.cpp
+++ b/Source/Proxy/GracefulStop.cpp
@@ -5,11 +5,11 @@
 
 namespace corianderdyke {
 
-bool GracefulStop::isDone(OpenWork Left, Millis Now) {
+bool GracefulStop::update(OpenWork Left, Millis Now) {
   if (intake(Now) != Intake::Closed || Left.Statements != 0 ||
       Left.Transactions != 0)
     LastWork = Now;
-  return Now - LastWork >= Quiet;
+  return Now - LastWork >= QuietPeriod;
 }
 
 } // namespace corianderdyke
--- a/Source/Proxy/GracefulStop.h
+++ b/Source/Proxy/GracefulStop.h
@@ -34,22 +34,25 @@
 class GracefulStop {
 public:
   /// Without work for this long the last answers have left the process.
-  static constexpr Millis Quiet = Millis(50);
+  static constexpr Millis QuietPeriod = Millis(50);
 
-  /// \p Notice is how long the balancer may take to see that the proxy isn't
-  /// ready.
-  GracefulStop(Millis Now, Millis Notice, Millis TransactionBound)
-      : ClosesAt(Now + Notice), TransactionsEndAt(Now + TransactionBound) {}
+  /// \p ReadinessDelay is how long the balancer may take to see that the proxy
+  /// isn't ready.
+  GracefulStop(Millis Now, Millis ReadinessDelay, Millis TransactionBound)
+      : ClosesAt(Now + ReadinessDelay),
+        TransactionsEndAt(Now + TransactionBound) {}
 
   Intake intake(Millis Now) const {
     return Now < ClosesAt ? Intake::NoNewTransactions : Intake::Closed;
   }
 
   /// True when open transactions are to be rolled back as they fall idle.
-  bool endsTransactions(Millis Now) const { return Now >= TransactionsEndAt; }
+  bool rollsBackIdleTransactions(Millis Now) const {
+    return Now >= TransactionsEndAt;
+  }
 
   /// Takes in what is open; true once the process may end.
-  bool isDone(OpenWork Left, Millis Now);
+  bool update(OpenWork Left, Millis Now);
 
 private:
   Millis ClosesAt;
--- a/Source/Proxy/PrimaryPatience.cpp
+++ b/Source/Proxy/PrimaryWaitLimit.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Decides how long a statement may wait for a change of primary.
 
-#include "Proxy/PrimaryPatience.h"
+#include "Proxy/PrimaryWaitLimit.h"
 
 namespace corianderdyke {
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void PrimaryPatience::update(const ClusterView &View, Millis Now) {
+void PrimaryWaitLimit::update(const ClusterView &View, Millis Now) {
   for (const auto &[Name, Group] : View.Groups) {
     if (Group.isWritable())
       WithoutPrimarySince.erase(Name);
@@ -21,13 +21,15 @@
   }
 }
 
-Millis PrimaryPatience::until(const ClusterView &View,
-                              const std::string &Database, Millis Now) const {
+Millis PrimaryWaitLimit::waitDeadline(const ClusterView &View,
+                                      const std::string &Database,
+                                      Millis Now) const {
   const GroupRecord *Group = View.group(Database);
-  if (Group == nullptr || !View.Current || Group->Phase == GroupPhase::Forming)
+  if (Group == nullptr || !View.CurrentManifest ||
+      Group->Phase == GroupPhase::Forming)
     return Now;
-  const Millis Span = (View.Current->Failover.SuspectAfter +
-                       View.Current->Failover.LeaseDuration) *
+  const Millis Span = (View.CurrentManifest->Failover.SuspectAfter +
+                       View.CurrentManifest->Failover.LeaseDuration) *
                       OrdinaryChanges;
   const auto Since = WithoutPrimarySince.find(Database);
   return (Since == WithoutPrimarySince.end() ? Now : Since->second) + Span;
--- a/Source/Proxy/PrimaryPatience.h
+++ b/Source/Proxy/PrimaryWaitLimit.h
@@ -1,8 +1,8 @@
 /// \file
 /// Decides how long a statement may wait for a change of primary.
 
-#ifndef CORIANDERDYKE_PROXY_PRIMARYPATIENCE_H
-#define CORIANDERDYKE_PROXY_PRIMARYPATIENCE_H
+#ifndef CORIANDERDYKE_PROXY_PRIMARYWAITLIMIT_H
+#define CORIANDERDYKE_PROXY_PRIMARYWAITLIMIT_H
 
 #include "State/ClusterView.h"
 
@@ -13,15 +13,15 @@
 /// that waits sees a slow answer in place of a refusal. Once the change takes
 /// much longer than that, something is missing that waiting doesn't bring,
 /// and every caller would wait its whole patience for a refusal.
-class PrimaryPatience {
+class PrimaryWaitLimit {
 public:
   /// Notes which databases have no primary.
   void update(const ClusterView &View, Millis Now);
 
   /// Until when a statement that can't reach the primary at \p Now may wait;
   /// not after \p Now where it's better refused at once.
-  Millis until(const ClusterView &View, const std::string &Database,
-               Millis Now) const;
+  Millis waitDeadline(const ClusterView &View, const std::string &Database,
+                      Millis Now) const;
 
 private:
   std::map<std::string, Millis> WithoutPrimarySince;
--- a/Source/Proxy/ProxyNode.cpp
+++ b/Source/Proxy/ProxyNode.cpp
@@ -3,7 +3,7 @@
 
 #include "Proxy/ProxyNode.h"
 
-#include "Common/KeyedDigest.h"
+#include "Common/Cryptography.h"
 
 #include <algorithm>
 
@@ -32,15 +32,15 @@
 
 } // namespace
 
-ProxyNode::ProxyNode(const Settings &Options, ProxyPorts Ports,
+ProxyNode::ProxyNode(const Settings &Options, ProxyDependencies Deps,
                      std::uint64_t Incarnation)
-    : Options(Options), Ports(Ports), Id{Options.Name, Incarnation}, Lease(Id),
-      Rights(Id), Watcher(Ports.Time, Ports.Timers, Ports.Connector, Table),
-      Statements({Ports.Time, Ports.Timers, Ports.Connector}, Id, View, Lease,
+    : Options(Options), Deps(Deps), Id{Options.Name, Incarnation}, Lease(Id),
+      Rights(Id), Watcher(Deps.Time, Deps.Timers, Deps.Connector, Table),
+      Statements({Deps.Time, Deps.Timers, Deps.Connector}, Id, View, Lease,
                  Table, Watcher, Rights, Options.SessionKey) {}
 
 void ProxyNode::start() {
-  Ports.Peers.signalReceived().connect(
+  Deps.Peers.signalReceived().connect(
       sigc::mem_fun(*this, &ProxyNode::receive));
   // A dead primary is reported at once, not with the next renewal: it's the
   // first part of the failover gap.
@@ -50,36 +50,37 @@
 }
 
 void ProxyNode::tick() {
-  const Millis Now = Ports.Time.now();
+  const Millis Now = Deps.Time.now();
   const Millis Interval =
-      View.Current ? View.Current->Failover.LeaseDuration / RequestsPerLease
-                   : RequestIntervalWithoutManifest;
-  if (Now - LastAnswer > LeaderPatience && Now - LastRequest >= Interval)
-    Leader = (Leader + 1) % Options.Controls.size();
-  if (Now - LastRequest >= Interval)
+      View.CurrentManifest
+          ? View.CurrentManifest->Failover.LeaseDuration / RequestsPerLease
+          : RequestIntervalWithoutManifest;
+  if (Now - LastAnswer > LeaderPatience && Now - LastLeaseRequest >= Interval)
+    LeaderIndex = (LeaderIndex + 1) % Options.ControlHosts.size();
+  if (Now - LastLeaseRequest >= Interval)
     requestLease();
   renewRights(Now);
   Statements.tick();
-  reportSilence(Now);
+  reportUnreachable(Now);
   if (Lease.isHeld(Now) != HeldLease) {
     HeldLease = !HeldLease;
     LeaseChanged.emit(HeldLease);
   }
   WriteGaps.update(View, Table, HeldLease, Now);
   if (Stop)
-    continueStop();
-  Ports.Timers.after(TickInterval, [this] { tick(); });
+    advanceStop();
+  Deps.Timers.after(TickInterval, [this] { tick(); });
 }
 
-void ProxyNode::reportSilence(Millis Now) {
+void ProxyNode::reportUnreachable(Millis Now) {
   // Left to the next renewal, a silent primary would be missed later by up to
   // the whole interval of renewals.
-  if (!View.Current)
+  if (!View.CurrentManifest)
     return;
-  const Millis SuspectAfter = View.Current->Failover.SuspectAfter;
-  if (Now - LastSilenceCheck < SuspectAfter / SilenceChecks)
+  const Millis SuspectAfter = View.CurrentManifest->Failover.SuspectAfter;
+  if (Now - LastReachabilityCheck < SuspectAfter / SilenceChecks)
     return;
-  LastSilenceCheck = Now;
+  LastReachabilityCheck = Now;
   std::set<std::string> Found = Table.unreachable(SuspectAfter, Now);
   const bool News = !std::includes(Unreachable.begin(), Unreachable.end(),
                                    Found.begin(), Found.end());
@@ -89,17 +90,17 @@
 }
 
 const ControlHost &ProxyNode::leader() const {
-  return Options.Controls[Leader];
+  return Options.ControlHosts[LeaderIndex];
 }
 
 void ProxyNode::requestLease() {
-  const Millis Now = Ports.Time.now();
-  LastRequest = Now;
-  Ports.Peers.send(leader().Peers, Delivery::Datagram,
-                   LeaseRequest{Id, Options.Where, Lease.nextSequence(), Now,
-                                Lease.appliedRevision(),
-                                Table.troubles(View, Now),
-                                Statements.running()});
+  const Millis Now = Deps.Time.now();
+  LastLeaseRequest = Now;
+  Deps.Peers.send(leader().PeerEndpoint, Delivery::Datagram,
+                  LeaseRequest{Id, Options.OwnLocality, Lease.nextSequence(),
+                               Now, Lease.appliedRevision(),
+                               Table.unhealthyReports(View, Now),
+                               Statements.databasesInUse()});
 }
 
 void ProxyNode::renewRights(Millis Now) {
@@ -108,20 +109,20 @@
     Statements.rightsChanged();
   }
   const Millis Interval =
-      Statements.isShort() ? RightsIntervalWhenShort : RightsInterval;
-  if (View.Current && Now - LastRightsRequest >= Interval)
+      Statements.needsConnections() ? RightsIntervalWhenShort : RightsInterval;
+  if (View.CurrentManifest && Now - LastRightsRequest >= Interval)
     requestRights();
 }
 
 void ProxyNode::requestRights() {
-  LastRightsRequest = Ports.Time.now();
-  Ports.Peers.send(
-      leader().Peers, Delivery::Datagram,
+  LastRightsRequest = Deps.Time.now();
+  Deps.Peers.send(
+      leader().PeerEndpoint, Delivery::Datagram,
       Rights.request(Statements.connectionUse(), LastRightsRequest));
 }
 
-void ProxyNode::giveBackRights() {
-  Rights.leave();
+void ProxyNode::releaseRights() {
+  Rights.relinquish();
   Statements.rightsChanged();
   requestRights();
 }
@@ -131,7 +132,7 @@
     requestRights();
     return;
   }
-  HeldRights = Ports.Time.now() < Rights.end();
+  HeldRights = Deps.Time.now() < Rights.end();
   if (HeldRights)
     Statements.rightsChanged();
 }
@@ -141,33 +142,33 @@
 }
 
 void ProxyNode::on(const Envelope &, const LeaseGrant &Body) {
-  LastAnswer = Ports.Time.now();
-  Lease.grant(Body);
+  LastAnswer = Deps.Time.now();
+  Lease.applyGrant(Body);
 }
 
 void ProxyNode::on(const Envelope &, const NotLeader &Body) {
-  for (std::size_t Index = 0; Index < Options.Controls.size(); ++Index) {
-    if (Options.Controls[Index].Name != Body.Leader || Index == Leader)
+  for (std::size_t Index = 0; Index < Options.ControlHosts.size(); ++Index) {
+    if (Options.ControlHosts[Index].Name != Body.Leader || Index == LeaderIndex)
       continue;
-    Leader = Index;
-    LastAnswer = Ports.Time.now();
+    LeaderIndex = Index;
+    LastAnswer = Deps.Time.now();
     requestLease();
     return;
   }
 }
 
 void ProxyNode::on(const Envelope &From, const ViewUpdate &Body) {
-  adopt(Body.View, From.ReplyTo);
+  applyView(Body.View, From.ReplyTo);
 }
 
 void ProxyNode::on(const Envelope &From, const ViewDelta &Body) {
-  if (const auto New = withDelta(View, Body))
-    adopt(*New, From.ReplyTo);
+  if (const auto New = applyDelta(View, Body))
+    applyView(*New, From.ReplyTo);
 }
 
-void ProxyNode::adopt(const ClusterView &New, const Endpoint &Sender) {
-  LastAnswer = Ports.Time.now();
-  if (Lease.apply(New.Revision)) {
+void ProxyNode::applyView(const ClusterView &New, const Endpoint &Sender) {
+  LastAnswer = Deps.Time.now();
+  if (Lease.applyRevision(New.Revision)) {
     View = New;
     Watcher.update(View);
     Statements.viewChanged();
@@ -176,36 +177,39 @@
   }
   // Also for one that was known: the control host may have missed the
   // confirmation.
-  Ports.Peers.send(Sender, Delivery::Datagram,
-                   ViewApplied{Id, Lease.appliedRevision()});
+  Deps.Peers.send(Sender, Delivery::Datagram,
+                  ViewApplied{Id, Lease.appliedRevision()});
 }
 
 bool ProxyNode::isReady() const {
-  return !Stop && Lease.isHeld(Ports.Time.now());
+  return !Stop && Lease.isHeld(Deps.Time.now());
 }
 
 void ProxyNode::drain(std::function<void()> OnDone) {
   if (Stop)
     return;
   OnStopped = std::move(OnDone);
-  Stop.emplace(Ports.Time.now(), Options.StopNotice,
-               View.Current ? View.Current->Limits.TransactionIdle : Millis());
-  continueStop();
+  Stop.emplace(Deps.Time.now(), Options.DrainDelay,
+               View.CurrentManifest
+                   ? View.CurrentManifest->Limits.TransactionIdleTimeout
+                   : Millis());
+  advanceStop();
 }
 
-void ProxyNode::continueStop() {
-  const Millis Now = Ports.Time.now();
+void ProxyNode::advanceStop() {
+  const Millis Now = Deps.Time.now();
   Statements.setIntake(Stop->intake(Now));
-  if (Stop->endsTransactions(Now))
+  if (Stop->rollsBackIdleTransactions(Now))
     Statements.endIdleTransactions();
-  const OpenWork Left{Statements.inFlight(), Statements.openTransactions()};
-  if (OnStopped && Stop->isDone(Left, Now))
+  const OpenWork Left{Statements.openStatements(),
+                      Statements.openTransactions()};
+  if (OnStopped && Stop->update(Left, Now))
     std::exchange(OnStopped, nullptr)();
 }
 
 void ProxyNode::handle(const HttpRequest &Request,
                        std::shared_ptr<HttpExchange> Exchange) {
-  if (const auto What = verbOf(Request.Path))
+  if (const auto What = operationFor(Request.Path))
     Statements.handle(*What, Request, std::move(Exchange));
   else if (Request.Path == "/announce")
     announce(Request, *Exchange);
@@ -213,12 +217,12 @@
     Exchange->respond({StatusNotFound, {}, "no such path\n"});
 }
 
-void ProxyNode::disconnected(const std::string &Peer) {
-  Statements.disconnected(Peer);
+void ProxyNode::handleDisconnect(const std::string &Peer) {
+  Statements.handleDisconnect(Peer);
 }
 
 void ProxyNode::announce(const HttpRequest &Request, HttpExchange &Exchange) {
-  if (!sameDigest(Request.header("Target-Key"), Options.TargetKey)) {
+  if (!equalsInConstantTime(Request.header("Target-Key"), Options.TargetKey)) {
     Exchange.respond({StatusForbidden, {}, "the target key is wrong\n"});
     return;
   }
@@ -240,8 +244,8 @@
                       "Target-Sequence are needed\n"});
     return;
   }
-  Ports.Peers.send(leader().Peers, Delivery::Stream,
-                   ForwardedAnnouncement{std::move(Said)});
+  Deps.Peers.send(leader().PeerEndpoint, Delivery::Stream,
+                  ForwardedAnnouncement{std::move(Said)});
   Exchange.respond({StatusAccepted, {}, "passed on\n"});
 }
 
