--- a/Source/Proxy/ProxyNode.h
+++ b/Source/Proxy/ProxyNode.h
@@ -12,7 +12,7 @@
 
 namespace corianderdyke {
 
-struct ProxyPorts {
+struct ProxyDependencies {
   Clock &Time;
   Scheduler &Timers;
   Transport &Peers;
@@ -22,21 +22,21 @@
 /// Serves callers and targets on the callers' port.
 class ProxyNode final : public HttpService, public sigc::trackable {
 public:
-  ProxyNode(const Settings &Options, ProxyPorts Ports,
+  ProxyNode(const Settings &Options, ProxyDependencies Deps,
             std::uint64_t Incarnation);
 
   void start();
 
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpExchange> Exchange) override;
-  void disconnected(const std::string &Peer) override;
+  void handleDisconnect(const std::string &Peer) override;
   bool isBound(const std::string &Peer) const override {
     return Statements.isBound(Peer);
   }
 
   /// Closes what isn't in use and gives the rights to it back, before a
   /// planned stop. Otherwise nobody could use them until they expire.
-  void giveBackRights();
+  void releaseRights();
 
   /// True while the balancer may send callers here.
   bool isReady() const;
@@ -59,24 +59,24 @@
 
 private:
   void tick();
-  void continueStop();
+  void advanceStop();
   void requestLease();
   void requestRights();
   void renewRights(Millis Now);
-  void reportSilence(Millis Now);
+  void reportUnreachable(Millis Now);
   void receive(const Envelope &Arrived);
   void on(const Envelope &From, const LeaseGrant &Body);
   void on(const Envelope &From, const NotLeader &Body);
   void on(const Envelope &From, const RightsGrant &Body);
   void on(const Envelope &From, const ViewUpdate &Body);
   void on(const Envelope &From, const ViewDelta &Body);
-  void adopt(const ClusterView &New, const Endpoint &Sender);
+  void applyView(const ClusterView &New, const Endpoint &Sender);
   template <class Other> void on(const Envelope &, const Other &) {}
   void announce(const HttpRequest &Request, HttpExchange &Exchange);
   const ControlHost &leader() const;
 
   Settings Options;
-  ProxyPorts Ports;
+  ProxyDependencies Deps;
   ProcessId Id;
   ClusterView View;
   LeaseHolder Lease;
@@ -88,13 +88,13 @@
   std::function<void()> OnStopped;
   WriteGapMeter WriteGaps;
   /// Index in Options.Controls of the host that is asked for leases.
-  std::size_t Leader = 0;
-  Millis LastRequest = Millis(-1000000);
+  std::size_t LeaderIndex = 0;
+  Millis LastLeaseRequest = Millis(-1000000);
   Millis LastAnswer;
   Millis LastRightsRequest = Millis(-1000000);
   bool HeldRights = false;
   bool HeldLease = false;
-  Millis LastSilenceCheck;
+  Millis LastReachabilityCheck;
   std::set<std::string> Unreachable; ///< At the last check.
   sigc::signal<void(bool)> LeaseChanged;
 };
--- a/Source/Proxy/StatementJob.h
+++ b/Source/Proxy/StatementJob.h
@@ -27,24 +27,25 @@
   std::uint64_t Id = 0;
   StatementRequest Statement;
   std::shared_ptr<HttpExchange> Exchange;
-  Route Way;
+  Route ChosenRoute;
   Millis DeadlineAt;
   Millis SentAt;
   Scheduler::TimerId DeadlineTimer = 0;
-  Scheduler::TimerId PatienceTimer = 0;
-  Stage At = Stage::Choosing;
-  unsigned Tries = 0;
+  Scheduler::TimerId PrimaryWaitTimer = 0;
+  Stage CurrentStage = Stage::Choosing;
+  unsigned Attempts = 0;
   bool IsAdmitted = false; ///< Its turn has come.
   /// Some try went out and got no answer: it may have run whatever the later
   /// tries say.
-  bool Lost = false;
-  std::set<std::string> Avoid; ///< Targets that failed this statement.
+  bool AnswerLost = false;
+  std::set<std::string>
+      ExcludedTargets; ///< Targets that failed this statement.
   std::weak_ptr<ConnectionPool> Pool;
   ConnectionPool::Ticket PoolTicket = 0;
   DurabilityGate::Ticket GateTicket = 0;
-  TransactionPtr Within;
+  TransactionPtr OwnTransaction;
 
-  bool mayHaveRun() const { return Lost || At == Stage::Sent; }
+  bool mayHaveRun() const { return AnswerLost || CurrentStage == Stage::Sent; }
 };
 
 } // namespace corianderdyke
--- a/Source/Proxy/StatementReply.cpp
+++ b/Source/Proxy/StatementReply.cpp
@@ -10,8 +10,8 @@
 
 namespace corianderdyke {
 
-std::string word(Outcome What) {
-  switch (What) {
+std::string outcomeHeader(Outcome Value) {
+  switch (Value) {
   case Outcome::Done:
     return "done";
   case Outcome::NotRun:
@@ -22,15 +22,15 @@
   return "unknown";
 }
 
-Millis RetryAdvice::next(Millis Least) {
+Millis RetryAfterJitter::next(Millis Least) {
   State = XXH64(&State, sizeof(State), 0);
   const auto Span =
       static_cast<std::uint64_t>(std::max<std::int64_t>(Least.count(), 1));
   return Least + Millis(static_cast<std::int64_t>(State % Span));
 }
 
-HttpResponse plainReply(int Status, const std::string &Why) {
-  return {Status, {}, Why + "\n"};
+HttpResponse plainReply(int Status, const std::string &Reason) {
+  return {Status, {}, Reason + "\n"};
 }
 
 HttpResponse refusalReply(int Status, const std::string &Why,
--- a/Source/Proxy/StatementReply.h
+++ b/Source/Proxy/StatementReply.h
@@ -20,7 +20,7 @@
 };
 
 /// The outcome as it stands in the header.
-std::string word(Outcome What);
+std::string outcomeHeader(Outcome Value);
 
 namespace reply_status {
 constexpr int Ok = 200;
@@ -35,9 +35,9 @@
 /// Says when refused callers should come back. Those refused together would
 /// come back together and be refused again; so each is told a little more
 /// than the least, spread evenly up to twice as much.
-class RetryAdvice {
+class RetryAfterJitter {
 public:
-  explicit RetryAdvice(std::uint64_t Seed) : State(Seed) {}
+  explicit RetryAfterJitter(std::uint64_t Seed) : State(Seed) {}
 
   Millis next(Millis Least);
 
@@ -46,7 +46,7 @@
 };
 
 /// An answer that the proxy gives itself.
-HttpResponse plainReply(int Status, const std::string &Why);
+HttpResponse plainReply(int Status, const std::string &Reason);
 
 /// Such an answer with the time to come back.
 HttpResponse refusalReply(int Status, const std::string &Why,
--- a/Source/Proxy/StatementRequest.h
+++ b/Source/Proxy/StatementRequest.h
@@ -26,35 +26,36 @@
 } // namespace caller_header
 
 /// What a caller wants done, by the path that it asked.
-enum class Verb : std::uint8_t { Run, Begin, Commit, Rollback };
+enum class StatementOperation : std::uint8_t { Run, Begin, Commit, Rollback };
 
 /// The verb of a path; nothing where the path is no statement's.
-std::optional<Verb> verbOf(const std::string &Path);
+std::optional<StatementOperation> operationFor(const std::string &Path);
 
 /// Everything that the proxy needs of a statement; the body passes through
 /// unread.
 struct StatementRequest {
-  Verb What = Verb::Run;
+  StatementOperation Operation = StatementOperation::Run;
   std::string Database;
   std::string Organisation;
-  KindPolicy Kind;
+  RequestKindPolicy Kind;
   /// Nothing where the kind is repeatable and none was sent.
   std::optional<IdempotencyKey> Key;
   std::string Transaction; ///< Empty where it belongs to none.
   SessionToken Session;
-  Millis Deadline; ///< A span from the arrival.
+  Millis Timeout; ///< A span from the arrival.
   std::string Body;
-  std::string Peer; ///< The caller's connection.
+  std::string CallerConnection; ///< The caller's connection.
 
   bool isWrite() const {
-    return What != Verb::Run || Kind.Mode == Access::Write;
+    return Operation != StatementOperation::Run || Kind.Mode == Access::Write;
   }
 
   auto operator<=>(const StatementRequest &) const = default;
 };
 
 /// Reads a statement's headers; BadInput names the header at fault.
-Expected<StatementRequest> parseStatement(Verb What, const HttpRequest &From,
+Expected<StatementRequest> parseStatement(StatementOperation Operation,
+                                          const HttpRequest &Request,
                                           const Manifest &Current,
                                           const std::string &SessionKey);
 
--- a/Source/Proxy/StatementService.cpp
+++ b/Source/Proxy/StatementService.cpp
@@ -22,30 +22,30 @@
 
 } // namespace
 
-StatementService::StatementService(Ports Outside, const ProcessId &Self,
+StatementService::StatementService(Dependencies Deps, const ProcessId &Self,
                                    const ClusterView &View,
                                    const LeaseHolder &Lease, TargetTable &Table,
                                    TargetWatcher &Watcher,
                                    const ConnectionRights &Rights,
                                    std::string SessionKey)
-    : Outside(Outside), View(View), Lease(Lease), Table(Table),
-      SessionKey(std::move(SessionKey)), Rights(Rights),
-      Pools(Outside.Connector), Queues(Self.Incarnation),
-      Plan(View, Pools, Queues), Gate(View, Table),
-      Transactions(Outside.Timers, Self), Retry(Self.Incarnation) {
+    : Deps(Deps), View(View), Lease(Lease), Table(Table),
+      SessionKey(std::move(SessionKey)), Rights(Rights), Pools(Deps.Connector),
+      Queues(Self.Incarnation), Plan(View, Pools, Queues), Gate(View, Table),
+      Transactions(Deps.Timers, Self), RetryDelays(Self.Incarnation) {
   Watcher.signalChanged().connect(
-      sigc::mem_fun(*this, &StatementService::wake));
+      sigc::mem_fun(*this, &StatementService::handleTargetChange));
 }
 
 StatementService::~StatementService() {
   for (const auto &[Id, Each] : Jobs)
     for (const Scheduler::TimerId Timer :
-         {Each->DeadlineTimer, Each->PatienceTimer})
+         {Each->DeadlineTimer, Each->PrimaryWaitTimer})
       if (Timer != 0)
-        Outside.Timers.cancel(Timer);
+        Deps.Timers.cancel(Timer);
 }
 
-void StatementService::handle(Verb What, const HttpRequest &Request,
+void StatementService::handle(StatementOperation What,
+                              const HttpRequest &Request,
                               std::shared_ptr<HttpExchange> Exchange) {
   auto Each = std::make_shared<Job>();
   Each->Id = NextId++;
@@ -53,34 +53,37 @@
   Jobs[Each->Id] = Each;
   // Without a lease this proxy may be cut off from a newer manifest or a
   // newer primary; whatever it served could be forbidden by now.
-  if (!hasLease() || !View.Current)
-    return giveUp(Each, "this proxy holds no lease at the moment");
-  auto Parsed = parseStatement(What, Request, *View.Current, SessionKey);
+  if (!hasLease() || !View.CurrentManifest)
+    return rejectWithRetry(Each, "this proxy holds no lease at the moment");
+  auto Parsed =
+      parseStatement(What, Request, *View.CurrentManifest, SessionKey);
   if (!Parsed)
     return reject(Each, reply_status::BadRequest, Parsed.error().Message);
   Each->Statement = std::move(*Parsed);
   if (Each->Statement.Key)
     if (const auto Good = Each->Statement.Key->check(
-            Outside.Time.wallTime(), View.Current->Limits.KeyRetention);
+            Deps.Time.wallTime(),
+            View.CurrentManifest->Limits.IdempotencyKeyRetention);
         !Good)
       return reject(Each, reply_status::Gone, Good.error().Message);
-  if (!isTakenIn(Each->Statement))
-    return giveUp(Each, "this proxy is about to stop");
-  Each->DeadlineAt = Outside.Time.now() + Each->Statement.Deadline;
-  Each->DeadlineTimer = Outside.Timers.after(Each->Statement.Deadline,
-                                             [this, Each] { expired(Each); });
-  Each->Exchange->onHangUp([this, Weak = std::weak_ptr<Job>(Each)] {
+  if (!isAccepted(Each->Statement))
+    return rejectWithRetry(Each, "this proxy is about to stop");
+  Each->DeadlineAt = Deps.Time.now() + Each->Statement.Timeout;
+  Each->DeadlineTimer = Deps.Timers.after(
+      Each->Statement.Timeout, [this, Each] { handleDeadline(Each); });
+  Each->Exchange->onDisconnect([this, Weak = std::weak_ptr<Job>(Each)] {
     if (const JobPtr Left = Weak.lock())
-      hungUp(Left);
+      handleCallerAbort(Left);
   });
   start(Each);
 }
 
-bool StatementService::isTakenIn(const StatementRequest &Statement) const {
+bool StatementService::isAccepted(const StatementRequest &Statement) const {
   if (Transactions.isOpen(Statement.Transaction))
     return true;
-  return Accepts == Intake::Open || (Accepts == Intake::NoNewTransactions &&
-                                     Statement.What != Verb::Begin);
+  return CurrentIntake == Intake::Open ||
+         (CurrentIntake == Intake::NoNewTransactions &&
+          Statement.Operation != StatementOperation::Begin);
 }
 
 void StatementService::start(const JobPtr &Each) {
@@ -89,28 +92,28 @@
   startInTransaction(Each);
 }
 
-std::set<std::string> StatementService::running() const {
+std::set<std::string> StatementService::databasesInUse() const {
   std::set<std::string> Out = Transactions.databases();
   for (const auto &[Id, Each] : Jobs)
-    if (Each->At == Job::Stage::Sent && Each->Way.IsPrimary)
+    if (Each->CurrentStage == Job::Stage::Sent && Each->ChosenRoute.IsPrimary)
       Out.insert(Each->Statement.Database);
   return Out;
 }
 
 void StatementService::dispatch(const JobPtr &Each) {
-  if (Each->At == Job::Stage::Finished)
+  if (Each->CurrentStage == Job::Stage::Finished)
     return;
-  Each->At = Job::Stage::Choosing;
+  Each->CurrentStage = Job::Stage::Choosing;
   if (!hasLease())
-    return giveUp(Each, "the lease of this proxy ran out");
+    return rejectWithRetry(Each, "the lease of this proxy ran out");
   const auto Found = choose(*Each);
   if (!Found && Found.error().Code != ErrorCode::Unavailable)
     return reject(Each, reply_status::Conflict, Found.error().Message);
   if (!Found)
-    return waitForChange(Each, Found.error().Message);
+    return waitForPrimary(Each, Found.error().Message);
   if (!Each->IsAdmitted)
     return enqueue(Each);
-  Each->Way = *Found;
+  Each->ChosenRoute = *Found;
   acquire(Each);
 }
 
@@ -119,248 +122,259 @@
   const auto Floor = Statement.Session.floor(Statement.Database);
   const RouteQuery Query{Statement.Database,
                          Statement.isWrite() ? Access::Write : Access::Read,
-                         Statement.Kind.AcceptedAge,
+                         Statement.Kind.MaxStaleness,
                          Floor,
                          Statement.Session.isPartial() && !Floor,
-                         Each.Avoid};
+                         Each.ExcludedTargets};
   return route(
       View, Table, Query,
       [this](const std::string &Target) { return Pools.load(Target); },
-      Outside.Time.now());
+      Deps.Time.now());
 }
 
 void StatementService::enqueue(const JobPtr &Each) {
-  Each->At = Job::Stage::Queued;
+  Each->CurrentStage = Job::Stage::Queued;
   const StatementRequest &Of = Each->Statement;
-  refuse(Queues.arrive({Each->Id, Of.Database,
-                        Of.isWrite() ? Access::Write : Access::Read,
-                        Of.Organisation, Of.Kind.Name, Each->DeadlineAt},
-                       Outside.Time.now()));
-  pump(Of.Database);
+  rejectRefused(Queues.admit({Each->Id, Of.Database,
+                              Of.isWrite() ? Access::Write : Access::Read,
+                              Of.Organisation, Of.Kind.Name, Each->DeadlineAt},
+                             Deps.Time.now()));
+  dispatchQueued(Of.Database);
 }
 
-void StatementService::pump(const std::string &Database) {
+void StatementService::dispatchQueued(const std::string &Database) {
   // What is sent may end at once and call back here; the outer call goes on.
-  if (IsPumping)
+  if (IsDispatching)
     return;
-  IsPumping = true;
+  IsDispatching = true;
   std::vector<Refusal> GivenUp;
   const auto Fits = [this](std::uint64_t Id) { return canRun(Id); };
   while (const auto Id =
-             Queues.next(Database, Fits, Outside.Time.now(), GivenUp)) {
+             Queues.next(Database, Fits, Deps.Time.now(), GivenUp)) {
     const JobPtr Each = Jobs.at(*Id);
     Each->IsAdmitted = true;
     dispatch(Each);
   }
-  IsPumping = false;
-  refuse(GivenUp);
+  IsDispatching = false;
+  rejectRefused(GivenUp);
 }
 
 bool StatementService::canRun(std::uint64_t Id) const {
   const Job &Each = *Jobs.at(Id);
   const auto Found = choose(Each);
   // What can't be routed at all is told so, and doesn't wait for a turn.
-  return !Found || Plan.hasRoom(Found->Target, Each.Statement.Database,
-                                Each.Statement.What == Verb::Begin);
+  return !Found || Plan.hasCapacity(Found->Target, Each.Statement.Database,
+                                    Each.Statement.Operation ==
+                                        StatementOperation::Begin);
 }
 
-void StatementService::refuse(const std::vector<Refusal> &All) {
+void StatementService::rejectRefused(const std::vector<Refusal> &All) {
   for (const Refusal &Each : All) {
     const auto Found = Jobs.find(Each.Request.Id);
     if (Found == Jobs.end())
       continue;
     const JobPtr Of = Found->second;
-    Of->At = Job::Stage::Choosing;
-    giveUp(Of, text(Each.Reason), Each.RetryAfter);
+    Of->CurrentStage = Job::Stage::Choosing;
+    rejectWithRetry(Of, refusalText(Each.Reason), Each.RetryAfter);
   }
 }
 
 void StatementService::tick() {
-  refuse(Queues.giveUp(Outside.Time.now()));
+  rejectRefused(Queues.shedUnservable(Deps.Time.now()));
   for (const QueueStatus &Each : Queues.status())
     if (Each.Queued > 0)
-      pump(Each.Database);
+      dispatchQueued(Each.Database);
 }
 
-TargetPools::LimitOf StatementService::limits() const {
+TargetPools::LimitFunction StatementService::limits() const {
   return [this](const std::string &Target) {
-    return Rights.limit(Target, Outside.Time.now());
+    return Rights.limit(Target, Deps.Time.now());
   };
 }
 
 void StatementService::rightsChanged() {
   Pools.setLimits(limits());
-  if (Outside.Time.now() >= Rights.end()) {
+  if (Deps.Time.now() >= Rights.end()) {
     // Another proxy may be given these connections from now on; one more than
     // the server takes would be refused there, and its caller's statement
     // with it. The lease of this proxy ended long before, so nobody here
     // could be answered with success any more.
     Transactions.abandonIdle();
     while (!Calls.empty())
-      answered(Calls.begin()->first,
-               fail(ErrorCode::Unavailable, "the right to connections ended"));
+      handleAnswer(
+          Calls.begin()->first,
+          fail(ErrorCode::Unavailable, "the right to connections ended"));
   }
   for (const QueueStatus &Each : Queues.status())
-    pump(Each.Database);
+    dispatchQueued(Each.Database);
 }
 
 void StatementService::acquire(const JobPtr &Each) {
-  const auto Pool = Pools.find(Each->Way.Target);
+  const auto Pool = Pools.find(Each->ChosenRoute.Target);
   if (!Pool)
-    return waitForChange(Each, "the target isn't known here yet");
+    return waitForPrimary(Each, "the target isn't known here yet");
   Each->Pool = Pool;
-  Each->At = Job::Stage::Acquiring;
+  Each->CurrentStage = Job::Stage::Acquiring;
   const ConnectionPool::Ticket Ticket =
       Pool->acquire([this, Each](Expected<PooledConnection> Connection) {
         Each->PoolTicket = 0;
         if (Connection)
           send(Each, std::move(*Connection));
         else
-          noConnection(Each, Connection.error());
+          handleAcquireFailure(Each, Connection.error());
       });
-  if (Each->At == Job::Stage::Acquiring)
+  if (Each->CurrentStage == Job::Stage::Acquiring)
     Each->PoolTicket = Ticket;
 }
 
-void StatementService::noConnection(const JobPtr &Each, const Error &Why) {
-  if (!Each->Way.IsPrimary)
-    return tryElsewhere(Each, Why.Message);
+void StatementService::handleAcquireFailure(const JobPtr &Each,
+                                            const Error &Why) {
+  if (!Each->ChosenRoute.IsPrimary)
+    return retryAtAnotherTarget(Each, Why.Message);
   // A full server doesn't become free by a change of primary; one that
   // doesn't answer is about to be replaced.
   if (Why.Code == ErrorCode::Unavailable)
-    return giveUp(Each, Why.Message);
-  waitForChange(Each, Why.Message);
+    return rejectWithRetry(Each, Why.Message);
+  waitForPrimary(Each, Why.Message);
 }
 
-void StatementService::tryElsewhere(const JobPtr &Each,
-                                    const std::string &Why) {
-  Each->Avoid.insert(Each->Way.Target);
-  if (++Each->Tries >= MaxTries)
-    return giveUp(Each, Why);
+void StatementService::retryAtAnotherTarget(const JobPtr &Each,
+                                            const std::string &Why) {
+  Each->ExcludedTargets.insert(Each->ChosenRoute.Target);
+  if (++Each->Attempts >= MaxTries)
+    return rejectWithRetry(Each, Why);
   dispatch(Each);
 }
 
-void StatementService::waitForChange(const JobPtr &Each,
-                                     const std::string &Why) {
-  const Millis Now = Outside.Time.now();
-  const Millis Until = Patience.until(View, Each->Statement.Database, Now);
+void StatementService::waitForPrimary(const JobPtr &Each,
+                                      const std::string &Why) {
+  const Millis Now = Deps.Time.now();
+  const Millis Until =
+      PrimaryWait.waitDeadline(View, Each->Statement.Database, Now);
   if (Until <= Now)
-    return giveUp(Each, Why);
-  Each->At = Job::Stage::Choosing;
+    return rejectWithRetry(Each, Why);
+  Each->CurrentStage = Job::Stage::Choosing;
   // Its turn is for another meanwhile.
   Each->IsAdmitted = false;
-  Queues.leave(Each->Id, false, Now);
-  Waiting[Each->Id] = Each;
-  if (Each->PatienceTimer == 0)
-    Each->PatienceTimer = Outside.Timers.after(Until - Now, [this, Each, Why] {
-      Each->PatienceTimer = 0;
-      if (Waiting.count(Each->Id) != 0)
-        giveUp(Each, Why);
+  Queues.remove(Each->Id, false, Now);
+  WaitingForPrimary[Each->Id] = Each;
+  if (Each->PrimaryWaitTimer == 0)
+    Each->PrimaryWaitTimer = Deps.Timers.after(Until - Now, [this, Each, Why] {
+      Each->PrimaryWaitTimer = 0;
+      if (WaitingForPrimary.count(Each->Id) != 0)
+        rejectWithRetry(Each, Why);
     });
 }
 
-void StatementService::wake(const std::string &Target) {
-  Gate.check();
+void StatementService::handleTargetChange(const std::string &Target) {
+  Gate.resolveHeldWrites();
   const TargetAnnouncement *Known = View.target(Target);
-  const auto Woken = Waiting;
+  const auto Woken = WaitingForPrimary;
   for (const auto &[Id, Each] : Woken) {
     if (Known != nullptr && Known->Database != Each->Statement.Database)
       continue;
-    Waiting.erase(Id);
+    WaitingForPrimary.erase(Id);
     dispatch(Each);
   }
 }
 
 void StatementService::viewChanged() {
   Pools.update(View, limits());
-  if (View.Current)
-    Queues.update(*View.Current);
-  Patience.update(View, Outside.Time.now());
-  Gate.check();
+  if (View.CurrentManifest)
+    Queues.update(*View.CurrentManifest);
+  PrimaryWait.update(View, Deps.Time.now());
+  Gate.resolveHeldWrites();
   const auto Known = Jobs;
   for (const auto &[Id, Each] : Known) {
     // One that waits for a connection to a former primary would wait until
     // the opening times out, though the new one could serve it.
     const GroupRecord *Group = View.group(Each->Statement.Database);
-    const auto Pool = Pools.find(Each->Way.Target);
-    const bool Moved = Each->At == Job::Stage::Acquiring &&
-                       (Group == nullptr || Group->Term != Each->Way.Term ||
-                        !Pool || Pool != Each->Pool.lock());
-    if (Waiting.count(Id) == 0 && !Moved)
+    const auto Pool = Pools.find(Each->ChosenRoute.Target);
+    const bool Moved =
+        Each->CurrentStage == Job::Stage::Acquiring &&
+        (Group == nullptr || Group->Term != Each->ChosenRoute.Term || !Pool ||
+         Pool != Each->Pool.lock());
+    if (WaitingForPrimary.count(Id) == 0 && !Moved)
       continue;
-    leaveQueues(Each);
+    removeFromQueues(Each);
     dispatch(Each);
   }
 }
 
 void StatementService::send(const JobPtr &Each, PooledConnection Connection) {
   const GroupRecord *Group = View.group(Each->Statement.Database);
-  const bool Draining = Group != nullptr && Each->Way.IsPrimary &&
+  const bool Draining = Group != nullptr && Each->ChosenRoute.IsPrimary &&
                         Group->Phase == GroupPhase::Draining;
-  if (Group == nullptr || Group->Term != Each->Way.Term || Draining ||
+  if (Group == nullptr || Group->Term != Each->ChosenRoute.Term || Draining ||
       !hasLease()) {
     Connection.setReusable(true);
     Connection.close();
     return dispatch(Each);
   }
-  Each->At = Job::Stage::Sent;
-  Each->SentAt = Outside.Time.now();
+  Each->CurrentStage = Job::Stage::Sent;
+  Each->SentAt = Deps.Time.now();
   const std::uint64_t Id = NextId++;
   const auto Made = Calls.emplace(Id, Call{Each, std::move(Connection)}).first;
-  Plan.noteSent(Each->Way.Target, Each->Statement.What == Verb::Begin);
-  if (Each->Tries == 0)
-    Budget.noteFirstTry();
+  Plan.recordSent(Each->ChosenRoute.Target,
+                  Each->Statement.Operation == StatementOperation::Begin);
+  if (Each->Attempts == 0)
+    Budget.recordFirstAttempt();
   Made->second.Connection->request(
-      requestFor(Each->Statement, Each->Way, false), timeLeft(Each),
+      requestFor(Each->Statement, Each->ChosenRoute, false), timeLeft(Each),
       [this, Id](const Expected<HttpResponse> &Answer) {
-        answered(Id, Answer);
+        handleAnswer(Id, Answer);
       });
 }
 
 Millis StatementService::timeLeft(const JobPtr &Each) const {
   // The deadline's own timer answers the caller first.
-  return std::max(Each->DeadlineAt - Outside.Time.now(), Millis()) + Millis(1);
+  return std::max(Each->DeadlineAt - Deps.Time.now(), Millis()) + Millis(1);
 }
 
-void StatementService::observe(const JobPtr &Each, const HttpResponse &Answer) {
-  Table.observe(Each->Way.Target, sightingOf(Answer), Each->SentAt,
-                Outside.Time.now());
+void StatementService::recordObservation(const JobPtr &Each,
+                                         const HttpResponse &Answer) {
+  Table.observe(Each->ChosenRoute.Target, parseObservation(Answer),
+                Each->SentAt, Deps.Time.now());
 }
 
-void StatementService::answered(std::uint64_t CallId,
-                                const Expected<HttpResponse> &Answer) {
+void StatementService::handleAnswer(std::uint64_t CallId,
+                                    const Expected<HttpResponse> &Answer) {
   auto Taken = Calls.extract(CallId);
-  const JobPtr Each = Taken.mapped().Of;
+  const JobPtr Each = Taken.mapped().Owner;
   const std::string Database = Each->Statement.Database;
-  Plan.noteAnswered(Each->Way.Target, Each->Statement.What == Verb::Begin);
-  const Verdict What = judge(Answer);
+  Plan.recordAnswered(Each->ChosenRoute.Target,
+                      Each->Statement.Operation == StatementOperation::Begin);
+  const AnswerClass What = classifyAnswer(Answer);
   Each->IsAdmitted = false;
-  Queues.leave(Each->Id, What != Verdict::Lost, Outside.Time.now());
-  settle(Each, std::move(Taken.mapped().Connection), Answer, What);
-  pump(Database);
-}
-
-void StatementService::settle(const JobPtr &Each, PooledConnection Connection,
-                              const Expected<HttpResponse> &Answer,
-                              Verdict What) {
-  if (What != Verdict::Lost)
-    observe(Each, *Answer);
-  Connection.setReusable(What != Verdict::Lost && What != Verdict::Stale);
+  Queues.remove(Each->Id, What != AnswerClass::NoAnswer, Deps.Time.now());
+  processAnswer(Each, std::move(Taken.mapped().Connection), Answer, What);
+  dispatchQueued(Database);
+}
+
+void StatementService::processAnswer(const JobPtr &Each,
+                                     PooledConnection Connection,
+                                     const Expected<HttpResponse> &Answer,
+                                     AnswerClass What) {
+  if (What != AnswerClass::NoAnswer)
+    recordObservation(Each, *Answer);
+  Connection.setReusable(What != AnswerClass::NoAnswer &&
+                         What != AnswerClass::NotConnected);
   // A transaction that began for a caller who has left must not stay open.
-  if (Each->At == Job::Stage::Finished) {
-    if (Each->Statement.What == Verb::Begin)
+  if (Each->CurrentStage == Job::Stage::Finished) {
+    if (Each->Statement.Operation == StatementOperation::Begin)
       Connection.setReusable(false);
     return;
   }
-  if (What == Verdict::Ran && Each->Statement.What == Verb::Begin)
+  if (What == AnswerClass::Ran &&
+      Each->Statement.Operation == StatementOperation::Begin)
     return openTransaction(Each, std::move(Connection));
   Connection.close();
   switch (What) {
-  case Verdict::Ran:
+  case AnswerClass::Ran:
     return afterRun(Each, *Answer);
-  case Verdict::Failed:
-    return done(Each, {Answer->Status, {}, Answer->Body});
-  case Verdict::Lost:
+  case AnswerClass::Failed:
+    return finishDone(Each, {Answer->Status, {}, Answer->Body});
+  case AnswerClass::NoAnswer:
     return afterLoss(Each);
   default:
     return afterRefusal(Each, What, *Answer);
@@ -371,24 +385,25 @@
                                 const HttpResponse &Answer) {
   if (Each->Statement.isWrite())
     return holdWrite(Each, Answer);
-  ++(Each->Way.IsPrimary ? Counts.ReadsByPrimary : Counts.ReadsByReplica);
-  done(Each, {Answer.Status, {}, Answer.Body});
+  ++(Each->ChosenRoute.IsPrimary ? Counts.ReadsByPrimary
+                                 : Counts.ReadsByReplica);
+  finishDone(Each, {Answer.Status, {}, Answer.Body});
 }
 
-void StatementService::afterRefusal(const JobPtr &Each, Verdict What,
+void StatementService::afterRefusal(const JobPtr &Each, AnswerClass What,
                                     const HttpResponse &Answer) {
   const std::string &Reason = Answer.header(target_header::Reason);
-  Each->At = Job::Stage::Choosing;
+  Each->CurrentStage = Job::Stage::Choosing;
   switch (What) {
-  case Verdict::OtherTerm:
-    if (Each->Way.IsPrimary)
-      return waitForChange(Each, "the primary refused: " + Reason);
+  case AnswerClass::TermMismatch:
+    if (Each->ChosenRoute.IsPrimary)
+      return waitForPrimary(Each, "the primary refused: " + Reason);
     [[fallthrough]];
-  case Verdict::Behind:
-    return tryElsewhere(Each, "the target refused: " + Reason);
-  case Verdict::Stale:
-    if (++Each->Tries >= MaxTries)
-      return giveUp(Each, "the target refused: " + Reason);
+  case AnswerClass::BehindFloor:
+    return retryAtAnotherTarget(Each, "the target refused: " + Reason);
+  case AnswerClass::NotConnected:
+    if (++Each->Attempts >= MaxTries)
+      return rejectWithRetry(Each, "the target refused: " + Reason);
     return dispatch(Each);
   default:
     return reject(Each, Answer.Status, Reason);
@@ -398,12 +413,12 @@
 void StatementService::afterLoss(const JobPtr &Each) {
   const std::string Why = "the connection to the target was lost before its "
                           "answer";
-  Each->Lost = true;
+  Each->AnswerLost = true;
   // What is sent again may have taken a target's time before; without a
   // budget a failing target's load would come twice to those that are left.
-  if (Each->Statement.isWrite() || !Budget.take())
-    return giveUp(Each, Why);
-  tryElsewhere(Each, Why);
+  if (Each->Statement.isWrite() || !Budget.tryTake())
+    return rejectWithRetry(Each, Why);
+  retryAtAnotherTarget(Each, Why);
 }
 
 void StatementService::holdWrite(const JobPtr &Each,
@@ -413,69 +428,72 @@
       numberOr(Answer.header(target_header::WritePosition), 0)};
   const DurabilityGate::Ticket Ticket =
       Gate.hold(Write, [this, Each, Write, Body = Answer.Body](Durability Now) {
-        settleWrite(Each, Write, Now, Body);
+        finishWrite(Each, Write, Now, Body);
       });
-  if (Each->At != Job::Stage::Finished)
+  if (Each->CurrentStage != Job::Stage::Finished)
     Each->GateTicket = Ticket;
 }
 
-void StatementService::settleWrite(const JobPtr &Each,
-                                   const PendingWrite &Write, Durability Now,
+void StatementService::finishWrite(const JobPtr &Each,
+                                   const PendingWrite &Write, Durability Result,
                                    const std::string &Body) {
-  if (Now == Durability::Superseded)
-    return giveUp(Each, "the primary was replaced before the write was safe");
+  if (Result == Durability::Superseded)
+    return rejectWithRetry(
+        Each, "the primary was replaced before the write was safe");
   HttpResponse Out{reply_status::Ok, {}, Body};
   Out.Headers[caller_header::Session] =
-      sealToken(Each->Statement.Session.withWrite(Write.Database, Write.Term,
+      signToken(Each->Statement.Session.withWrite(Write.Database, Write.Term,
                                                   Write.Position),
                 SessionKey);
   if (hasLease())
     ++Counts.Writes;
-  done(Each, std::move(Out));
+  finishDone(Each, std::move(Out));
 }
 
-void StatementService::done(const JobPtr &Each, HttpResponse Response) {
+void StatementService::finishDone(const JobPtr &Each, HttpResponse Response) {
   // Two safeguards meet here. The copies make a write survive any promotion,
   // so its answer stays true even if this process is stopped between this
   // check and the sending. The lease makes sure that no proxy goes on
   // acknowledging for a primary that others have replaced; a read is judged
   // like a write, since a newer manifest may forbid it by now.
   if (!hasLease())
-    return giveUp(Each, "the lease ran out before the answer came");
+    return rejectWithRetry(Each, "the lease ran out before the answer came");
   finish(Each, Outcome::Done, std::move(Response));
 }
 
-void StatementService::expired(const JobPtr &Each) {
+void StatementService::handleDeadline(const JobPtr &Each) {
   Each->DeadlineTimer = 0;
-  if (Each->Within)
-    Transactions.abandon(Each->Within);
-  giveUp(Each, "no answer before the deadline");
+  if (Each->OwnTransaction)
+    Transactions.abandon(Each->OwnTransaction);
+  rejectWithRetry(Each, "no answer before the deadline");
 }
 
-void StatementService::hungUp(const JobPtr &Each) {
-  if (Each->At == Job::Stage::Finished)
+void StatementService::handleCallerAbort(const JobPtr &Each) {
+  if (Each->CurrentStage == Job::Stage::Finished)
     return;
-  ++Counts.HungUp;
-  if (Each->Within)
-    Transactions.abandon(Each->Within);
+  ++Counts.CallerAborts;
+  if (Each->OwnTransaction)
+    Transactions.abandon(Each->OwnTransaction);
   close(Each);
 }
 
-void StatementService::disconnected(const std::string &Peer) {
-  Transactions.disconnected(Peer);
+void StatementService::handleDisconnect(const std::string &Peer) {
+  Transactions.handleDisconnect(Peer);
 }
 
-void StatementService::giveUp(const JobPtr &Each, const std::string &Why) {
-  giveUp(Each, Why, Retry.next(RetryAfter));
+void StatementService::rejectWithRetry(const JobPtr &Each,
+                                       const std::string &Why) {
+  rejectWithRetry(Each, Why, RetryDelays.next(RetryAfter));
 }
 
-void StatementService::giveUp(const JobPtr &Each, const std::string &Why,
-                              Millis ComeBackAfter) {
+void StatementService::rejectWithRetry(const JobPtr &Each,
+                                       const std::string &Why,
+                                       Millis RetryAfter) {
   const bool MayHaveRun = Each->mayHaveRun();
   finish(Each, MayHaveRun ? Outcome::Unknown : Outcome::NotRun,
          refusalReply(MayHaveRun ? reply_status::Unknown
                                  : reply_status::Unavailable,
-                      Why, ComeBackAfter));
+                      Why, RetryAfter));
 }
 
 void StatementService::reject(const JobPtr &Each, int Status,
@@ -486,42 +504,43 @@
 
 void StatementService::finish(const JobPtr &Each, Outcome What,
                               HttpResponse Response) {
-  if (Each->At == Job::Stage::Finished)
+  if (Each->CurrentStage == Job::Stage::Finished)
     return;
   close(Each);
   if (What == Outcome::NotRun)
     ++Counts.NotRun;
   if (What == Outcome::Unknown)
     ++Counts.Unknown;
-  Response.Headers[caller_header::Outcome] = word(What);
-  if (!Each->Way.Target.empty()) {
-    Response.Headers[caller_header::Target] = Each->Way.Target;
+  Response.Headers[caller_header::Outcome] = outcomeHeader(What);
+  if (!Each->ChosenRoute.Target.empty()) {
+    Response.Headers[caller_header::Target] = Each->ChosenRoute.Target;
     Response.Headers[caller_header::ServedBy] =
-        Each->Way.IsPrimary ? "primary" : "replica";
+        Each->ChosenRoute.IsPrimary ? "primary" : "replica";
   }
   Each->Exchange->respond(std::move(Response));
 }
 
-void StatementService::leaveQueues(const JobPtr &Each) {
-  Waiting.erase(Each->Id);
+void StatementService::removeFromQueues(const JobPtr &Each) {
+  WaitingForPrimary.erase(Each->Id);
   const ConnectionPool::Ticket Asked = std::exchange(Each->PoolTicket, 0);
   if (const auto Pool = Each->Pool.lock())
     Pool->cancel(Asked);
 }
 
 void StatementService::close(const JobPtr &Each) {
-  leaveQueues(Each);
+  removeFromQueues(Each);
   // One that was sent holds its connection until its answer comes.
-  if (Each->At != Job::Stage::Sent)
-    Queues.leave(Each->Id, false, Outside.Time.now());
+  if (Each->CurrentStage != Job::Stage::Sent)
+    Queues.remove(Each->Id, false, Deps.Time.now());
   Gate.cancel(Each->GateTicket);
-  for (Scheduler::TimerId *Timer : {&Each->DeadlineTimer, &Each->PatienceTimer})
+  for (Scheduler::TimerId *Timer :
+       {&Each->DeadlineTimer, &Each->PrimaryWaitTimer})
     if (*Timer != 0)
-      Outside.Timers.cancel(std::exchange(*Timer, 0));
-  Each->At = Job::Stage::Finished;
+      Deps.Timers.cancel(std::exchange(*Timer, 0));
+  Each->CurrentStage = Job::Stage::Finished;
   const std::string Database = Each->Statement.Database;
   Jobs.erase(Each->Id);
-  pump(Database);
+  dispatchQueued(Database);
 }
 
 } // namespace corianderdyke
--- a/Source/Proxy/TargetPools.cpp
+++ b/Source/Proxy/TargetPools.cpp
@@ -5,7 +5,7 @@
 
 namespace corianderdyke {
 
-void TargetPools::update(const ClusterView &View, const LimitOf &Limit) {
+void TargetPools::update(const ClusterView &View, const LimitFunction &Limit) {
   for (auto Each = Pools.begin(); Each != Pools.end();)
     Each = View.target(Each->first) == nullptr ? Pools.erase(Each)
                                                : std::next(Each);
@@ -21,7 +21,7 @@
   setLimits(Limit);
 }
 
-void TargetPools::setLimits(const LimitOf &Limit) {
+void TargetPools::setLimits(const LimitFunction &Limit) {
   for (const auto &[Name, Each] : Pools)
     Each.Pool->setLimit(Limit(Name));
 }
--- a/Source/Proxy/TargetPools.h
+++ b/Source/Proxy/TargetPools.h
@@ -14,13 +14,13 @@
   explicit TargetPools(HttpConnector &Connector) : Connector(Connector) {}
 
   /// Connections that may be open to a target.
-  using LimitOf = std::function<std::size_t(const std::string &Target)>;
+  using LimitFunction = std::function<std::size_t(const std::string &Target)>;
 
   /// Takes a view in. A target that announced itself anew is another process,
   /// perhaps on another address: its former connections are dead.
-  void update(const ClusterView &View, const LimitOf &Limit);
+  void update(const ClusterView &View, const LimitFunction &Limit);
 
-  void setLimits(const LimitOf &Limit);
+  void setLimits(const LimitFunction &Limit);
 
   /// The pool of a target; null where the view has no such target, which may
   /// happen between a choice and its use.
--- a/Source/Proxy/TargetProtocol.h
+++ b/Source/Proxy/TargetProtocol.h
@@ -30,10 +30,10 @@
 constexpr const char *Behind = "behind the session";
 constexpr const char *NotConnected = "not connected";
 constexpr const char *NoTransaction = "no transaction";
-constexpr const char *InTransaction = "transaction open";
-constexpr const char *KeyTaken = "the key stands for another statement";
+constexpr const char *TransactionOpen = "transaction open";
+constexpr const char *KeyConflict = "the key stands for another statement";
 constexpr const char *KeyTooOld = "the key is too old";
-constexpr const char *KeyVoid = "the key was given up";
+constexpr const char *KeyAbandoned = "the key was given up";
 } // namespace target_reason
 
 namespace statement_header {
@@ -46,7 +46,7 @@
 } // namespace statement_header
 
 /// What an answer of a target says of its term, position and role.
-inline TargetSighting sightingOf(const HttpResponse &Answer) {
+inline TargetObservation parseObservation(const HttpResponse &Answer) {
   return {numberOr(Answer.header(target_header::Term), 0),
           numberOr(Answer.header(target_header::LogTerm), 0),
           numberOr(Answer.header(target_header::Position), 0),
--- a/Source/Proxy/TargetRequest.cpp
+++ b/Source/Proxy/TargetRequest.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-const char *pathOf(Verb What) {
+const char *pathOf(StatementOperation What) {
   switch (What) {
-  case Verb::Begin:
+  case StatementOperation::Begin:
     return "/v1/begin";
-  case Verb::Commit:
+  case StatementOperation::Commit:
     return "/v1/commit";
-  case Verb::Rollback:
+  case StatementOperation::Rollback:
     return "/v1/rollback";
-  case Verb::Run:
+  case StatementOperation::Run:
     break;
   }
   return "/v1/statement";
@@ -25,15 +25,15 @@
 
 } // namespace
 
-HttpRequest requestFor(const StatementRequest &Statement, const Route &Way,
+HttpRequest requestFor(const StatementRequest &Statement, const Route &Chosen,
                        bool InTransaction) {
   HttpRequest Out;
   Out.Method = HttpMethod::Post;
-  Out.Path = pathOf(Statement.What);
+  Out.Path = pathOf(Statement.Operation);
   Out.Headers[statement_header::Access] =
       Statement.Kind.Mode == Access::Read ? "read" : "write";
-  Out.Headers[statement_header::Term] = std::to_string(Way.Term);
-  Out.Headers[statement_header::Floor] = std::to_string(Way.Floor);
+  Out.Headers[statement_header::Term] = std::to_string(Chosen.Term);
+  Out.Headers[statement_header::Floor] = std::to_string(Chosen.MinPosition);
   if (InTransaction)
     Out.Headers[statement_header::Transaction] = "open";
   if (Statement.Key)
--- a/Source/Proxy/TargetRequest.h
+++ b/Source/Proxy/TargetRequest.h
@@ -11,7 +11,7 @@
 
 /// The request by the targets' published protocol. \p InTransaction tells
 /// that it belongs to the transaction of its connection.
-HttpRequest requestFor(const StatementRequest &Statement, const Route &Way,
+HttpRequest requestFor(const StatementRequest &Statement, const Route &Chosen,
                        bool InTransaction);
 
 } // namespace corianderdyke
--- a/Source/Proxy/TargetWatcher.cpp
+++ b/Source/Proxy/TargetWatcher.cpp
@@ -37,11 +37,11 @@
     if (Known.Generation != 0 && Known.Address == Target.Address)
       continue;
     Known = Watch{Target.Address, nullptr, 0, 0, NextGeneration++};
-    ask(Name);
+    sendWatch(Name);
   }
 }
 
-void TargetWatcher::ask(const std::string &Name) {
+void TargetWatcher::sendWatch(const std::string &Name) {
   const auto Found = Watches.find(Name);
   if (Found == Watches.end())
     return;
@@ -57,13 +57,13 @@
       std::move(Question), WatchTimeout,
       [this, Name, Generation = To.Generation,
        AskedAt = Time.now()](const Expected<HttpResponse> &Answer) {
-        answered(Name, Generation, AskedAt, Answer);
+        handleAnswer(Name, Generation, AskedAt, Answer);
       });
 }
 
-void TargetWatcher::answered(const std::string &Name, std::uint64_t Generation,
-                             Millis AskedAt,
-                             const Expected<HttpResponse> &Answer) {
+void TargetWatcher::handleAnswer(const std::string &Name,
+                                 std::uint64_t Generation, Millis AskedAt,
+                                 const Expected<HttpResponse> &Answer) {
   const auto Found = Watches.find(Name);
   if (Found == Watches.end() || Found->second.Generation != Generation)
     return;
@@ -73,31 +73,31 @@
     // An answer that failed at once means that nobody listens there any
     // more; one that took the whole time says only that it's silent.
     if (Time.now() - AskedAt < WatchTimeout / 2) {
-      Table.refused(Name);
+      Table.markRefused(Name);
       Refused.emit(Name);
     }
     Timers.after(AskAgainAfter, [this, Name, Generation] {
       const auto Again = Watches.find(Name);
       if (Again != Watches.end() && Again->second.Generation == Generation)
-        ask(Name);
+        sendWatch(Name);
     });
     return;
   }
-  const TargetSighting Seen = sightingOf(*Answer);
+  const TargetObservation Seen = parseObservation(*Answer);
   const Millis StoodUntil = AskedAt + heldBy(*Answer, Time.now() - AskedAt);
   // A primary that held the question stood where the question said until the
   // end of the hold. That makes a replica at that position as fresh as the
   // end, not as the beginning. One that answered at once had moved before.
   if (Seen.IsPrimary && StoodUntil > AskedAt && Seen.Term == From.Term &&
       Seen.Position > From.Position) {
-    TargetSighting Before = Seen;
+    TargetObservation Before = Seen;
     Before.Position = From.Position;
     Table.observe(Name, Before, StoodUntil, Time.now());
   }
   From.Position = Seen.Position;
   From.Term = Seen.Term;
   Table.observe(Name, Seen, StoodUntil, Time.now());
-  ask(Name);
+  sendWatch(Name);
   Changed.emit(Name);
 }
 
--- a/Source/Proxy/TargetWatcher.h
+++ b/Source/Proxy/TargetWatcher.h
@@ -39,9 +39,9 @@
     std::uint64_t Generation = 0;
   };
 
-  void ask(const std::string &Name);
-  void answered(const std::string &Name, std::uint64_t Generation,
-                Millis AskedAt, const Expected<HttpResponse> &Answer);
+  void sendWatch(const std::string &Name);
+  void handleAnswer(const std::string &Name, std::uint64_t Generation,
+                    Millis AskedAt, const Expected<HttpResponse> &Answer);
 
   Clock &Time;
   Scheduler &Timers;
--- a/Source/Proxy/TransactionTable.cpp
+++ b/Source/Proxy/TransactionTable.cpp
@@ -34,13 +34,13 @@
 TransactionPtr TransactionTable::open(const std::string &Database,
                                       const Route &Way, const std::string &Peer,
                                       PooledConnection Connection,
-                                      Millis IdleBound) {
+                                      Millis IdleTimeout) {
   auto Made = std::make_shared<Transaction>(
       Transaction{prefixOf(Self) + std::to_string(NextNumber++), Database, Way,
                   Peer, std::move(Connection)});
   Made->Connection.setReusable(false);
   Open[Made->Id] = Made;
-  startIdleBound(Made, IdleBound);
+  startIdleTimer(Made, IdleTimeout);
   return Made;
 }
 
@@ -54,7 +54,7 @@
                 "the transaction lives at " + Id.substr(0, Id.find(':')));
   }
   const TransactionPtr &Each = Found->second;
-  if (Each->Peer != Peer)
+  if (Each->CallerConnection != Peer)
     return fail(ErrorCode::Conflict,
                 "the transaction belongs to another connection");
   if (Each->Busy)
@@ -66,14 +66,14 @@
   return Each;
 }
 
-void TransactionTable::unclaim(const TransactionPtr &Each, Millis IdleBound) {
+void TransactionTable::release(const TransactionPtr &Each, Millis IdleBound) {
   if (!isOpen(Each->Id))
     return;
   Each->Busy = false;
-  startIdleBound(Each, IdleBound);
+  startIdleTimer(Each, IdleBound);
 }
 
-void TransactionTable::ended(const TransactionPtr &Each) {
+void TransactionTable::complete(const TransactionPtr &Each) {
   Each->Connection.setReusable(true);
   forget(Each);
 }
@@ -90,16 +90,16 @@
     Each->Connection.close();
 }
 
-void TransactionTable::disconnected(const std::string &Peer) {
+void TransactionTable::handleDisconnect(const std::string &Peer) {
   const auto Known = Open;
   for (const auto &[Id, Each] : Known)
-    if (Each->Peer == Peer)
+    if (Each->CallerConnection == Peer)
       abandon(Each);
 }
 
-bool TransactionTable::holds(const std::string &Peer) const {
+bool TransactionTable::isBound(const std::string &Peer) const {
   return std::any_of(Open.begin(), Open.end(), [&Peer](const auto &Each) {
-    return Each.second->Peer == Peer;
+    return Each.second->CallerConnection == Peer;
   });
 }
 
@@ -124,7 +124,7 @@
       });
 }
 
-void TransactionTable::startIdleBound(const TransactionPtr &Each,
+void TransactionTable::startIdleTimer(const TransactionPtr &Each,
                                       Millis Bound) {
   const std::weak_ptr<Transaction> Weak = Each;
   Each->IdleTimer = Timers.after(Bound, [this, Weak] {
--- a/Source/Proxy/TransactionTable.h
+++ b/Source/Proxy/TransactionTable.h
@@ -17,8 +17,8 @@
 struct Transaction {
   std::string Id;
   std::string Database;
-  Route Way;
-  std::string Peer; ///< The caller's connection that began it.
+  Route ChosenRoute;
+  std::string CallerConnection; ///< The caller's connection that began it.
   PooledConnection Connection;
   bool Busy = false; ///< A statement of it is under way.
   Scheduler::TimerId IdleTimer = 0;
@@ -38,7 +38,7 @@
 
   TransactionPtr open(const std::string &Database, const Route &Way,
                       const std::string &Peer, PooledConnection Connection,
-                      Millis IdleBound);
+                      Millis IdleTimeout);
 
   /// Claims a transaction for one statement. NotFound where it isn't open
   /// here, with the proxy where it lives; Conflict where another statement
@@ -47,23 +47,23 @@
                                  const std::string &Peer);
 
   /// The claimed statement has its whole answer; the idle bound runs anew.
-  void unclaim(const TransactionPtr &Each, Millis IdleBound);
+  void release(const TransactionPtr &Each, Millis IdleBound);
 
   /// The target has ended it: the connection is clean.
-  void ended(const TransactionPtr &Each);
+  void complete(const TransactionPtr &Each);
 
   /// Rolls it back. Harmless where it ended before.
   void abandon(const TransactionPtr &Each);
 
   /// The caller's connection is gone, and its transactions with it.
-  void disconnected(const std::string &Peer);
+  void handleDisconnect(const std::string &Peer);
 
   /// Rolls back those that wait for their caller; a statement under way is
   /// left to end, and its transaction is rolled back with the next call.
   void abandonIdle();
 
   /// True while a transaction waits for a caller's connection.
-  bool holds(const std::string &Peer) const;
+  bool isBound(const std::string &Peer) const;
 
   bool isOpen(const std::string &Id) const { return Open.count(Id) != 0; }
   /// Databases on which some transaction is open.
@@ -72,7 +72,7 @@
 
 private:
   void rollBack(const TransactionPtr &Each);
-  void startIdleBound(const TransactionPtr &Each, Millis Bound);
+  void startIdleTimer(const TransactionPtr &Each, Millis Bound);
   void forget(const TransactionPtr &Each);
 
   Scheduler &Timers;
--- a/Source/Proxy/WriteGapMeter.cpp
+++ b/Source/Proxy/WriteGapMeter.cpp
@@ -7,7 +7,7 @@
 
 void WriteGapMeter::update(const ClusterView &View, const TargetTable &Table,
                            bool MayServe, Millis Now) {
-  if (!View.Current)
+  if (!View.CurrentManifest)
     return;
   std::map<std::string, TargetReport> Reports;
   for (TargetReport &Each : Table.reports(View, Now))
@@ -18,12 +18,12 @@
     const bool Writable = MayServe && Group.isWritable() &&
                           Primary != Reports.end() && Primary->second.Reachable;
     if (!Writable) {
-      Known.InGap = Known.WasWritable;
+      Known.IsInGap = Known.WasWritable;
       continue;
     }
     // A quick failover may begin and end between two updates; the new term
     // tells of it.
-    if (Known.InGap || (Known.WasWritable && Known.Term != Group.Term))
+    if (Known.IsInGap || (Known.WasWritable && Known.Term != Group.Term))
       Gaps.observe(Now - Known.LastWritable);
     Known = {true, Now - Primary->second.SilentFor, false, Group.Term};
   }
--- a/Source/Proxy/WriteGapMeter.h
+++ b/Source/Proxy/WriteGapMeter.h
@@ -24,7 +24,7 @@
   struct Database {
     bool WasWritable = false; ///< Once; before that there's no gap to end.
     Millis LastWritable;
-    bool InGap = false;
+    bool IsInGap = false;
     std::uint64_t Term = 0; ///< At that moment.
   };
 
--- a/Source/Quota/Messages.h
+++ b/Source/Quota/Messages.h
@@ -20,7 +20,7 @@
 /// How long a seat lasts without being renewed. A proxy that is cut off or
 /// frozen keeps it unused for others for this long; a control group that is
 /// gone for less than this stops no permits.
-constexpr Millis SeatLease(8000);
+constexpr Millis SeatLeaseDuration(8000);
 
 /// One part of an organisation's quota.
 struct QuotaSeat {
@@ -94,11 +94,11 @@
   std::uint64_t Number = 0; ///< Of the request that it answers.
   std::uint32_t Granted = 0;
   bool HasSeat = false;
-  Millis ComeBackAfter; ///< Until there is another; only with a seat.
+  Millis RetryAfter; ///< Until there is another; only with a seat.
 
   auto operator<=>(const PermitReply &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Number, Granted, HasSeat, ComeBackAfter);
+    Ar(Number, Granted, HasSeat, RetryAfter);
   }
 };
 
--- a/Source/Quota/OperationPermits.cpp
+++ b/Source/Quota/OperationPermits.cpp
@@ -26,11 +26,11 @@
 
 std::vector<ProxyRecord> seatHolders(const std::string &Organisation,
                                      const std::vector<ProxyRecord> &Proxies) {
-  const std::uint64_t Seed = textHash(Organisation, 0);
+  const std::uint64_t Seed = hashText(Organisation, 0);
   std::vector<std::pair<std::uint64_t, std::size_t>> Order;
   Order.reserve(Proxies.size());
   for (std::size_t Each = 0; Each < Proxies.size(); ++Each)
-    Order.emplace_back(textHash(Proxies[Each].Name, Seed), Each);
+    Order.emplace_back(hashText(Proxies[Each].Name, Seed), Each);
   const std::size_t Count =
       std::min<std::size_t>(Order.size(), SeatsPerOrganisation);
   std::partial_sort(Order.begin(),
@@ -42,11 +42,10 @@
   return Out;
 }
 
-OperationPermits::OperationPermits(Ports Outside, std::string Self,
+OperationPermits::OperationPermits(Dependencies Deps, std::string Self,
                                    std::uint16_t PeerPort, QuotaSeats &Seats)
-    : Outside(Outside), Self(std::move(Self)), PeerPort(PeerPort),
-      Seats(Seats) {
-  Outside.Peers.signalReceived().connect(
+    : Deps(Deps), Self(std::move(Self)), PeerPort(PeerPort), Seats(Seats) {
+  Deps.Peers.signalReceived().connect(
       sigc::mem_fun(*this, &OperationPermits::receive));
 }
 
@@ -57,18 +56,18 @@
 
 void OperationPermits::adopt(const RoutePlan &Plan) {
   Seats.adopt(Plan);
-  decide();
+  recomputeHolders();
 }
 
 void OperationPermits::setProxies(std::vector<ProxyRecord> All) {
   Proxies = std::move(All);
-  decide();
+  recomputeHolders();
 }
 
-void OperationPermits::decide() {
+void OperationPermits::recomputeHolders() {
   Holders.clear();
   std::map<std::string, std::uint32_t> Own;
-  for (const std::string &Each : Seats.limited()) {
+  for (const std::string &Each : Seats.limitedOrganisations()) {
     std::vector<ProxyRecord> Known = seatHolders(Each, Proxies);
     for (const ProxyRecord &Holder : Known)
       if (Holder.Name == Self)
@@ -77,87 +76,87 @@
     if (!Known.empty())
       std::rotate(Known.begin(),
                   Known.begin() + static_cast<std::ptrdiff_t>(
-                                      textHash(Self, 0) % Known.size()),
+                                      hashText(Self, 0) % Known.size()),
                   Known.end());
     Holders[Each] = std::move(Known);
   }
   Seats.setWanted(std::move(Own));
 }
 
-std::uint64_t OperationPermits::ask(const std::string &Organisation,
-                                    Millis Until, Handler OnAnswer) {
+std::uint64_t OperationPermits::requestPermit(const std::string &Organisation,
+                                              Millis Until, Handler OnAnswer) {
   const std::uint64_t Number = NextNumber++;
   Queue &Of = Queues[Organisation];
-  Of.All.push_back({Number, Until, std::move(OnAnswer)});
-  if (Of.Asked != 0)
+  Of.Waiters.push_back({Number, Until, std::move(OnAnswer)});
+  if (Of.RequestNumber != 0)
     return Number;
-  const Millis Now = Outside.Time.now();
+  const Millis Now = Deps.Time.now();
   if (Now >= Of.NextRoundAt)
     beginRound(Organisation);
   else
-    refuseBefore(Organisation, Of.NextRoundAt);
+    refuseExpiringBefore(Organisation, Of.NextRoundAt);
   return Number;
 }
 
 void OperationPermits::cancel(std::uint64_t Number) {
   for (auto &[Name, Each] : Queues)
-    Each.All.remove_if(
+    Each.Waiters.remove_if(
         [Number](const Waiting &Of) { return Of.Number == Number; });
 }
 
-void OperationPermits::seatsChanged() {
+void OperationPermits::handleSeatsChanged() {
   std::vector<std::string> Names;
   for (const auto &[Name, Each] : Queues)
     Names.push_back(Name);
   for (const std::string &Each : Names)
-    if (!Queues[Each].All.empty() && Queues[Each].Asked == 0)
+    if (!Queues[Each].Waiters.empty() && Queues[Each].RequestNumber == 0)
       beginRound(Each);
 }
 
 void OperationPermits::beginRound(const std::string &Organisation) {
   Queue &Of = Queues[Organisation];
   stopTimer(Of);
-  if (Of.All.empty())
+  if (Of.Waiters.empty())
     return;
   // The plan may have taken the limit away meanwhile.
   if (!isLimited(Organisation))
-    return begin(takeOut(Of, static_cast<std::uint32_t>(Of.All.size())));
-  Of.Rank = 0;
-  Of.Soonest.reset();
+    return begin(dequeue(Of, static_cast<std::uint32_t>(Of.Waiters.size())));
+  Of.HolderIndex = 0;
+  Of.MinRetryAfter.reset();
   askNext(Organisation);
 }
 
 void OperationPermits::askNext(const std::string &Organisation) {
   Queue &Of = Queues[Organisation];
   std::vector<ProxyRecord> Known = Holders[Organisation];
-  const Millis Now = Outside.Time.now();
+  const Millis Now = Deps.Time.now();
   std::stable_partition(
       Known.begin(), Known.end(), [&](const ProxyRecord &Each) {
-        const auto Until = AvoidUntil.find(Each.Name);
-        return Until == AvoidUntil.end() || Now >= Until->second;
+        const auto Until = BackoffUntil.find(Each.Name);
+        return Until == BackoffUntil.end() || Now >= Until->second;
       });
-  if (Of.All.empty() || Of.Rank >= Known.size())
+  if (Of.Waiters.empty() || Of.HolderIndex >= Known.size())
     return endRound(Organisation);
-  const ProxyRecord &Next = Known[Of.Rank];
-  const auto Count = static_cast<std::uint32_t>(Of.All.size());
-  Of.Asked = NextNumber++;
+  const ProxyRecord &Next = Known[Of.HolderIndex];
+  const auto Count = static_cast<std::uint32_t>(Of.Waiters.size());
+  Of.RequestNumber = NextNumber++;
   Of.Holder = Next.Name;
   if (Next.Name == Self)
-    return answered(Organisation, Seats.take(Organisation, Count, Now));
+    return answered(Organisation, Seats.takePermits(Organisation, Count, Now));
   std::erase_if(Requests, [Now](const auto &Each) {
     return Now - Each.second.At >= LatestReply;
   });
-  Requests[Of.Asked] = {Organisation, Now};
-  Outside.Peers.send({Next.Relay.Address, PeerPort}, Delivery::Datagram,
-                     PermitRequest{Of.Asked, Organisation, Count});
+  Requests[Of.RequestNumber] = {Organisation, Now};
+  Deps.Peers.send({Next.RelayEndpoint.Address, PeerPort}, Delivery::Datagram,
+                  PermitRequest{Of.RequestNumber, Organisation, Count});
   setTimer(Of, Organisation, ReplyPatience, &OperationPermits::timedOut);
 }
 
 void OperationPermits::timedOut(const std::string &Organisation) {
   Queue &Of = Queues[Organisation];
-  Of.Asked = 0;
-  AvoidUntil[Of.Holder] = Outside.Time.now() + AvoidFor;
-  ++Of.Rank;
+  Of.RequestNumber = 0;
+  BackoffUntil[Of.Holder] = Deps.Time.now() + AvoidFor;
+  ++Of.HolderIndex;
   askNext(Organisation);
 }
 
@@ -167,9 +166,9 @@
 
 void OperationPermits::on(const PermitRequest &Body, const Envelope &From) {
   PermitReply Out =
-      Seats.take(Body.Organisation, Body.Count, Outside.Time.now());
+      Seats.takePermits(Body.Organisation, Body.Count, Deps.Time.now());
   Out.Number = Body.Number;
-  Outside.Peers.send(From.ReplyTo, Delivery::Datagram, Out);
+  Deps.Peers.send(From.ReplyTo, Delivery::Datagram, Out);
 }
 
 void OperationPermits::on(const PermitReply &Body, const Envelope &) {
@@ -179,18 +178,18 @@
   const std::string Organisation = Found->second.Organisation;
   Requests.erase(Found);
   Queue &Of = Queues[Organisation];
-  if (Of.Asked != Body.Number)
-    return begin(takeOut(Of, Body.Granted));
+  if (Of.RequestNumber != Body.Number)
+    return begin(dequeue(Of, Body.Granted));
   stopTimer(Of);
   answered(Organisation, Body);
 }
 
 std::vector<PermitSource::Handler>
-OperationPermits::takeOut(Queue &Of, std::uint32_t Permits) {
+OperationPermits::dequeue(Queue &Of, std::uint32_t Permits) {
   std::vector<Handler> Out;
-  while (Out.size() < Permits && !Of.All.empty()) {
-    Out.push_back(std::move(Of.All.front().OnAnswer));
-    Of.All.pop_front();
+  while (Out.size() < Permits && !Of.Waiters.empty()) {
+    Out.push_back(std::move(Of.Waiters.front().OnAnswer));
+    Of.Waiters.pop_front();
   }
   return Out;
 }
@@ -203,42 +202,43 @@
 void OperationPermits::answered(const std::string &Organisation,
                                 const PermitReply &Answer) {
   Queue &Of = Queues[Organisation];
-  Of.Asked = 0;
+  Of.RequestNumber = 0;
   if (Answer.HasSeat)
-    Of.Soonest = Of.Soonest ? std::min(*Of.Soonest, Answer.ComeBackAfter)
-                            : Answer.ComeBackAfter;
-  ++Of.Rank;
-  Of.NextRoundAt = Outside.Time.now();
-  const std::vector<Handler> Permitted = takeOut(Of, Answer.Granted);
+    Of.MinRetryAfter = Of.MinRetryAfter
+                           ? std::min(*Of.MinRetryAfter, Answer.RetryAfter)
+                           : Answer.RetryAfter;
+  ++Of.HolderIndex;
+  Of.NextRoundAt = Deps.Time.now();
+  const std::vector<Handler> Permitted = dequeue(Of, Answer.Granted);
   // Those behind them don't wait for what the handlers do.
-  if (!Of.All.empty())
+  if (!Of.Waiters.empty())
     askNext(Organisation);
   begin(Permitted);
 }
 
 void OperationPermits::endRound(const std::string &Organisation) {
   Queue &Of = Queues[Organisation];
-  if (Of.All.empty())
+  if (Of.Waiters.empty())
     return;
   const Millis Pause =
-      std::max(LeastPause, Of.Soonest.value_or(PauseWithoutSeat));
-  Of.NextRoundAt = Outside.Time.now() + Pause;
+      std::max(LeastPause, Of.MinRetryAfter.value_or(PauseWithoutSeat));
+  Of.NextRoundAt = Deps.Time.now() + Pause;
   setTimer(Of, Organisation, Pause, &OperationPermits::beginRound);
-  refuseBefore(Organisation, Of.NextRoundAt);
+  refuseExpiringBefore(Organisation, Of.NextRoundAt);
 }
 
-void OperationPermits::refuseBefore(const std::string &Organisation,
-                                    Millis When) {
+void OperationPermits::refuseExpiringBefore(const std::string &Organisation,
+                                            Millis When) {
   Queue &Of = Queues[Organisation];
-  const Millis Back = When - Outside.Time.now();
+  const Millis Back = When - Deps.Time.now();
   std::vector<Handler> Refused;
-  for (auto Each = Of.All.begin(); Each != Of.All.end();) {
+  for (auto Each = Of.Waiters.begin(); Each != Of.Waiters.end();) {
     if (Each->Until >= When) {
       ++Each;
       continue;
     }
     Refused.push_back(std::move(Each->OnAnswer));
-    Each = Of.All.erase(Each);
+    Each = Of.Waiters.erase(Each);
   }
   for (const Handler &Each : Refused)
     Each(Back);
@@ -248,7 +248,7 @@
     Queue &Of, const std::string &Organisation, Millis Span,
     void (OperationPermits::*Then)(const std::string &)) {
   stopTimer(Of);
-  Of.Timer = Outside.Timers.after(Span, [this, Organisation, Then] {
+  Of.Timer = Deps.Timers.after(Span, [this, Organisation, Then] {
     Queues[Organisation].Timer = 0;
     (this->*Then)(Organisation);
   });
@@ -256,7 +256,7 @@
 
 void OperationPermits::stopTimer(Queue &Of) {
   if (Of.Timer != 0)
-    Outside.Timers.cancel(std::exchange(Of.Timer, 0));
+    Deps.Timers.cancel(std::exchange(Of.Timer, 0));
 }
 
 } // namespace corianderdyke
--- a/Source/Quota/OperationPermits.h
+++ b/Source/Quota/OperationPermits.h
@@ -32,29 +32,29 @@
 
 class OperationPermits final : public PermitSource, public sigc::trackable {
 public:
-  struct Ports {
+  struct Dependencies {
     Clock &Time;
     Scheduler &Timers;
     Transport &Peers;
   };
 
   /// \p PeerPort is the same at all proxies.
-  OperationPermits(Ports Outside, std::string Self, std::uint16_t PeerPort,
+  OperationPermits(Dependencies Deps, std::string Self, std::uint16_t PeerPort,
                    QuotaSeats &Seats);
   ~OperationPermits() override;
 
   bool isLimited(const std::string &Organisation) const override {
     return Seats.isLimited(Organisation);
   }
-  std::uint64_t ask(const std::string &Organisation, Millis Until,
-                    Handler OnAnswer) override;
+  std::uint64_t requestPermit(const std::string &Organisation, Millis Until,
+                              Handler OnAnswer) override;
   void cancel(std::uint64_t Number) override;
 
   /// What control said.
   void adopt(const RoutePlan &Plan);
   void setProxies(std::vector<ProxyRecord> All);
   /// Seats of this proxy have changed.
-  void seatsChanged();
+  void handleSeatsChanged();
 
 private:
   struct Waiting {
@@ -65,11 +65,13 @@
 
   /// One organisation's operations that wait here.
   struct Queue {
-    std::list<Waiting> All;
-    std::uint64_t Asked = 0; ///< Number of the request under way; 0: none.
-    std::size_t Rank = 0;    ///< Of the holder that is asked.
-    std::string Holder;      ///< Its name.
-    std::optional<Millis> Soonest; ///< Until one of those asked has a permit.
+    std::list<Waiting> Waiters;
+    std::uint64_t RequestNumber =
+        0;                       ///< Number of the request under way; 0: none.
+    std::size_t HolderIndex = 0; ///< Of the holder that is asked.
+    std::string Holder;          ///< Its name.
+    std::optional<Millis>
+        MinRetryAfter; ///< Until one of those asked has a permit.
     Millis NextRoundAt;
     Scheduler::TimerId Timer = 0;
   };
@@ -84,29 +86,29 @@
   void on(const PermitReply &Body, const Envelope &From);
   template <class Other> void on(const Other &, const Envelope &) {}
 
-  void decide();
+  void recomputeHolders();
   void beginRound(const std::string &Organisation);
   void askNext(const std::string &Organisation);
   void answered(const std::string &Organisation, const PermitReply &Answer);
   /// Takes as many operations out of a queue, the oldest first.
-  static std::vector<Handler> takeOut(Queue &Of, std::uint32_t Permits);
+  static std::vector<Handler> dequeue(Queue &Of, std::uint32_t Permits);
   /// Lets them begin; the handlers may ask for others.
   static void begin(const std::vector<Handler> &Permitted);
   void endRound(const std::string &Organisation);
   /// Refuses those whose time is over by then.
-  void refuseBefore(const std::string &Organisation, Millis When);
+  void refuseExpiringBefore(const std::string &Organisation, Millis When);
   void setTimer(Queue &Of, const std::string &Organisation, Millis Span,
                 void (OperationPermits::*Then)(const std::string &));
   void stopTimer(Queue &Of);
   void timedOut(const std::string &Organisation);
 
-  Ports Outside;
+  Dependencies Deps;
   std::string Self;
   std::uint16_t PeerPort;
   QuotaSeats &Seats;
   std::vector<ProxyRecord> Proxies;
   std::map<std::string, std::vector<ProxyRecord>> Holders;
-  std::map<std::string, Millis> AvoidUntil; ///< Holders that didn't answer.
+  std::map<std::string, Millis> BackoffUntil; ///< Holders that didn't answer.
   std::map<std::string, Queue> Queues;
   /// Sent and not answered, by number. A late answer's permits are used too.
   std::map<std::uint64_t, SentRequest> Requests;
--- a/Source/Quota/PermitSource.h
+++ b/Source/Quota/PermitSource.h
@@ -23,8 +23,8 @@
   virtual bool isLimited(const std::string &Organisation) const = 0;
   /// Asks for one permit, which is refused once it can't be had before
   /// \p Until. The handler may run at once.
-  virtual std::uint64_t ask(const std::string &Organisation, Millis Until,
-                            Handler OnAnswer) = 0;
+  virtual std::uint64_t requestPermit(const std::string &Organisation,
+                                      Millis Until, Handler OnAnswer) = 0;
   /// Its operation doesn't need it any more; the handler won't run.
   virtual void cancel(std::uint64_t Number) = 0;
 };
--- a/Source/Quota/QuotaSeats.cpp
+++ b/Source/Quota/QuotaSeats.cpp
@@ -31,7 +31,7 @@
       Limits[Each.Name] = *Each.Limit;
 }
 
-std::vector<std::string> QuotaSeats::limited() const {
+std::vector<std::string> QuotaSeats::limitedOrganisations() const {
   std::vector<std::string> Out;
   for (const auto &[Name, Each] : Limits)
     Out.push_back(Name);
@@ -46,7 +46,7 @@
   for (const auto &[Name, Count] : Wanted) {
     std::uint32_t Here = 0;
     for (std::uint32_t Index = 0; Index < SeatsPerOrganisation; ++Index)
-      Here += Now < End && Seats.count({Name, Index}) != 0 ? 1 : 0;
+      Here += Now < LeaseEnd && Seats.count({Name, Index}) != 0 ? 1 : 0;
     if (Here < Count)
       return true;
   }
@@ -57,7 +57,8 @@
   const auto Found = Limits.find(Organisation);
   if (Found == Limits.end())
     return {};
-  const double Part = (1 + Tolerance.Part * ShareOfRate) / SeatsPerOrganisation;
+  const double Part =
+      (1 + Tolerance.Fraction * ShareOfRate) / SeatsPerOrganisation;
   return {Found->second.PerSecond * Part,
           Found->second.Burst * Part +
               Tolerance.Operations * OperationsOfBucket};
@@ -71,15 +72,15 @@
                               static_cast<double>(Tolerance.Window.count()) /
                               MillisPerSecond +
                           Found->second.Burst;
-  return (InWindow * Tolerance.Part * ShareOfStart +
+  return (InWindow * Tolerance.Fraction * ShareOfStart +
           Tolerance.Operations * OperationsOfStart) /
          SeatsPerOrganisation;
 }
 
-PermitReply QuotaSeats::take(const std::string &Organisation,
-                             std::uint32_t Count, Millis Now) {
+PermitReply QuotaSeats::takePermits(const std::string &Organisation,
+                                    std::uint32_t Count, Millis Now) {
   PermitReply Out;
-  if (Now >= End)
+  if (Now >= LeaseEnd)
     return Out;
   const Quota Limit = limitOfSeat(Organisation);
   double Soonest = -1;
@@ -102,13 +103,13 @@
     const double Lacking = 1 - Of.Tokens;
     const double Wait = Limit.PerSecond > 0
                             ? std::max(0.0, Lacking) / Limit.PerSecond
-                            : static_cast<double>(SeatLease.count());
+                            : static_cast<double>(SeatLeaseDuration.count());
     Soonest = Soonest < 0 ? Wait : std::min(Soonest, Wait);
   }
   if (Out.HasSeat)
-    Out.ComeBackAfter =
-        std::min(SeatLease, Millis(static_cast<std::int64_t>(
-                                std::ceil(Soonest * MillisPerSecond))));
+    Out.RetryAfter =
+        std::min(SeatLeaseDuration, Millis(static_cast<std::int64_t>(
+                                        std::ceil(Soonest * MillisPerSecond))));
   return Out;
 }
 
@@ -116,7 +117,7 @@
   if (Limits.empty() && Seats.empty())
     return {};
   SeatRequest Out{++Sequence, Now, LeaderTerm, Nonce, AppliedGrant, {}, {}};
-  if (Now < End)
+  if (Now < LeaseEnd)
     for (const auto &[Which, Each] : Seats)
       Out.Held.push_back(Which);
   for (const auto &[Name, Count] : Wanted)
@@ -135,7 +136,7 @@
   if (Grant.Sequence <= AppliedGrant || Grant.Sequence > Sequence)
     return false;
   // What had ended begins anew.
-  if (Now >= End)
+  if (Now >= LeaseEnd)
     Seats.clear();
   std::map<QuotaSeat, Bucket> New;
   for (const QuotaSeat &Each : Grant.Seats) {
@@ -145,7 +146,7 @@
                     : Bucket{firstTokens(Each.Organisation), Now};
   }
   AppliedGrant = Grant.Sequence;
-  End = Grant.SentAt + Grant.Duration;
+  LeaseEnd = Grant.SentAt + Grant.Duration;
   Seats = std::move(New);
   return false;
 }
--- a/Source/Quota/QuotaSeats.h
+++ b/Source/Quota/QuotaSeats.h
@@ -13,7 +13,7 @@
 
 /// What operators let organisations pass beyond their quotas, in any window.
 struct QuotaTolerance {
-  double Part = 0;       ///< Of rate and burst.
+  double Fraction = 0;   ///< Of rate and burst.
   double Operations = 0; ///< Beside it.
   Millis Window = Millis(5000);
 
@@ -34,7 +34,7 @@
     return Limits.count(Organisation) != 0;
   }
   /// Organisations with a quota.
-  std::vector<std::string> limited() const;
+  std::vector<std::string> limitedOrganisations() const;
 
   /// How many seats of which organisations this proxy is to hold.
   void setWanted(std::map<std::string, std::uint32_t> New);
@@ -42,8 +42,8 @@
   bool lacksSeat(Millis Now) const;
 
   /// Gives out as many permits as there are, \p Count at most.
-  PermitReply take(const std::string &Organisation, std::uint32_t Count,
-                   Millis Now);
+  PermitReply takePermits(const std::string &Organisation, std::uint32_t Count,
+                          Millis Now);
 
   /// The next request; none where nothing is limited.
   SeatRequest request(Millis Now);
@@ -51,7 +51,9 @@
   /// order is ignored. True where the next request should go out at once.
   bool apply(const SeatGrant &Grant, Millis Now);
 
-  std::size_t held(Millis Now) const { return Now < End ? Seats.size() : 0; }
+  std::size_t held(Millis Now) const {
+    return Now < LeaseEnd ? Seats.size() : 0;
+  }
 
 private:
   struct Bucket {
@@ -73,7 +75,7 @@
   std::uint64_t LeaderTerm = 0;
   std::uint64_t Nonce = 0; ///< Given by that leader.
   std::uint64_t AppliedGrant = 0;
-  Millis End = Millis(-1);
+  Millis LeaseEnd = Millis(-1);
 };
 
 } // namespace corianderdyke
--- a/Source/Quota/SeatLedger.cpp
+++ b/Source/Quota/SeatLedger.cpp
@@ -18,15 +18,17 @@
 /// long as a proxy that lacks one takes to ask again.
 constexpr Millis NotedKept(1500);
 
-Millis longestSeat() { return longestLease(SeatLease, ClockDriftPpm); }
+Millis longestSeat() {
+  return maxLeaseAcrossClocks(SeatLeaseDuration, ClockDriftPpm);
+}
 
 } // namespace
 
-void SeatLedger::begin(std::uint64_t LeaderTerm, const NotedSeats &Noted,
-                       Millis Now) {
+void SeatLedger::startTerm(std::uint64_t LeaderTerm,
+                           const SeatAssignments &Noted, Millis Now) {
   *this = SeatLedger();
   Term = LeaderTerm;
-  UnheardUntil = Now + longestSeat();
+  AwaitReportsUntil = Now + longestSeat();
   for (const auto &[Which, Name] : Noted)
     Seats[Which].Name = Name;
 }
@@ -36,26 +38,26 @@
     return false;
   if (Of.Name.empty())
     return true;
-  return Of.IsHeard ? Of.BusyUntil <= Now : Now >= UnheardUntil;
+  return Of.HasReported ? Of.HeldUntil <= Now : Now >= AwaitReportsUntil;
 }
 
-void SeatLedger::takeReport(const ProcessId &Proxy, const SeatRequest &Request,
-                            Millis Now) {
+void SeatLedger::applyReport(const ProcessId &Proxy, const SeatRequest &Request,
+                             Millis Now) {
   for (auto &[Which, Each] : Seats) {
     if (Each.Name != Proxy.Name)
       continue;
     const bool IsHeld = std::find(Request.Held.begin(), Request.Held.end(),
                                   Which) != Request.Held.end();
-    const bool IsFormers = Each.IsHeard && Each.Holder != Proxy;
-    const bool IsUnderWay =
-        Each.IsHeard && !IsFormers && Each.GrantedWith > Request.AppliedGrant;
-    Each.IsHeard = true;
+    const bool IsFormers = Each.HasReported && Each.Holder != Proxy;
+    const bool IsUnderWay = Each.HasReported && !IsFormers &&
+                            Each.GrantSequence > Request.AppliedGrant;
+    Each.HasReported = true;
     if (!IsHeld && !IsUnderWay)
-      Each.BusyUntil = Millis();
+      Each.HeldUntil = Millis();
     else if (IsHeld)
-      Each.BusyUntil = std::max(Each.BusyUntil, Now + longestSeat());
+      Each.HeldUntil = std::max(Each.HeldUntil, Now + longestSeat());
     if (Each.Holder != Proxy)
-      Each.GrantedWith = 0;
+      Each.GrantSequence = 0;
     Each.Holder = Proxy;
   }
 }
@@ -70,8 +72,8 @@
     if (Given >= Most || Known == Seats.end() || Known->second.IsReserved ||
         Known->second.Name != Proxy.Name)
       continue;
-    Known->second.BusyUntil = Now + longestSeat();
-    Known->second.GrantedWith = Request.Sequence;
+    Known->second.HeldUntil = Now + longestSeat();
+    Known->second.GrantSequence = Request.Sequence;
     Out.Seats.push_back(Which);
     ++Given;
   }
@@ -82,7 +84,7 @@
     if (!isFree(Other, Now) || Other.Name == Proxy.Name)
       continue;
     Other.IsReserved = true;
-    News[{Wanted.Organisation, Index}] = Proxy.Name;
+    ProposedAssignments[{Wanted.Organisation, Index}] = Proxy.Name;
     ++Given;
   }
 }
@@ -93,11 +95,11 @@
   const auto Known = Latest.find(Proxy.Name);
   if (Known != Latest.end() && Known->second.Id == Proxy)
     return true;
-  const auto New = Newcomers.find(Proxy.Name);
-  if (New == Newcomers.end() || New->second.Id != Proxy ||
+  const auto New = UnconfirmedProcesses.find(Proxy.Name);
+  if (New == UnconfirmedProcesses.end() || New->second.Id != Proxy ||
       New->second.Nonce != Request.Nonce)
     return false;
-  Newcomers.erase(New);
+  UnconfirmedProcesses.erase(New);
   Latest[Proxy.Name] = {Proxy, 0};
   return true;
 }
@@ -111,30 +113,32 @@
   // What it reports of an earlier term may still grow by a late grant.
   if (!isLatest(Proxy, Request)) {
     Out.Nonce = ++LastNonce;
-    Newcomers[Proxy.Name] = {Proxy, Out.Nonce};
+    UnconfirmedProcesses[Proxy.Name] = {Proxy, Out.Nonce};
     return Out;
   }
   std::uint64_t &Last = Latest[Proxy.Name].LastSequence;
   if (Request.Sequence <= Last)
     return std::nullopt;
   Last = Request.Sequence;
-  takeReport(Proxy, Request, ReceivedAt);
-  Out.Duration = SeatLease;
+  applyReport(Proxy, Request, ReceivedAt);
+  Out.Duration = SeatLeaseDuration;
   for (const SeatDemand &Each : Request.Wanted)
     grant(Proxy, Request, Each, ReceivedAt, Out);
   return Out;
 }
 
-NotedSeats SeatLedger::takeNews() { return std::exchange(News, {}); }
+SeatAssignments SeatLedger::takeProposedAssignments() {
+  return std::exchange(ProposedAssignments, {});
+}
 
-void SeatLedger::noted(const NotedSeats &Done, Millis Now) {
+void SeatLedger::applyCommitted(const SeatAssignments &Done, Millis Now) {
   for (const auto &[Which, Name] : Done) {
     Seat &Of = Seats[Which];
     Of = Seat();
     Of.Name = Name;
     // Nobody of that name was granted it before.
-    Of.IsHeard = true;
-    Of.BusyUntil = Now + NotedKept;
+    Of.HasReported = true;
+    Of.HeldUntil = Now + NotedKept;
     const auto Process = Latest.find(Name);
     if (Process != Latest.end())
       Of.Holder = Process->second.Id;
--- a/Source/Quota/SeatLedger.h
+++ b/Source/Quota/SeatLedger.h
@@ -26,12 +26,13 @@
 namespace corianderdyke {
 
 /// Names of the holders by seat; empty where none was noted.
-using NotedSeats = std::map<QuotaSeat, std::string>;
+using SeatAssignments = std::map<QuotaSeat, std::string>;
 
 class SeatLedger {
 public:
   /// Starts as the leader of a term with what the group has noted.
-  void begin(std::uint64_t LeaderTerm, const NotedSeats &Noted, Millis Now);
+  void startTerm(std::uint64_t LeaderTerm, const SeatAssignments &Noted,
+                 Millis Now);
 
   /// Answers a request that came in at \p ReceivedAt. The caller makes sure
   /// that this host still led after that moment. Nothing for an old request.
@@ -39,18 +40,18 @@
   answer(const ProcessId &Proxy, const SeatRequest &Request, Millis ReceivedAt);
 
   /// Holders that the group should note; each seat waits until it has.
-  NotedSeats takeNews();
+  SeatAssignments takeProposedAssignments();
   /// The group has noted them; they ask for their seats soon.
-  void noted(const NotedSeats &Done, Millis Now);
+  void applyCommitted(const SeatAssignments &Done, Millis Now);
 
 private:
   struct Seat {
-    std::string Name;        ///< As noted.
-    bool IsReserved = false; ///< Another name is about to be noted.
-    bool IsHeard = false;    ///< Its holder has reported in this term.
-    ProcessId Holder;        ///< That it was granted to or that reported it.
-    Millis BusyUntil;
-    std::uint64_t GrantedWith = 0; ///< Sequence of the last grant.
+    std::string Name;         ///< As noted.
+    bool IsReserved = false;  ///< Another name is about to be noted.
+    bool HasReported = false; ///< Its holder has reported in this term.
+    ProcessId Holder;         ///< That it was granted to or that reported it.
+    Millis HeldUntil;
+    std::uint64_t GrantSequence = 0; ///< Sequence of the last grant.
   };
 
   struct Process {
@@ -58,7 +59,7 @@
     std::uint64_t LastSequence = 0;
   };
 
-  struct Newcomer {
+  struct UnconfirmedProcess {
     ProcessId Id;
     std::uint64_t Nonce = 0;
   };
@@ -66,20 +67,20 @@
   /// True where it's the latest process of its name, as from now on.
   bool isLatest(const ProcessId &Proxy, const SeatRequest &Request);
   bool isFree(const Seat &Of, Millis Now) const;
-  void takeReport(const ProcessId &Proxy, const SeatRequest &Request,
-                  Millis Now);
+  void applyReport(const ProcessId &Proxy, const SeatRequest &Request,
+                   Millis Now);
   void grant(const ProcessId &Proxy, const SeatRequest &Request,
              const SeatDemand &Wanted, Millis Now, SeatGrant &Out);
 
   std::uint64_t Term = 0;
-  Millis UnheardUntil;
+  Millis AwaitReportsUntil;
   std::map<QuotaSeat, Seat> Seats;
   /// The latest process of each name.
   std::map<std::string, Process> Latest;
   /// Those that were given a nonce last, by name.
-  std::map<std::string, Newcomer> Newcomers;
+  std::map<std::string, UnconfirmedProcess> UnconfirmedProcesses;
   std::uint64_t LastNonce = 0;
-  NotedSeats News;
+  SeatAssignments ProposedAssignments;
 };
 
 } // namespace corianderdyke
--- a/Source/Relay/BrokerLink.cpp
+++ b/Source/Relay/BrokerLink.cpp
@@ -17,16 +17,16 @@
 
 void TargetBroker::Link::send(const std::vector<TargetCommand> &Commands) {
   for (const TargetCommand &Each : Commands) {
-    Unanswered.push_back(changesOnlyState(Each.What));
-    switch (Each.What) {
+    Unanswered.push_back(isSessionStateCommand(Each.Operation));
+    switch (Each.Operation) {
     case TargetCommand::Kind::Reset:
       Values.clear();
       Prepared.clear();
       break;
     case TargetCommand::Kind::SetValue:
       Values[Each.Name] = Each.Text;
-      if (Bound)
-        Bound->HasSetValues = true;
+      if (BoundConnection)
+        BoundConnection->HasSetValues = true;
       break;
     case TargetCommand::Kind::Prepare:
       Prepared[Each.Name] = {Each.Text, false};
@@ -38,18 +38,18 @@
   if (Pending.empty())
     return;
   QueuedAt = Owner.Time.now();
-  if (Bound)
+  if (BoundConnection)
     return sendOrWait();
   Priority = Pending.front().Priority;
-  GiveUpAt = QueuedAt + Pending.front().MayWait;
+  Deadline = QueuedAt + Pending.front().MaxQueueTime;
   Owner.waitForConnection(*this);
 }
 
 void TargetBroker::Link::sendOrWait() {
   // What needs the success of a command that isn't answered yet stays here.
-  if (!Bound->Awaited.empty() && Pending.front().NeedsPrevious)
+  if (!BoundConnection->Awaited.empty() && Pending.front().NeedsPrevious)
     return;
-  Bound->Turn.leave();
+  BoundConnection->Turn.remove();
   if (needsSlot())
     Owner.waitForTurn(*this);
   else
@@ -57,59 +57,59 @@
 }
 
 void TargetBroker::Link::run(const TargetConnectionPtr &On) {
-  Waiting.leave();
-  Bound.emplace(Holding{On});
+  Waiting.remove();
+  BoundConnection.emplace(HeldConnection{On});
   sendPending();
 }
 
 void TargetBroker::Link::takeTurn() {
-  Bound->Turn.leave();
+  BoundConnection->Turn.remove();
   sendPending();
 }
 
 void TargetBroker::Link::sendPending() {
-  const TargetConnectionPtr On = Bound->On;
+  const TargetConnectionPtr On = BoundConnection->Connection;
   std::vector<TargetConnection::Step> Steps;
-  On->adjust(Values, Steps);
+  On->appendValueSteps(Values, Steps);
   const auto Count = std::distance(Pending.cbegin(), nextStop());
   for (auto Next = Pending.begin(); Next != Pending.begin() + Count; ++Next) {
     TargetCommand &Each = *Next;
-    const bool TakesSlot = takesSlot(Each.What);
-    if (Each.What == TargetCommand::Kind::Execute)
+    const bool TakesSlot = takesSlot(Each.Operation);
+    if (Each.Operation == TargetCommand::Kind::Execute)
       Each.Name = On->prepare(Prepared[Each.Name], Steps);
     Steps.push_back(
         {std::move(Each), [this, Still = Alive](const StatementAnswer &Answer) {
            if (*Still)
-             answered(Answer);
+             handleAnswer(Answer);
          }});
-    Bound->Awaited.push_back(TakesSlot);
+    BoundConnection->Awaited.push_back(TakesSlot);
     if (TakesSlot)
-      ++Owner.targetOf(To).AtWork;
+      ++Owner.targetOf(To).InFlight;
   }
   Pending.erase(Pending.begin(), Pending.begin() + Count);
-  Bound->SentAt = Owner.Time.now();
+  BoundConnection->SentAt = Owner.Time.now();
   On->send(std::move(Steps));
 }
 
-void TargetBroker::Link::answered(const StatementAnswer &Answer) {
-  if (Bound->Awaited.front())
-    --Owner.targetOf(To).AtWork;
-  Bound->Awaited.pop_front();
-  Owner.noteAnswer(Bound->On);
+void TargetBroker::Link::handleAnswer(const StatementAnswer &Answer) {
+  if (BoundConnection->Awaited.front())
+    --Owner.targetOf(To).InFlight;
+  BoundConnection->Awaited.pop_front();
+  Owner.recordAnswer(BoundConnection->Connection);
   const bool Opens = !Answer.Refusal && Answer.Phase != SessionPhase::Idle;
-  const bool IsLast = Bound->Awaited.empty();
+  const bool IsLast = BoundConnection->Awaited.empty();
   if (IsLast && !Pending.empty() && Opens) {
-    Held.push_back(Answer);
+    DeferredAnswers.push_back(Answer);
     return sendOrWait();
   }
   // What needed this one's success isn't sent.
   std::size_t Dropped = 0;
   TargetConnectionPtr Free;
   if (IsLast) {
-    Bound->Turn.leave();
+    BoundConnection->Turn.remove();
     Dropped = std::exchange(Pending, {}).size();
     if (Answer.Phase == SessionPhase::Idle)
-      Free = endHolding();
+      Free = detachConnection();
   }
   const std::shared_ptr<bool> Still = Alive;
   TargetBroker &Broker = Owner;
@@ -119,9 +119,9 @@
     deliver(refusal(Answer.Refusal ? Answer.Refusal->Code : RefusalCode::Busy,
                     "what it needs first didn't succeed"));
   if (Free)
-    Broker.giveBack(Free);
+    Broker.release(Free);
   else if (Target *At = Broker.find(Id))
-    Broker.pump(*At);
+    Broker.dispatch(*At);
 }
 
 void TargetBroker::Link::answerStateChanges() {
@@ -137,7 +137,7 @@
 
 void TargetBroker::Link::deliver(const StatementAnswer &Answer) {
   const std::shared_ptr<bool> Still = Alive;
-  for (const StatementAnswer &Each : std::exchange(Held, {}))
+  for (const StatementAnswer &Each : std::exchange(DeferredAnswers, {}))
     if (*Still)
       deliver(Each);
   if (!*Still)
@@ -152,50 +152,51 @@
 
 void TargetBroker::Link::refuse(RefusalCode Code, const std::string &Why) {
   // One that holds a connection has sent something, or is about to.
-  if (Bound)
+  if (BoundConnection)
     return;
-  Waiting.leave();
+  Waiting.remove();
   const std::shared_ptr<bool> Still = Alive;
   const std::size_t Count = std::exchange(Pending, {}).size();
   for (std::size_t Each = 0; Each < Count && *Still; ++Each)
     deliver(refusal(Code, Why));
 }
 
-TargetConnectionPtr TargetBroker::Link::endHolding() {
-  const Holding Ended = std::move(*std::exchange(Bound, std::nullopt));
+TargetConnectionPtr TargetBroker::Link::detachConnection() {
+  const HeldConnection Ended =
+      std::move(*std::exchange(BoundConnection, std::nullopt));
   if (Target *At = Owner.find(To.Id))
-    At->AtWork -= static_cast<std::size_t>(
+    At->InFlight -= static_cast<std::size_t>(
         std::count(Ended.Awaited.begin(), Ended.Awaited.end(), true));
   if (Ended.HasSetValues)
-    Ended.On->forgetValues();
-  return Ended.On;
+    Ended.Connection->invalidateValues();
+  return Ended.Connection;
 }
 
-void TargetBroker::Link::lost() {
-  endHolding();
+void TargetBroker::Link::handleConnectionLoss() {
+  detachConnection();
   Pending.clear();
-  Held.clear();
+  DeferredAnswers.clear();
   const auto Handler = Handlers.OnClose;
   if (Handler)
     Handler(std::nullopt);
 }
 
 // Whoever used the link has left in the middle of something.
-void TargetBroker::Link::giveUpConnection() {
-  if (!Bound)
+void TargetBroker::Link::releaseConnection() {
+  if (!BoundConnection)
     return;
-  const bool IsAnswered = Bound->Awaited.empty();
-  const TargetConnectionPtr Used = endHolding();
+  const bool IsAnswered = BoundConnection->Awaited.empty();
+  const TargetConnectionPtr Used = detachConnection();
   // Answers that are still due may never come.
   if (!IsAnswered)
     return Owner.discard(Used);
   TargetBroker &Broker = Owner;
-  Used->send({{{.What = TargetCommand::Kind::Rollback},
+  Used->send({{{.Operation = TargetCommand::Kind::Rollback},
                [&Broker, Used](const StatementAnswer &Answer) {
                  if (Answer.Refusal || Answer.Phase != SessionPhase::Idle)
                    Broker.discard(Used);
                  else
-                   Broker.giveBack(Used);
+                   Broker.release(Used);
                }}});
 }
 
--- a/Source/Relay/BrokerLink.h
+++ b/Source/Relay/BrokerLink.h
@@ -30,7 +30,7 @@
   ~Link() override {
     *Alive = false;
     Owner.Links.erase(Number);
-    giveUpConnection();
+    releaseConnection();
   }
 
   void send(const std::vector<TargetCommand> &Commands) override;
@@ -43,34 +43,37 @@
   /// True where anything that waits takes one of the target's slots. A
   /// transaction that begins while those that hold connections wait for their
   /// turns would only make all of them late.
-  bool beginsWork() const {
+  bool hasSlotCommands() const {
     return std::any_of(
         Pending.begin(), Pending.end(),
-        [](const TargetCommand &Each) { return takesSlot(Each.What); });
+        [](const TargetCommand &Each) { return takesSlot(Each.Operation); });
   }
   /// True where what is sent next takes one of the target's slots.
   bool needsSlot() const {
     return std::any_of(
         Pending.begin(), nextStop(),
-        [](const TargetCommand &Each) { return takesSlot(Each.What); });
+        [](const TargetCommand &Each) { return takesSlot(Each.Operation); });
   }
   Millis queuedAt() const { return QueuedAt; }
-  Millis giveUpAt() const { return GiveUpAt; }
-  bool holdsConnection() const { return Bound.has_value(); }
+  Millis deadline() const { return Deadline; }
+  bool holdsConnection() const { return BoundConnection.has_value(); }
   bool holds(const TargetConnectionPtr &Which) const {
-    return Bound && Bound->On == Which;
+    return BoundConnection && BoundConnection->Connection == Which;
   }
   /// Since when an answer is due; nothing where none is.
   std::optional<Millis> awaitingSince() const {
-    return Bound && !Bound->Awaited.empty() ? std::optional(Bound->SentAt)
-                                            : std::nullopt;
+    return BoundConnection && !BoundConnection->Awaited.empty()
+               ? std::optional(BoundConnection->SentAt)
+               : std::nullopt;
   }
 
-  bool isWaiting() const { return Waiting.isTaken(); }
+  bool isWaiting() const { return Waiting.isQueued(); }
   /// Waits for a connection.
-  void waitAt(QueuePlace<Link> At) { Waiting = std::move(At); }
+  void setConnectionQueueEntry(QueueEntry<Link> At) { Waiting = std::move(At); }
   /// Waits for its turn on the connection that it holds.
-  void waitForTurnAt(QueuePlace<Link> At) { Bound->Turn = std::move(At); }
+  void setTurnQueueEntry(QueueEntry<Link> At) {
+    BoundConnection->Turn = std::move(At);
+  }
   /// A connection came free.
   void run(const TargetConnectionPtr &On);
   /// Its turn has come on the connection that it holds.
@@ -78,7 +81,7 @@
   /// Nothing that waits was sent: answers it all.
   void refuse(RefusalCode Code, const std::string &Why);
   /// The connection that it holds has ended.
-  void lost();
+  void handleConnectionLoss();
 
 private:
   /// Behind what may be sent together: a command that needs the success of
@@ -91,24 +94,24 @@
         [](const TargetCommand &Each) { return Each.NeedsPrevious; });
   }
   /// A connection that the link holds, with all that ends with it.
-  struct Holding {
-    TargetConnectionPtr On;
+  struct HeldConnection {
+    TargetConnectionPtr Connection;
     /// Answers due; true for one that takes a slot.
     std::deque<bool> Awaited = {};
     /// Values changed inside a transaction may return with its rollback.
     bool HasSetValues = false;
     Millis SentAt = {};
-    QueuePlace<Link> Turn = {};
+    QueueEntry<Link> Turn = {};
   };
 
   void sendOrWait();
   void sendPending();
-  void answered(const StatementAnswer &Answer);
+  void handleAnswer(const StatementAnswer &Answer);
   void deliver(const StatementAnswer &Answer);
   void answerStateChanges();
-  void giveUpConnection();
+  void releaseConnection();
   /// Ends what it holds: the connection, which nobody else knows to be free.
-  TargetConnectionPtr endHolding();
+  TargetConnectionPtr detachConnection();
 
   TargetBroker &Owner;
   std::uint64_t Number;
@@ -116,16 +119,16 @@
   Events Handlers;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   SessionValues Values;
-  std::map<std::string, PreparedShape> Prepared; ///< By the link's name.
+  std::map<std::string, PreparedStatement> Prepared; ///< By the link's name.
   std::deque<TargetCommand> Pending; ///< Statements that weren't sent yet.
   std::deque<bool> Unanswered;       ///< In order; true for a change of state.
   /// Delivered together with the next one, which is on its way.
-  std::vector<StatementAnswer> Held;
-  std::optional<Holding> Bound;
-  QueuePlace<Link> Waiting;
+  std::vector<StatementAnswer> DeferredAnswers;
+  std::optional<HeldConnection> BoundConnection;
+  QueueEntry<Link> Waiting;
   std::uint32_t Priority = 0; ///< Of the transaction or statement under way.
   Millis QueuedAt;
-  Millis GiveUpAt;
+  Millis Deadline;
 };
 
 } // namespace corianderdyke
--- a/Source/Relay/GatewayTable.cpp
+++ b/Source/Relay/GatewayTable.cpp
@@ -37,11 +37,11 @@
                                     std::size_t Most) {
   std::vector<Candidate> Out;
   Out.reserve(Proxies.size());
-  const std::uint64_t Seed = textHash(Target.Id);
+  const std::uint64_t Seed = hashText(Target.Id);
   for (std::size_t Index = 0; Index < Proxies.size(); ++Index) {
     const ProxyRecord &Each = Proxies[Index];
     Out.push_back({Index, Each.FailureDomain == Target.FailureDomain,
-                   textHash(Each.Name, Seed)});
+                   hashText(Each.Name, Seed)});
   }
   // A gateway beside its target costs bytes between failure domains once on
   // the way, one elsewhere twice.
@@ -59,7 +59,7 @@
 
 } // namespace
 
-std::size_t gatewaysFor(std::size_t Connections) {
+std::size_t gatewayCount(std::size_t Connections) {
   return std::clamp(Connections / ConnectionsPerGateway, FewestGateways,
                     MostGateways);
 }
@@ -113,7 +113,7 @@
 }
 
 const std::vector<ProxyRecord> &
-GatewayTable::of(const std::string &Target) const {
+GatewayTable::gatewaysOf(const std::string &Target) const {
   static const std::vector<ProxyRecord> None;
   const auto Found = ByTarget.find(Target);
   return Found == ByTarget.end() ? None : Found->second;
--- a/Source/Relay/GatewayTable.h
+++ b/Source/Relay/GatewayTable.h
@@ -21,12 +21,12 @@
 /// A proxy that other proxies may send statements through.
 struct ProxyRecord {
   std::string Name;
-  Endpoint Relay; ///< Where it takes other proxies' statements.
+  Endpoint RelayEndpoint; ///< Where it takes other proxies' statements.
   std::string FailureDomain;
 
   auto operator<=>(const ProxyRecord &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Name, Relay, FailureDomain);
+    Ar(Name, RelayEndpoint, FailureDomain);
   }
 };
 
@@ -36,7 +36,7 @@
 
 /// Gateways of a target that takes \p Connections from all proxies together.
 /// Never one alone, so that one proxy's end or cut leaves a way.
-std::size_t gatewaysFor(std::size_t Connections);
+std::size_t gatewayCount(std::size_t Connections);
 
 /// Computed by each proxy from what control told everybody. Where two proxies
 /// know different lists, a target gets some connections too many, and refuses
@@ -52,7 +52,7 @@
 
   /// Those that hold the target's connections, then those that take over
   /// where none of the former reaches it. Empty where the target is unknown.
-  const std::vector<ProxyRecord> &of(const std::string &Target) const;
+  const std::vector<ProxyRecord> &gatewaysOf(const std::string &Target) const;
 
 private:
   std::map<std::string, std::vector<ProxyRecord>> ByTarget;
--- a/Source/Relay/QueuePlace.h
+++ b/Source/Relay/QueueEntry.h
@@ -1,8 +1,8 @@
 /// \file
 /// An entry of a list that ends with its owner.
 
-#ifndef CORIANDERDYKE_RELAY_QUEUEPLACE_H
-#define CORIANDERDYKE_RELAY_QUEUEPLACE_H
+#ifndef CORIANDERDYKE_RELAY_QUEUEENTRY_H
+#define CORIANDERDYKE_RELAY_QUEUEENTRY_H
 
 #include <list>
 #include <utility>
@@ -11,26 +11,26 @@
 
 /// Whoever waits owns its place, so that no list names one that has stopped
 /// waiting. The list outlives its places.
-template <class Waiter> class QueuePlace {
+template <class Waiter> class QueueEntry {
 public:
   using Queue = std::list<Waiter *>;
 
-  QueuePlace() = default;
+  QueueEntry() = default;
   /// Puts \p Who before \p Next.
-  QueuePlace(Queue &Into, typename Queue::iterator Next, Waiter &Who)
+  QueueEntry(Queue &Into, typename Queue::iterator Next, Waiter &Who)
       : In(&Into), At(Into.insert(Next, &Who)) {}
-  ~QueuePlace() { leave(); }
-  QueuePlace(QueuePlace &&Other) noexcept
+  ~QueueEntry() { remove(); }
+  QueueEntry(QueueEntry &&Other) noexcept
       : In(std::exchange(Other.In, nullptr)), At(Other.At) {}
-  QueuePlace &operator=(QueuePlace &&Other) noexcept {
-    leave();
+  QueueEntry &operator=(QueueEntry &&Other) noexcept {
+    remove();
     In = std::exchange(Other.In, nullptr);
     At = Other.At;
     return *this;
   }
 
-  bool isTaken() const { return In != nullptr; }
-  void leave() {
+  bool isQueued() const { return In != nullptr; }
+  void remove() {
     if (Queue *Left = std::exchange(In, nullptr))
       Left->erase(At);
   }
--- a/Source/Relay/RelayPeer.cpp
+++ b/Source/Relay/RelayClient.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Sends statements through one other proxy.
 
-#include "Relay/RelayPeer.h"
+#include "Relay/RelayClient.h"
 
 namespace corianderdyke {
 
@@ -28,9 +28,9 @@
 
 } // namespace
 
-class RelayPeer::Link final : public TargetLink {
+class RelayClient::Link final : public TargetLink {
 public:
-  Link(RelayPeer &Owner, std::uint32_t Number, std::string Group,
+  Link(RelayClient &Owner, std::uint32_t Number, std::string Group,
        Events Handlers)
       : Owner(Owner), Number(Number), Group(std::move(Group)),
         Handlers(std::move(Handlers)) {
@@ -47,7 +47,7 @@
       return;
     SentAt.insert(SentAt.end(), Commands.size(), Owner.Time.now());
     Owner.send(RelayCommands{Number, Commands});
-    Owner.keepWatching();
+    Owner.startLivenessCheck();
   }
   bool isShared() const override { return true; }
 
@@ -60,8 +60,8 @@
     // The gateway answered after this was sent, and asked the leader by the
     // floor's age before that.
     if (Body.Floor)
-      Owner.Floors.note(Group, Body.Floor->Shown,
-                        SentAt.front() - Body.Floor->Age, Owner.Time.now());
+      Owner.Floors.record(Group, Body.Floor->Shown,
+                          SentAt.front() - Body.Floor->Age, Owner.Time.now());
     SentAt.pop_front();
     const auto Handler = Handlers.OnAnswer;
     Handler(Body.Answer);
@@ -75,13 +75,13 @@
   }
 
   void silent() {
-    const auto Handler = Handlers.OnSilent;
+    const auto Handler = Handlers.OnKeepaliveTimeout;
     if (Handler)
       Handler();
   }
 
 private:
-  RelayPeer &Owner;
+  RelayClient &Owner;
   std::uint32_t Number;
   std::string Group;
   Events Handlers;
@@ -90,18 +90,18 @@
   bool IsClosed = false;
 };
 
-RelayPeer::RelayPeer(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
-                     RelayFrames &Frames, FloorTable &Floors, Endpoint At)
+RelayClient::RelayClient(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
+                         RelayCodec &Frames, FloorTable &Floors, Endpoint At)
     : Time(Time), Timers(Timers), Streams(Streams), Floors(Floors),
       Frames(Frames), At(std::move(At)), Outbox(Timers, Frames) {}
 
-RelayPeer::~RelayPeer() {
-  if (Watching != 0)
-    Timers.cancel(Watching);
+RelayClient::~RelayClient() {
+  if (LivenessTimer != 0)
+    Timers.cancel(LivenessTimer);
 }
 
-std::unique_ptr<TargetLink> RelayPeer::open(const TargetAddress &To,
-                                            TargetLink::Events Events) {
+std::unique_ptr<TargetLink> RelayClient::open(const TargetAddress &To,
+                                              TargetLink::Events Events) {
   if (!Outbox.isOpen())
     connect();
   const std::uint32_t Number = NextLink++;
@@ -111,35 +111,35 @@
   return Made;
 }
 
-bool RelayPeer::takesWork() const {
+bool RelayClient::isAvailable() const {
   const bool IsSuspect =
-      Watching != 0 && Time.now() - LastHeard >= SuspectAfter;
+      LivenessTimer != 0 && Time.now() - LastReceived >= SuspectAfter;
   return !IsLeaving && !IsSuspect && Time.now() >= AvoidUntil;
 }
 
-void RelayPeer::connect() {
+void RelayClient::connect() {
   IsLeaving = false;
-  LastHeard = Time.now();
-  OwesSign = false;
+  LastReceived = Time.now();
+  IsPingPending = false;
   Outbox.reset(
       Streams.connect(At, {[this](const std::string &Frame) { receive(Frame); },
-                           [this] { ended(); }}));
+                           [this] { closeStream(); }}));
 }
 
-void RelayPeer::send(RelayMessage Body) { Outbox.send(std::move(Body)); }
+void RelayClient::send(RelayMessage Body) { Outbox.send(std::move(Body)); }
 
-void RelayPeer::receive(const std::string &Frame) {
-  LastHeard = Time.now();
-  OwesSign = false;
+void RelayClient::receive(const std::string &Frame) {
+  LastReceived = Time.now();
+  IsPingPending = false;
   const auto Messages = Frames.read(Frame);
   // The order of answers can't be trusted behind one that can't be read.
   if (!Messages)
-    return ended();
+    return closeStream();
   for (const RelayMessage &Each : *Messages)
     std::visit([&](const auto &Body) { on(Body); }, Each);
 }
 
-void RelayPeer::on(const RelayAnswer &Body) {
+void RelayClient::on(const RelayAnswer &Body) {
   const auto Found = Links.find(Body.Link);
   if (Found == Links.end() || Found->second->answered(Body))
     return;
@@ -148,7 +148,7 @@
   on(RelayClose{Body.Link});
 }
 
-void RelayPeer::on(const RelayClose &Body) {
+void RelayClient::on(const RelayClose &Body) {
   const auto Found = Links.find(Body.Link);
   if (Found == Links.end())
     return;
@@ -157,9 +157,9 @@
   Closed->closed();
 }
 
-void RelayPeer::on(const RelayLeaving &) { IsLeaving = true; }
+void RelayClient::on(const RelayLeaving &) { IsLeaving = true; }
 
-void RelayPeer::ended() {
+void RelayClient::closeStream() {
   // The process that listens there next is another one.
   IsLeaving = false;
   AvoidUntil = Time.now() + AvoidFor;
@@ -173,7 +173,7 @@
 }
 
 // Handlers may close links, and open others elsewhere.
-void RelayPeer::tellSilence() {
+void RelayClient::notifySilent() {
   std::vector<std::uint32_t> Waiting;
   for (const auto &[Number, Each] : Links)
     if (Each->awaitsAnswers())
@@ -183,39 +183,39 @@
       Found->second->silent();
 }
 
-bool RelayPeer::awaitsAnswers() const {
+bool RelayClient::awaitsAnswers() const {
   for (const auto &[Number, Each] : Links)
     if (Each->awaitsAnswers())
       return true;
   return false;
 }
 
-void RelayPeer::keepWatching() {
-  if (Watching != 0)
+void RelayClient::startLivenessCheck() {
+  if (LivenessTimer != 0)
     return;
-  LastHeard = Time.now();
-  Watching = Timers.after(WatchInterval, [this] {
-    Watching = 0;
-    watch();
+  LastReceived = Time.now();
+  LivenessTimer = Timers.after(WatchInterval, [this] {
+    LivenessTimer = 0;
+    checkLiveness();
   });
 }
 
-void RelayPeer::watch() {
+void RelayClient::checkLiveness() {
   // Callers give up sooner than the silence is long enough to tell.
-  if (!Outbox.isOpen() || (!awaitsAnswers() && !OwesSign))
+  if (!Outbox.isOpen() || (!awaitsAnswers() && !IsPingPending))
     return;
-  const Millis Silent = Time.now() - LastHeard;
+  const Millis Silent = Time.now() - LastReceived;
   if (Silent >= GiveUpAfter)
-    return ended();
+    return closeStream();
   // Once: a gateway that is silent since it has too much to do would get
   // another question from hundreds of proxies at each look.
-  if (Silent >= PingAfter && !std::exchange(OwesSign, true))
+  if (Silent >= PingAfter && !std::exchange(IsPingPending, true))
     send(RelayPing{});
   if (Silent >= DoubtAfter)
-    tellSilence();
-  Watching = Timers.after(WatchInterval, [this] {
-    Watching = 0;
-    watch();
+    notifySilent();
+  LivenessTimer = Timers.after(WatchInterval, [this] {
+    LivenessTimer = 0;
+    checkLiveness();
   });
 }
 
--- a/Source/Relay/RelayPeer.h
+++ b/Source/Relay/RelayClient.h
@@ -1,13 +1,13 @@
 /// \file
 /// Sends statements through one other proxy.
 
-#ifndef CORIANDERDYKE_RELAY_RELAYPEER_H
-#define CORIANDERDYKE_RELAY_RELAYPEER_H
+#ifndef CORIANDERDYKE_RELAY_RELAYCLIENT_H
+#define CORIANDERDYKE_RELAY_RELAYCLIENT_H
 
 #include "Common/Clock.h"
 #include "Loop/Scheduler.h"
 #include "Pipeline/FloorTable.h"
-#include "Relay/RelayFrames.h"
+#include "Relay/RelayCodec.h"
 #include "Transport/PeerStreams.h"
 
 #include <deque>
@@ -17,20 +17,20 @@
 
 /// One stream to one gateway, opened with the first link and again after it
 /// has ended. Its links close when it ends: what was on its way may have run.
-class RelayPeer final : public TargetConnector {
+class RelayClient final : public TargetConnector {
 public:
-  RelayPeer(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
-            RelayFrames &Frames, FloorTable &Floors, Endpoint At);
-  ~RelayPeer() override;
-  RelayPeer(const RelayPeer &) = delete;
-  RelayPeer &operator=(const RelayPeer &) = delete;
+  RelayClient(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
+              RelayCodec &Frames, FloorTable &Floors, Endpoint At);
+  ~RelayClient() override;
+  RelayClient(const RelayClient &) = delete;
+  RelayClient &operator=(const RelayClient &) = delete;
 
   std::unique_ptr<TargetLink> open(const TargetAddress &To,
                                    TargetLink::Events Events) override;
 
   /// False while it stops, while it owes answers and is silent, and for a
   /// moment after it couldn't be reached.
-  bool takesWork() const;
+  bool isAvailable() const;
 
 private:
   class Link;
@@ -43,27 +43,27 @@
   void on(const RelayClose &Body);
   void on(const RelayLeaving &Body);
   template <class Other> void on(const Other &) {}
-  void ended();
-  void watch();
-  void keepWatching();
+  void closeStream();
+  void checkLiveness();
+  void startLivenessCheck();
   /// Tells those that wait for answers that none may come.
-  void tellSilence();
+  void notifySilent();
   bool awaitsAnswers() const;
 
   Clock &Time;
   Scheduler &Timers;
   PeerStreams &Streams;
   FloorTable &Floors;
-  RelayFrames &Frames;
+  RelayCodec &Frames;
   Endpoint At;
   RelayOutbox Outbox; ///< Open while there is a stream.
   std::map<std::uint32_t, Link *> Links;
   std::uint32_t NextLink = 1;
   bool IsLeaving = false; ///< Until the stream is opened anew.
-  Millis LastHeard;
-  bool OwesSign = false; ///< Of life, since it was asked for one.
+  Millis LastReceived;
+  bool IsPingPending = false; ///< Of life, since it was asked for one.
   Millis AvoidUntil;
-  Scheduler::TimerId Watching = 0;
+  Scheduler::TimerId LivenessTimer = 0;
 };
 
 } // namespace corianderdyke
--- a/Source/Relay/RelayFrames.cpp
+++ b/Source/Relay/RelayCodec.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// The frames in which messages between proxies travel.
 
-#include "Relay/RelayFrames.h"
+#include "Relay/RelayCodec.h"
 
 #include "Common/Codec.h"
 
@@ -17,25 +17,25 @@
 
 TargetCommand command(TargetCommand::Kind What, const char *Text = "") {
   TargetCommand Out;
-  Out.What = What;
+  Out.Operation = What;
   Out.Text = Text;
   Out.Priority = 1;
-  Out.MayWait = Millis(50);
+  Out.MaxQueueTime = Millis(50);
   return Out;
 }
 
 } // namespace
 
-std::string RelayFrames::sample() {
+std::string RelayCodec::compressionDictionary() {
   TargetCommand Own = command(TargetCommand::Kind::Run, "STORE ");
   Own.NeedsPrevious = true;
   TargetCommand Read = command(TargetCommand::Kind::Run, "FETCH ");
-  Read.After = LogPosition{1, 1};
+  Read.MinPosition = LogPosition{1, 1};
   StatementAnswer Empty;
   Empty.Position = LogPosition{1, 1};
   StatementAnswer Rows = Empty;
   Rows.Rows = {""};
-  Rows.Proof = " ";
+  Rows.Signature = " ";
   StatementAnswer Lags = Empty;
   Lags.Refusal = StatementRefusal{RefusalCode::Lagging, ""};
   return encode(std::vector<RelayMessage>{
@@ -51,48 +51,47 @@
              RelayAnswer{1, 1, Empty, std::nullopt}});
 }
 
-RelayFrames::RelayFrames() : Packer(sample()) {}
+RelayCodec::RelayCodec() : Packer(compressionDictionary()) {}
 
-std::string RelayFrames::write(const std::vector<RelayMessage> &Messages) {
-  return Format + Packer.pack(encode(Messages));
+std::string RelayCodec::write(const std::vector<RelayMessage> &Messages) {
+  return FormatVersion + Packer.compress(encode(Messages));
 }
 
-Expected<std::vector<RelayMessage>>
-RelayFrames::read(const std::string &Frame) {
-  if (Frame.empty() || Frame.front() != Format)
+Expected<std::vector<RelayMessage>> RelayCodec::read(const std::string &Frame) {
+  if (Frame.empty() || Frame.front() != FormatVersion)
     return fail(ErrorCode::Corrupt, "a frame of another format");
-  const auto Bytes = Packer.unpack(Frame.substr(1), MaxFrameContent);
+  const auto Bytes = Packer.decompress(Frame.substr(1), MaxFrameContent);
   if (!Bytes)
     return tl::unexpected(Bytes.error());
   return decode<std::vector<RelayMessage>>(*Bytes);
 }
 
 RelayOutbox::~RelayOutbox() {
-  if (Flushing != 0)
-    Timers.cancel(Flushing);
+  if (FlushTimer != 0)
+    Timers.cancel(FlushTimer);
 }
 
 void RelayOutbox::reset(std::shared_ptr<PeerStream> To) {
-  Kept.clear();
+  Batch.clear();
   Stream = std::move(To);
 }
 
 void RelayOutbox::send(RelayMessage What) {
   if (!Stream)
     return;
-  Kept.push_back(std::move(What));
-  if (Kept.size() >= MaxKept)
+  Batch.push_back(std::move(What));
+  if (Batch.size() >= MaxBatch)
     return flush();
-  if (Flushing == 0)
-    Flushing = Timers.after(Millis(0), [this] {
-      Flushing = 0;
+  if (FlushTimer == 0)
+    FlushTimer = Timers.after(Millis(0), [this] {
+      FlushTimer = 0;
       flush();
     });
 }
 
 void RelayOutbox::flush() {
-  if (Stream && !Kept.empty())
-    Stream->send(Frames.write(std::exchange(Kept, {})));
+  if (Stream && !Batch.empty())
+    Stream->send(Frames.write(std::exchange(Batch, {})));
 }
 
 } // namespace corianderdyke
--- a/Source/Relay/RelayFrames.h
+++ b/Source/Relay/RelayCodec.h
@@ -1,10 +1,10 @@
 /// \file
 /// The frames in which messages between proxies travel.
 
-#ifndef CORIANDERDYKE_RELAY_RELAYFRAMES_H
-#define CORIANDERDYKE_RELAY_RELAYFRAMES_H
+#ifndef CORIANDERDYKE_RELAY_RELAYCODEC_H
+#define CORIANDERDYKE_RELAY_RELAYCODEC_H
 
-#include "Common/FramePacker.h"
+#include "Common/FrameCompressor.h"
 #include "Loop/Scheduler.h"
 #include "Relay/Messages.h"
 #include "Transport/PeerStreams.h"
@@ -18,9 +18,9 @@
 ///
 /// So frames are packed, against a sample of what they usually hold, and all
 /// that is said within one turn of the loop travels in one.
-class RelayFrames {
+class RelayCodec {
 public:
-  RelayFrames();
+  RelayCodec();
 
   std::string write(const std::vector<RelayMessage> &Messages);
   /// Corrupt where \p Frame isn't a whole frame of this format.
@@ -29,18 +29,18 @@
   /// The first byte of a frame. It changes with the messages and with the
   /// sample: a frame that was packed against another would unpack to something
   /// that nobody has said.
-  static constexpr char Format = 3;
+  static constexpr char FormatVersion = 3;
   /// What frames are packed against.
-  static std::string sample();
+  static std::string compressionDictionary();
 
 private:
-  FramePacker Packer;
+  FrameCompressor Packer;
 };
 
 /// One end's way to the other: keeps what is said until the turn is over.
 class RelayOutbox {
 public:
-  RelayOutbox(Scheduler &Timers, RelayFrames &Frames)
+  RelayOutbox(Scheduler &Timers, RelayCodec &Frames)
       : Timers(Timers), Frames(Frames) {}
   ~RelayOutbox();
   RelayOutbox(const RelayOutbox &) = delete;
@@ -57,13 +57,13 @@
 
   /// Messages that are kept at most: an answer of a slow turn shouldn't wait
   /// for all others of it.
-  static constexpr std::size_t MaxKept = 16;
+  static constexpr std::size_t MaxBatch = 16;
 
   Scheduler &Timers;
-  RelayFrames &Frames;
+  RelayCodec &Frames;
   std::shared_ptr<PeerStream> Stream;
-  std::vector<RelayMessage> Kept;
-  Scheduler::TimerId Flushing = 0;
+  std::vector<RelayMessage> Batch;
+  Scheduler::TimerId FlushTimer = 0;
 };
 
 } // namespace corianderdyke
--- a/Source/Relay/RelayHost.cpp
+++ b/Source/Relay/RelayServer.cpp
@@ -2,7 +2,7 @@
 /// Takes statements of other proxies for the targets that this one is a
 /// gateway of.
 
-#include "Relay/RelayHost.h"
+#include "Relay/RelayServer.h"
 
 namespace corianderdyke {
 
@@ -14,8 +14,8 @@
 
 } // namespace
 
-struct RelayHost::Peer : std::enable_shared_from_this<Peer> {
-  Peer(Scheduler &Timers, RelayFrames &Frames) : Outbox(Timers, Frames) {}
+struct RelayServer::Peer : std::enable_shared_from_this<Peer> {
+  Peer(Scheduler &Timers, RelayCodec &Frames) : Outbox(Timers, Frames) {}
 
   RelayOutbox Outbox; ///< Open until the peer is dropped.
   std::map<std::uint32_t, std::unique_ptr<TargetLink>> Links;
@@ -25,20 +25,20 @@
   void send(RelayMessage Body) { Outbox.send(std::move(Body)); }
 };
 
-RelayHost::RelayHost(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
-                     RelayFrames &Frames, TargetConnector &Targets,
-                     const FloorTable &Floors)
+RelayServer::RelayServer(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
+                         RelayCodec &Frames, TargetConnector &Targets,
+                         const FloorTable &Floors)
     : Time(Time), Timers(Timers), Frames(Frames), Targets(Targets),
       Floors(Floors) {
-  Streams.accept([this](const std::shared_ptr<PeerStream> &Stream) {
+  Streams.setAcceptHandler([this](const std::shared_ptr<PeerStream> &Stream) {
     return accepted(Stream);
   });
 }
 
-RelayHost::~RelayHost() = default;
+RelayServer::~RelayServer() = default;
 
 PeerStreamEvents
-RelayHost::accepted(const std::shared_ptr<PeerStream> &Stream) {
+RelayServer::accepted(const std::shared_ptr<PeerStream> &Stream) {
   auto Made = std::make_shared<Peer>(Timers, Frames);
   Made->Outbox.reset(Stream);
   Peers.insert(Made);
@@ -55,7 +55,7 @@
           }};
 }
 
-void RelayHost::receive(Peer &From, const std::string &Frame) {
+void RelayServer::receive(Peer &From, const std::string &Frame) {
   const auto Messages = Frames.read(Frame);
   if (!Messages)
     return drop(From);
@@ -63,41 +63,42 @@
     std::visit([&](const auto &Body) { on(From, Body); }, Each);
 }
 
-void RelayHost::on(Peer &From, const RelayOpen &Body) {
+void RelayServer::on(Peer &From, const RelayOpen &Body) {
   const std::uint32_t Number = Body.Link;
   const std::weak_ptr<Peer> Weak = From.shared_from_this();
   From.Links[Number] = Targets.open(
-      Body.To, {[] {},
-                [this, Weak, Number,
-                 Group = Body.To.Group](const StatementAnswer &Answer) {
-                  if (const auto Held = Weak.lock())
-                    Held->send(RelayAnswer{Number, Held->Answered[Number]++,
-                                           Answer, newsFor(*Held, Group)});
-                },
-                [Weak, Number](const std::optional<StatementRefusal> &) {
-                  const auto Held = Weak.lock();
-                  if (!Held || Held->Links.erase(Number) == 0)
-                    return;
-                  Held->Answered.erase(Number);
-                  Held->send(RelayClose{Number});
-                }});
+      Body.To,
+      {[] {},
+       [this, Weak, Number,
+        Group = Body.To.Group](const StatementAnswer &Answer) {
+         if (const auto Held = Weak.lock())
+           Held->send(RelayAnswer{Number, Held->Answered[Number]++, Answer,
+                                  floorUpdateFor(*Held, Group)});
+       },
+       [Weak, Number](const std::optional<StatementRefusal> &) {
+         const auto Held = Weak.lock();
+         if (!Held || Held->Links.erase(Number) == 0)
+           return;
+         Held->Answered.erase(Number);
+         Held->send(RelayClose{Number});
+       }});
 }
 
 // A proxy alone sees few answers of a group's leader, and without a young
 // floor each of its reads would have to go there.
-std::optional<RelayFloor> RelayHost::newsFor(Peer &To,
-                                             const std::string &Group) const {
-  const auto Known = Floors.youngest(Group);
+std::optional<RelayFloor>
+RelayServer::floorUpdateFor(Peer &To, const std::string &Group) const {
+  const auto Known = Floors.latest(Group);
   if (!Known)
     return std::nullopt;
   const auto Told = To.FloorTold.find(Group);
   if (Told != To.FloorTold.end() && Known->SentAt - Told->second < FloorSpacing)
     return std::nullopt;
   To.FloorTold[Group] = Known->SentAt;
-  return RelayFloor{Known->Shown, Time.now() - Known->SentAt};
+  return RelayFloor{Known->Position, Time.now() - Known->SentAt};
 }
 
-void RelayHost::on(Peer &From, const RelayCommands &Body) {
+void RelayServer::on(Peer &From, const RelayCommands &Body) {
   const auto Found = From.Links.find(Body.Link);
   // It ended here while the commands were on their way; the other side has
   // been told.
@@ -106,14 +107,14 @@
   Found->second->send(Body.Commands);
 }
 
-void RelayHost::on(Peer &From, const RelayClose &Body) {
+void RelayServer::on(Peer &From, const RelayClose &Body) {
   From.Links.erase(Body.Link);
   From.Answered.erase(Body.Link);
 }
 
-void RelayHost::on(Peer &From, const RelayPing &) { From.send(RelayPong{}); }
+void RelayServer::on(Peer &From, const RelayPing &) { From.send(RelayPong{}); }
 
-void RelayHost::drop(Peer &Gone) {
+void RelayServer::drop(Peer &Gone) {
   const auto Held = Gone.shared_from_this();
   Held->Outbox.reset(nullptr);
   Peers.erase(Held);
@@ -121,7 +122,7 @@
   const auto Ended = std::exchange(Held->Links, {});
 }
 
-void RelayHost::beginStop() {
+void RelayServer::announceStop() {
   IsStopping = true;
   for (const auto &Each : Peers)
     Each->send(RelayLeaving{});
--- a/Source/Relay/RelayHost.h
+++ b/Source/Relay/RelayServer.h
@@ -2,12 +2,12 @@
 /// Takes statements of other proxies for the targets that this one is a
 /// gateway of.
 
-#ifndef CORIANDERDYKE_RELAY_RELAYHOST_H
-#define CORIANDERDYKE_RELAY_RELAYHOST_H
+#ifndef CORIANDERDYKE_RELAY_RELAYSERVER_H
+#define CORIANDERDYKE_RELAY_RELAYSERVER_H
 
 #include "Common/Clock.h"
 #include "Pipeline/FloorTable.h"
-#include "Relay/RelayFrames.h"
+#include "Relay/RelayCodec.h"
 #include "Transport/PeerStreams.h"
 
 #include <map>
@@ -17,17 +17,17 @@
 
 /// Every link of a stream ends with it: what another proxy left open is
 /// rolled back as soon as its process is gone.
-class RelayHost {
+class RelayServer {
 public:
-  RelayHost(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
-            RelayFrames &Frames, TargetConnector &Targets,
-            const FloorTable &Floors);
-  ~RelayHost();
-  RelayHost(const RelayHost &) = delete;
-  RelayHost &operator=(const RelayHost &) = delete;
+  RelayServer(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
+              RelayCodec &Frames, TargetConnector &Targets,
+              const FloorTable &Floors);
+  ~RelayServer();
+  RelayServer(const RelayServer &) = delete;
+  RelayServer &operator=(const RelayServer &) = delete;
 
   /// Tells the others to send nothing new here.
-  void beginStop();
+  void announceStop();
 
 private:
   struct Peer;
@@ -41,11 +41,12 @@
   template <class Other> void on(Peer &, const Other &) {}
   void drop(Peer &Gone);
 
-  std::optional<RelayFloor> newsFor(Peer &To, const std::string &Group) const;
+  std::optional<RelayFloor> floorUpdateFor(Peer &To,
+                                           const std::string &Group) const;
 
   Clock &Time;
   Scheduler &Timers;
-  RelayFrames &Frames;
+  RelayCodec &Frames;
   TargetConnector &Targets;
   const FloorTable &Floors;
   std::set<std::shared_ptr<Peer>> Peers;
--- a/Source/Relay/SharedConnector.cpp
+++ b/Source/Relay/SharedConnector.cpp
@@ -34,7 +34,7 @@
 public:
   Link(SharedConnector &Owner, TargetAddress To, Events Given)
       : Owner(Owner), To(std::move(To)), Handlers(std::move(Given)) {
-    Owner.Outside.Timers.after(Millis(0), [this, Still = Alive] {
+    Owner.Deps.Timers.after(Millis(0), [this, Still = Alive] {
       if (!*Still)
         return;
       const auto Handler = Handlers.OnOpen;
@@ -66,14 +66,14 @@
     if (Inner && Owner.isUsable(Bound, To.Id))
       return true;
     Inner.reset();
-    const auto Chosen = Owner.choose(To);
+    const auto Chosen = Owner.chooseGateway(To);
     if (!Chosen)
       return false;
     Bound = *Chosen;
     Inner = Bound.Connector->open(
         To, {[] {}, [this](const StatementAnswer &Answer) { answered(Answer); },
              [this](const std::optional<StatementRefusal> &) { closed(); },
-             Handlers.OnSilent});
+             Handlers.OnKeepaliveTimeout});
     if (!State.empty()) {
       Replayed = State.size();
       Inner->send(State);
@@ -83,12 +83,12 @@
 
   /// Remembers what the next gateway must know.
   void noteState(const TargetCommand &What) {
-    if (What.What == TargetCommand::Kind::Reset)
+    if (What.Operation == TargetCommand::Kind::Reset)
       State.clear();
-    if (!changesOnlyState(What.What))
+    if (!isSessionStateCommand(What.Operation))
       return;
     std::erase_if(State, [&What](const TargetCommand &Each) {
-      return Each.What == What.What && Each.Name == What.Name;
+      return Each.Operation == What.Operation && Each.Name == What.Name;
     });
     State.push_back(What);
   }
@@ -106,7 +106,7 @@
     if (Answer.Refusal && Answer.Refusal->Code == RefusalCode::Unreachable) {
       Owner.avoid(Bound.Name, To.Id);
       // Another gateway may reach it.
-      if (Owner.choose(To))
+      if (Owner.chooseGateway(To))
         Out.Refusal->Code = RefusalCode::Busy;
     }
     const auto Handler = Handlers.OnAnswer;
@@ -127,12 +127,12 @@
   void refuseAll(const std::vector<TargetCommand> &Commands) {
     for (const TargetCommand &Each : Commands)
       noteState(Each);
-    Owner.Outside.Timers.after(Millis(0), [this, Still = Alive, Commands] {
+    Owner.Deps.Timers.after(Millis(0), [this, Still = Alive, Commands] {
       for (const TargetCommand &Each : Commands) {
         if (!*Still)
           return;
         StatementAnswer Out;
-        if (!changesOnlyState(Each.What))
+        if (!isSessionStateCommand(Each.Operation))
           Out.Refusal = StatementRefusal{RefusalCode::Unreachable,
                                          "no gateway reaches the target"};
         const auto Handler = Handlers.OnAnswer;
@@ -153,15 +153,15 @@
   SessionPhase Phase = SessionPhase::Idle;
 };
 
-SharedConnector::SharedConnector(Ports Outside, std::string Self)
-    : Outside(Outside), Self(std::move(Self)), NextTurn(textHash(this->Self)) {}
+SharedConnector::SharedConnector(Dependencies Deps, std::string Self)
+    : Deps(Deps), Self(std::move(Self)), NextGateway(hashText(this->Self)) {}
 
 SharedConnector::~SharedConnector() = default;
 
 std::unique_ptr<TargetLink> SharedConnector::open(const TargetAddress &To,
                                                   TargetLink::Events Events) {
   if (!sharesConnections(To.Group))
-    return Outside.Direct.open(To, std::move(Events));
+    return Deps.Direct.open(To, std::move(Events));
   return std::make_unique<Link>(*this, To, std::move(Events));
 }
 
@@ -174,33 +174,33 @@
 // the targets' limits, and each opening takes a slot.
 bool SharedConnector::knowsShares() const {
   return !Proxies.empty() ||
-         (PlannedAt && Outside.Time.now() - *PlannedAt >= ListPatience);
+         (FirstPlanAt && Deps.Time.now() - *FirstPlanAt >= ListPatience);
 }
 
-void SharedConnector::adopt(const RoutePlan &New) {
+void SharedConnector::setPlan(const RoutePlan &New) {
   Plan = New;
-  if (!PlannedAt)
-    PlannedAt = Outside.Time.now();
-  Outside.Broker.setDivided(!Plan.Organisations.empty());
-  decide();
+  if (!FirstPlanAt)
+    FirstPlanAt = Deps.Time.now();
+  Deps.Broker.setPerOrganisation(!Plan.Organisations.empty());
+  decideSharing();
 }
 
 void SharedConnector::setProxies(std::vector<ProxyRecord> All) {
   Proxies = std::move(All);
-  decide();
+  decideSharing();
 }
 
-void SharedConnector::update(const TargetDirectory &Known) {
+void SharedConnector::updateTargets(const TargetDirectory &Known) {
   std::vector<TargetRecord> New = Known.all();
-  const bool IsAlike = isPlacedAlike(New, Targets);
+  const bool IsAlike = hasSamePlacement(New, Targets);
   Targets = std::move(New);
   if (!IsAlike)
-    rebuild();
-  Outside.Broker.update(Known);
+    rebuildTable();
+  Deps.Broker.update(Known);
 }
 
-bool SharedConnector::isPlacedAlike(const std::vector<TargetRecord> &Left,
-                                    const std::vector<TargetRecord> &Right) {
+bool SharedConnector::hasSamePlacement(const std::vector<TargetRecord> &Left,
+                                       const std::vector<TargetRecord> &Right) {
   return std::equal(Left.begin(), Left.end(), Right.begin(), Right.end(),
                     [](const TargetRecord &One, const TargetRecord &Other) {
                       return One.Id == Other.Id && One.Group == Other.Group &&
@@ -209,7 +209,7 @@
                     });
 }
 
-void SharedConnector::decide() {
+void SharedConnector::decideSharing() {
   for (const GroupPolicy &Each : Plan.Groups) {
     const std::size_t Usable = Each.usableConnections();
     const std::size_t Bound =
@@ -218,16 +218,16 @@
       Gateways.erase(Each.Name);
       continue;
     }
-    const std::size_t Count = gatewaysFor(Usable);
+    const std::size_t Count = gatewayCount(Usable);
     Gateways[Each.Name] = Count;
-    Outside.Broker.setShare(Each.Name, std::max<std::size_t>(1, Usable / Count),
-                            Count);
+    Deps.Broker.setShare(Each.Name, std::max<std::size_t>(1, Usable / Count),
+                         Count);
   }
-  rebuild();
+  rebuildTable();
 }
 
-void SharedConnector::rebuild() {
-  const Millis Now = Outside.Time.now();
+void SharedConnector::rebuildTable() {
+  const Millis Now = Deps.Time.now();
   std::erase_if(AvoidUntil,
                 [Now](const auto &Each) { return Each.second <= Now; });
   Table = GatewayTable(Proxies, Targets, Gateways);
@@ -236,35 +236,35 @@
     const auto Count = Gateways.find(Each.Group);
     if (Count == Gateways.end() || Each.IsGone)
       continue;
-    const std::vector<ProxyRecord> &Known = Table.of(Each.Id);
+    const std::vector<ProxyRecord> &Known = Table.gatewaysOf(Each.Id);
     for (std::size_t Rank = 0; Rank < std::min(Known.size(), Count->second);
          ++Rank)
       if (Known[Rank].Name == Self)
         Own.insert(Each.Id);
   }
-  Outside.Broker.setOwn(std::move(Own));
+  Deps.Broker.setGatewayTargets(std::move(Own));
 }
 
 SharedConnector::Gateway SharedConnector::gatewayOf(const ProxyRecord &Which) {
   if (Which.Name == Self)
-    return {&Outside.Broker, nullptr, Self};
-  std::unique_ptr<RelayPeer> &Peer = Peers[Which.Relay];
+    return {&Deps.Broker, nullptr, Self};
+  std::unique_ptr<RelayClient> &Peer = Peers[Which.RelayEndpoint];
   if (!Peer)
-    Peer = std::make_unique<RelayPeer>(Outside.Time, Outside.Timers,
-                                       Outside.Streams, Outside.Frames,
-                                       Outside.Floors, Which.Relay);
+    Peer = std::make_unique<RelayClient>(Deps.Time, Deps.Timers, Deps.Streams,
+                                         Deps.Frames, Deps.Floors,
+                                         Which.RelayEndpoint);
   return {Peer.get(), Peer.get(), Which.Name};
 }
 
 bool SharedConnector::isUsable(const Gateway &Which,
                                const std::string &Target) const {
-  if (Which.Peer != nullptr && !Which.Peer->takesWork())
+  if (Which.Peer != nullptr && !Which.Peer->isAvailable())
     return false;
   const auto Until = AvoidUntil.find({Which.Name, Target});
-  if (Until != AvoidUntil.end() && Outside.Time.now() < Until->second)
+  if (Until != AvoidUntil.end() && Deps.Time.now() < Until->second)
     return false;
   // Connections move with the gateways.
-  const std::vector<ProxyRecord> &Known = Table.of(Target);
+  const std::vector<ProxyRecord> &Known = Table.gatewaysOf(Target);
   return std::any_of(Known.begin(), Known.end(), [&](const ProxyRecord &Each) {
     return Each.Name == Which.Name;
   });
@@ -274,19 +274,19 @@
 // target from all proxies, an organisation needs one connection where it would
 // need one at each gateway, and finds it open more often. Who belongs to no
 // organisation begins at another one each time, so that all carry the same.
-std::size_t SharedConnector::firstTurn(const TargetAddress &To) {
+std::size_t SharedConnector::firstGatewayIndex(const TargetAddress &To) {
   if (To.Organisation.empty())
-    return NextTurn++;
-  return textHash(To.Organisation, textHash(To.Id));
+    return NextGateway++;
+  return hashText(To.Organisation, hashText(To.Id));
 }
 
 std::optional<SharedConnector::Gateway>
-SharedConnector::choose(const TargetAddress &To) {
-  const std::vector<ProxyRecord> &Known = Table.of(To.Id);
+SharedConnector::chooseGateway(const TargetAddress &To) {
+  const std::vector<ProxyRecord> &Known = Table.gatewaysOf(To.Id);
   const auto Count = Gateways.find(To.Group);
   const std::size_t First =
       std::min(Known.size(), Count == Gateways.end() ? 0 : Count->second);
-  const std::size_t Turn = firstTurn(To);
+  const std::size_t Turn = firstGatewayIndex(To);
   for (std::size_t Each = 0; Each < First; ++Each) {
     const Gateway Next = gatewayOf(Known[(Turn + Each) % First]);
     if (isUsable(Next, To.Id))
@@ -303,7 +303,7 @@
 void SharedConnector::retire(std::unique_ptr<TargetLink> Ended) {
   Retired.push_back(std::move(Ended));
   if (Retired.size() == 1)
-    Outside.Timers.after(Millis(0), [this] {
+    Deps.Timers.after(Millis(0), [this] {
       // Outside the list, so that one which ends with them can be added.
       const auto Ended = std::exchange(Retired, {});
     });
@@ -311,7 +311,7 @@
 
 void SharedConnector::avoid(const std::string &Gateway,
                             const std::string &Target) {
-  AvoidUntil[{Gateway, Target}] = Outside.Time.now() + AvoidFor;
+  AvoidUntil[{Gateway, Target}] = Deps.Time.now() + AvoidFor;
 }
 
 } // namespace corianderdyke
--- a/Source/Relay/SharedConnector.h
+++ b/Source/Relay/SharedConnector.h
@@ -8,25 +8,25 @@
 
 #include "Plan/RoutePlan.h"
 #include "Relay/GatewayTable.h"
-#include "Relay/RelayPeer.h"
+#include "Relay/RelayClient.h"
 #include "Relay/TargetBroker.h"
 
 namespace corianderdyke {
 
 class SharedConnector final : public TargetConnector {
 public:
-  struct Ports {
+  struct Dependencies {
     Clock &Time;
     Scheduler &Timers;
     TargetConnector &Direct;
     TargetBroker &Broker;
     PeerStreams &Streams;
-    RelayFrames &Frames;
+    RelayCodec &Frames;
     FloorTable &Floors;
   };
 
   /// \p Self is this proxy's name in the list of proxies.
-  SharedConnector(Ports Outside, std::string Self);
+  SharedConnector(Dependencies Deps, std::string Self);
   ~SharedConnector() override;
 
   std::unique_ptr<TargetLink> open(const TargetAddress &To,
@@ -35,8 +35,8 @@
   bool knowsShares() const override;
 
   /// What control said.
-  void adopt(const RoutePlan &New);
-  void update(const TargetDirectory &Known);
+  void setPlan(const RoutePlan &New);
+  void updateTargets(const TargetDirectory &Known);
   void setProxies(std::vector<ProxyRecord> All);
 
 private:
@@ -46,15 +46,15 @@
   /// A gateway of one target; Peer is null for this process itself.
   struct Gateway {
     TargetConnector *Connector = nullptr;
-    RelayPeer *Peer = nullptr;
+    RelayClient *Peer = nullptr;
     std::string Name;
   };
 
   /// The gateway that should carry the next statement of a link; nothing
   /// where none is believed to reach the target.
-  std::optional<Gateway> choose(const TargetAddress &To);
+  std::optional<Gateway> chooseGateway(const TargetAddress &To);
   /// Where among a target's gateways the search for one begins.
-  std::size_t firstTurn(const TargetAddress &To);
+  std::size_t firstGatewayIndex(const TargetAddress &To);
   bool isUsable(const Gateway &Which, const std::string &Target) const;
   /// The gateway said that it doesn't reach the target.
   void avoid(const std::string &Gateway, const std::string &Target);
@@ -63,25 +63,25 @@
   /// outlive them in a process that stops.
   void retire(std::unique_ptr<TargetLink> Ended);
   Gateway gatewayOf(const ProxyRecord &Which);
-  void decide();
-  void rebuild();
+  void decideSharing();
+  void rebuildTable();
   /// True where the list says the same of where targets are.
-  static bool isPlacedAlike(const std::vector<TargetRecord> &Left,
-                            const std::vector<TargetRecord> &Right);
+  static bool hasSamePlacement(const std::vector<TargetRecord> &Left,
+                               const std::vector<TargetRecord> &Right);
 
-  Ports Outside;
+  Dependencies Deps;
   std::string Self;
   RoutePlan Plan;
   std::vector<TargetRecord> Targets;
   std::vector<ProxyRecord> Proxies;
-  std::optional<Millis> PlannedAt; ///< When the first plan was adopted.
+  std::optional<Millis> FirstPlanAt; ///< When the first plan was adopted.
   GatewayTable Table;
   std::map<std::string, std::size_t> Gateways; ///< Of groups that share.
-  std::map<Endpoint, std::unique_ptr<RelayPeer>> Peers;
+  std::map<Endpoint, std::unique_ptr<RelayClient>> Peers;
   /// By gateway and target.
   std::map<std::pair<std::string, std::string>, Millis> AvoidUntil;
   std::vector<std::unique_ptr<TargetLink>> Retired; ///< After Peers.
-  std::size_t NextTurn; ///< Begins elsewhere at each proxy.
+  std::size_t NextGateway; ///< Begins elsewhere at each proxy.
 };
 
 } // namespace corianderdyke
--- a/Source/Relay/TargetBroker.cpp
+++ b/Source/Relay/TargetBroker.cpp
@@ -65,11 +65,11 @@
   Record.Address = To.Address;
   Target &Made =
       Targets
-          .emplace(To.Id,
-                   Target{TargetPool(Record, Divisions[To.Group].Connections,
-                                     Time.now())})
+          .emplace(To.Id, Target{TargetPool(Record,
+                                            GatewayShares[To.Group].Connections,
+                                            Time.now())})
           .first->second;
-  divide(Made.Pool);
+  applySharing(Made.Pool);
   return Made;
 }
 
@@ -83,12 +83,12 @@
   return Found == Links.end() ? nullptr : Found->second;
 }
 
-std::size_t TargetBroker::mostAtWork(const Target &At) const {
+std::size_t TargetBroker::maxInFlight(const Target &At) const {
   const TargetRecord &Of = At.Pool.record();
   const std::size_t Slots = Of.Slots > 0 ? Of.Slots : UsualSlots;
-  const auto Among = Divisions.find(Of.Group);
+  const auto Among = GatewayShares.find(Of.Group);
   const std::size_t Gateways =
-      Among == Divisions.end() ? 1 : Among->second.Gateways;
+      Among == GatewayShares.end() ? 1 : Among->second.Gateways;
   return std::max<std::size_t>(
       1, (Slots * (1 + SentBeyondSlots) + Gateways - 1) / Gateways);
 }
@@ -98,45 +98,45 @@
   for (auto Each = Targets.begin(); Each != Targets.end();) {
     TargetPool &Pool = Each->second.Pool;
     if (const TargetRecord *Record = Known.find(Each->first)) {
-      if (Pool.beginsLife(*Record))
-        endLife(Each->second);
+      if (Pool.isNewIncarnation(*Record))
+        closeStaleConnections(Each->second);
       Pool.update(*Record, Now);
     }
-    Pool.tend(Now);
+    Pool.maintain(Now);
     const bool Ended = Pool.record().IsGone && Pool.size() == 0 &&
                        Each->second.Waiting.empty() &&
                        Each->second.Ready.empty();
     Each = Ended ? Targets.erase(Each) : std::next(Each);
   }
-  for (const std::string &Id : Own)
+  for (const std::string &Id : GatewayTargets)
     if (const TargetRecord *Record = Known.find(Id))
       targetOf({Record->Group, Record->Id, Record->Address})
           .Pool.update(*Record, Now);
-  Ticker.within(WaitingInterval);
+  Ticker.requestWithin(WaitingInterval);
 }
 
-void TargetBroker::setOwn(std::set<std::string> Targets) {
-  Own = std::move(Targets);
+void TargetBroker::setGatewayTargets(std::set<std::string> Targets) {
+  GatewayTargets = std::move(Targets);
 }
 
 void TargetBroker::setShare(const std::string &Group, std::size_t Connections,
                             std::size_t Gateways) {
-  Divisions[Group] = {Connections, Gateways};
+  GatewayShares[Group] = {Connections, Gateways};
   for (auto &[Id, Each] : Targets)
     if (Each.Pool.record().Group == Group)
       Each.Pool.setShare(Connections);
 }
 
 // Where connections belong to organisations each gateway uses all of its share.
-void TargetBroker::divide(TargetPool &Pool) const {
-  Pool.setDivided(IsDivided);
-  Pool.keepToShare(IsDivided);
+void TargetBroker::applySharing(TargetPool &Pool) const {
+  Pool.setPerOrganisation(IsPerOrganisation);
+  Pool.limitToShare(IsPerOrganisation);
 }
 
-void TargetBroker::setDivided(bool New) {
-  IsDivided = New;
+void TargetBroker::setPerOrganisation(bool New) {
+  IsPerOrganisation = New;
   for (auto &[Id, Each] : Targets)
-    divide(Each.Pool);
+    applySharing(Each.Pool);
 }
 
 bool TargetBroker::isBusy() const {
@@ -152,7 +152,7 @@
   return Out;
 }
 
-QueuePlace<TargetBroker::Link> TargetBroker::enqueue(Link &New,
+QueueEntry<TargetBroker::Link> TargetBroker::enqueue(Link &New,
                                                      std::list<Link *> &In) {
   auto Place = In.end();
   while (Place != In.begin() &&
@@ -164,29 +164,29 @@
 void TargetBroker::waitForConnection(Link &New) {
   Target &At = targetOf(New.to());
   if (!New.isWaiting())
-    New.waitAt(enqueue(New, At.Waiting));
-  pump(At);
-  Ticker.within(At.Waiting.empty() ? RunningInterval : WaitingInterval);
+    New.setConnectionQueueEntry(enqueue(New, At.Waiting));
+  dispatch(At);
+  Ticker.requestWithin(At.Waiting.empty() ? RunningInterval : WaitingInterval);
 }
 
 void TargetBroker::waitForTurn(Link &New) {
   Target &At = targetOf(New.to());
-  New.waitForTurnAt(enqueue(New, At.Ready));
-  pump(At);
+  New.setTurnQueueEntry(enqueue(New, At.Ready));
+  dispatch(At);
 }
 
 // One that holds a connection goes first among equals: others wait for it.
 bool TargetBroker::runNext(Target &At) {
-  const bool MayWork = At.AtWork < mostAtWork(At);
+  const bool MayWork = At.InFlight < maxInFlight(At);
   Link *Inside = MayWork && !At.Ready.empty() ? At.Ready.front() : nullptr;
   for (Link *Next : At.Waiting) {
     if (Inside != nullptr && Inside->priority() <= Next->priority())
       break;
-    if (!MayWork && Next->beginsWork())
+    if (!MayWork && Next->hasSlotCommands())
       continue;
     const TargetConnectionPtr Free =
-        Next->to().IsOwnWork
-            ? At.Pool.idleForOwnWork()
+        Next->to().IsInternal
+            ? At.Pool.idleForInternalUse()
             : At.Pool.idle(Next->to().Organisation, Next->values());
     // Another organisation's may be idle.
     if (!Free)
@@ -201,16 +201,16 @@
   return true;
 }
 
-void TargetBroker::pump(Target &At) {
-  if (std::exchange(At.IsPumping, true))
+void TargetBroker::dispatch(Target &At) {
+  if (std::exchange(At.IsDispatching, true))
     return;
   const Millis Now = Time.now();
   while (runNext(At)) {
   }
-  At.IsPumping = false;
+  At.IsDispatching = false;
   if (At.Waiting.empty())
     return;
-  if (At.Pool.size() == 0 && At.Pool.isAvoided(Now))
+  if (At.Pool.size() == 0 && At.Pool.isBackingOff(Now))
     return refuseAll(At, RefusalCode::Unreachable,
                      "the target can't be reached");
   openIfAllowed(At);
@@ -221,9 +221,9 @@
 // is at work as this gateway may send, another connection has nothing to carry.
 // It helps only where those that stand are held by transactions that rest.
 void TargetBroker::openIfAllowed(Target &At) {
-  if (At.AtWork >= mostAtWork(At))
+  if (At.InFlight >= maxInFlight(At))
     return;
-  const std::size_t Most = IsDivided ? OpeningsWhereDivided : 1;
+  const std::size_t Most = IsPerOrganisation ? OpeningsWhereDivided : 1;
   while (At.Pool.opening() < Most) {
     const Link *Next = firstToOpenFor(At);
     if (Next == nullptr)
@@ -254,10 +254,11 @@
 // The first one is opened at once, the others when the target has time.
 void TargetBroker::warmUp(Target &At) {
   const Millis Now = Time.now();
-  if (Own.count(At.Pool.record().Id) == 0 || !At.Pool.wantsWarm() ||
-      At.Pool.opening() > 0 || !At.Pool.mayOpen("", Now))
+  if (GatewayTargets.count(At.Pool.record().Id) == 0 ||
+      !At.Pool.needsWarmConnections() || At.Pool.opening() > 0 ||
+      !At.Pool.mayOpen("", Now))
     return;
-  const bool IsQuiet = At.AtWork == 0 && At.Waiting.empty();
+  const bool IsQuiet = At.InFlight == 0 && At.Waiting.empty();
   if (At.Pool.size() > 0 && (!IsQuiet || Now - At.OpenedAt < WarmPause))
     return;
   openConnection(At, "");
@@ -269,60 +270,60 @@
   At.Pool.open(Direct, {Organisation}, Time.now(),
                {[this](const TargetConnectionPtr &Open) {
                   Open->setBusy(false, Time.now());
-                  Target &Of = targetOf(Open->to());
-                  Of.Pool.reached(Time.now());
-                  pump(Of);
+                  Target &Of = targetOf(Open->address());
+                  Of.Pool.recordReachable(Time.now());
+                  dispatch(Of);
                 },
                 [this](const TargetConnectionPtr &Gone,
                        const std::optional<StatementRefusal> &Why) {
-                  closed(Gone, Why);
+                  handleClose(Gone, Why);
                 }});
-  Ticker.within(WaitingInterval);
+  Ticker.requestWithin(WaitingInterval);
 }
 
-void TargetBroker::closed(const TargetConnectionPtr &Gone,
-                          const std::optional<StatementRefusal> &Why) {
-  Target *At = find(Gone->to().Id);
+void TargetBroker::handleClose(const TargetConnectionPtr &Gone,
+                               const std::optional<StatementRefusal> &Why) {
+  Target *At = find(Gone->address().Id);
   if (At == nullptr)
     return;
   if (isAtLimit(Why))
     ++Openings.RefusedAtLimit;
-  if (At->Pool.noteClosed(Gone, Why, Time.now()))
-    Trouble.emit({Gone->to().Id, true});
+  if (At->Pool.handleClosed(Gone, Why, Time.now()))
+    TargetFailed.emit({Gone->address().Id, true});
   std::vector<std::uint64_t> Holders;
   for (const auto &[Number, Each] : Links)
     if (Each->holds(Gone))
       Holders.push_back(Number);
   for (const std::uint64_t Number : Holders)
     if (Link *Each = findLink(Number))
-      Each->lost();
-  pump(*At);
+      Each->handleConnectionLoss();
+  dispatch(*At);
 }
 
 // As at a proxy with connections of its own: those of a former life are dead.
-void TargetBroker::endLife(Target &At) {
+void TargetBroker::closeStaleConnections(Target &At) {
   for (const TargetConnectionPtr &Each : At.Pool.closeAll())
-    closed(Each, std::nullopt);
+    handleClose(Each, std::nullopt);
 }
 
-void TargetBroker::giveBack(const TargetConnectionPtr &Used) {
+void TargetBroker::release(const TargetConnectionPtr &Used) {
   if (Used->stage() == TargetConnection::Stage::Closed)
     return;
   Used->setBusy(false, Time.now());
-  Target &At = targetOf(Used->to());
+  Target &At = targetOf(Used->address());
   if (At.Pool.record().IsLeaving)
-    At.Pool.tend(Time.now());
-  pump(At);
+    At.Pool.maintain(Time.now());
+  dispatch(At);
 }
 
 void TargetBroker::discard(const TargetConnectionPtr &Used) {
-  targetOf(Used->to()).Pool.remove(Used);
+  targetOf(Used->address()).Pool.remove(Used);
   Used->close();
 }
 
-void TargetBroker::noteAnswer(const TargetConnectionPtr &From) {
-  TargetPool &Pool = targetOf(From->to()).Pool;
-  Pool.reached(Time.now());
+void TargetBroker::recordAnswer(const TargetConnectionPtr &From) {
+  TargetPool &Pool = targetOf(From->address()).Pool;
+  Pool.recordReachable(Time.now());
   if (Pool.record().IsPrimary)
     Reached.emit(Pool.record().Id);
 }
@@ -341,13 +342,13 @@
   const Millis Now = Time.now();
   bool IsUrgent = false;
   for (auto &[Id, Each] : Targets) {
-    giveUpWaiting(Each);
-    noticeSilence(Each);
-    if (Each.AtWork >= mostAtWork(Each))
-      Each.FullAt = Now;
-    Each.Pool.setPressed(Now - Each.FullAt < PressureLasts);
-    Each.Pool.setRetiring(IsDivided && Own.count(Id) == 0);
-    Each.Pool.tend(Now);
+    expireWaiting(Each);
+    detectSilence(Each);
+    if (Each.InFlight >= maxInFlight(Each))
+      Each.SaturatedAt = Now;
+    Each.Pool.setSaturated(Now - Each.SaturatedAt < PressureLasts);
+    Each.Pool.setRetiring(IsPerOrganisation && GatewayTargets.count(Id) == 0);
+    Each.Pool.maintain(Now);
     warmUp(Each);
     const auto Open = Each.Pool.connections();
     for (const TargetConnectionPtr &Connection : Open) {
@@ -357,43 +358,43 @@
       if (Now - Connection->openedAt() <= OpenPatience)
         continue;
       Connection->close();
-      Trouble.emit({Id, false});
-      closed(Connection, std::nullopt);
+      TargetFailed.emit({Id, false});
+      handleClose(Connection, std::nullopt);
     }
     if (!Each.Waiting.empty()) {
       IsUrgent = true;
-      pump(Each);
+      dispatch(Each);
     }
   }
   if (IsUrgent)
-    Ticker.within(WaitingInterval);
+    Ticker.requestWithin(WaitingInterval);
   else if (isBusy())
-    Ticker.within(RunningInterval);
-  else if (connections() > 0 || !Own.empty())
-    Ticker.within(IdleInterval);
+    Ticker.requestWithin(RunningInterval);
+  else if (connections() > 0 || !GatewayTargets.empty())
+    Ticker.requestWithin(IdleInterval);
 }
 
-void TargetBroker::giveUpWaiting(Target &At) {
+void TargetBroker::expireWaiting(Target &At) {
   const Millis Now = Time.now();
   std::vector<std::uint64_t> Late;
   for (const Link *Each : At.Waiting)
-    if (Now >= Each->giveUpAt())
+    if (Now >= Each->deadline())
       Late.push_back(Each->number());
   for (const std::uint64_t Number : Late)
     if (Link *Each = findLink(Number))
       Each->refuse(RefusalCode::Busy, "no connection came free");
 }
 
-void TargetBroker::noticeSilence(Target &At) {
+void TargetBroker::detectSilence(Target &At) {
   const Millis Now = Time.now();
   for (const auto &[Number, Each] : Links) {
     const auto Since = Each->awaitingSince();
     if (Each->to().Id != At.Pool.record().Id || !Since ||
         Now - *Since < SilenceNoticed || At.Pool.lastAnswer() > *Since)
       continue;
-    if (!At.Pool.isAvoided(Now))
-      At.Pool.unreachable(Now);
-    return Trouble.emit({Each->to().Id, false});
+    if (!At.Pool.isBackingOff(Now))
+      At.Pool.recordUnreachable(Now);
+    return TargetFailed.emit({Each->to().Id, false});
   }
 }
 
--- a/Source/Relay/TargetBroker.h
+++ b/Source/Relay/TargetBroker.h
@@ -5,9 +5,9 @@
 #define CORIANDERDYKE_RELAY_TARGETBROKER_H
 
 #include "Common/Clock.h"
-#include "Loop/SoonestTimer.h"
+#include "Loop/CoalescingTimer.h"
 #include "Pipeline/TargetPool.h"
-#include "Relay/QueuePlace.h"
+#include "Relay/QueueEntry.h"
 
 #include <list>
 #include <sigc++/sigc++.h>
@@ -46,9 +46,9 @@
   void setShare(const std::string &Group, std::size_t Connections,
                 std::size_t Gateways);
   /// Connections belong to organisations, or to nobody.
-  void setDivided(bool New);
+  void setPerOrganisation(bool New);
   /// Keeps some connections to these open, and to no others.
-  void setOwn(std::set<std::string> Targets);
+  void setGatewayTargets(std::set<std::string> Targets);
 
   /// True while a transaction or statement of any link is under way.
   bool isBusy() const;
@@ -56,15 +56,19 @@
   const OpeningCounts &openings() const { return Openings; }
 
   /// Emitted when a target couldn't be reached, and when a primary answered.
-  sigc::signal<void(const TargetTrouble &)> &signalTrouble() { return Trouble; }
-  sigc::signal<void(const std::string &)> &signalReached() { return Reached; }
+  sigc::signal<void(const TargetFailure &)> &signalTargetFailure() {
+    return TargetFailed;
+  }
+  sigc::signal<void(const std::string &)> &signalPrimaryAnswered() {
+    return Reached;
+  }
 
 private:
   class Link;
   friend class Link;
 
   /// How a group's targets are divided among gateways.
-  struct Division {
+  struct GatewayShare {
     std::size_t Connections = 1;
     std::size_t Gateways = 1;
   };
@@ -75,54 +79,54 @@
     std::list<Link *> Waiting = {}; ///< By priority, then arrival.
     /// Links that hold a connection and wait for their statement's turn.
     std::list<Link *> Ready = {};
-    std::size_t AtWork = 0; ///< Statements that were sent and not answered.
-    bool IsPumping = false;
-    Millis OpenedAt = {};             ///< When the last connection was begun.
-    Millis FullAt = Millis(-1000000); ///< When it last had all it may get.
+    std::size_t InFlight = 0; ///< Statements that were sent and not answered.
+    bool IsDispatching = false;
+    Millis OpenedAt = {}; ///< When the last connection was begun.
+    Millis SaturatedAt = Millis(-1000000); ///< When it last had all it may get.
   };
 
-  void divide(TargetPool &Pool) const;
+  void applySharing(TargetPool &Pool) const;
   Target &targetOf(const TargetAddress &To);
   Target *find(const std::string &Id);
   /// Null once that link is destroyed.
   Link *findLink(std::uint64_t Number) const;
-  std::size_t mostAtWork(const Target &At) const;
+  std::size_t maxInFlight(const Target &At) const;
   /// A place in the order of priority, then of arrival.
-  static QueuePlace<Link> enqueue(Link &New, std::list<Link *> &In);
+  static QueueEntry<Link> enqueue(Link &New, std::list<Link *> &In);
   void waitForConnection(Link &New);
   void waitForTurn(Link &New);
   bool runNext(Target &At);
-  void pump(Target &At);
+  void dispatch(Target &At);
   void openIfAllowed(Target &At);
   /// The first that waits for a connection which neither stands idle nor is
   /// on its way; null where none may be opened for it.
   Link *firstToOpenFor(const Target &At) const;
   void warmUp(Target &At);
   void openConnection(Target &At, const std::string &Organisation);
-  void closed(const TargetConnectionPtr &Gone,
-              const std::optional<StatementRefusal> &Why);
-  void endLife(Target &At);
-  void giveBack(const TargetConnectionPtr &Used);
+  void handleClose(const TargetConnectionPtr &Gone,
+                   const std::optional<StatementRefusal> &Why);
+  void closeStaleConnections(Target &At);
+  void release(const TargetConnectionPtr &Used);
   void discard(const TargetConnectionPtr &Used);
-  void noteAnswer(const TargetConnectionPtr &From);
+  void recordAnswer(const TargetConnectionPtr &From);
   void refuseAll(Target &At, RefusalCode Code, const std::string &Why);
   void tick();
-  void giveUpWaiting(Target &At);
-  void noticeSilence(Target &At);
+  void expireWaiting(Target &At);
+  void detectSilence(Target &At);
 
   Clock &Time;
   TargetConnector &Direct;
-  std::map<std::string, Target> Targets;     ///< By identity.
-  std::map<std::string, Division> Divisions; ///< By group.
-  bool IsDivided = false; ///< Connections belong to organisations.
-  std::set<std::string> Own;
+  std::map<std::string, Target> Targets;             ///< By identity.
+  std::map<std::string, GatewayShare> GatewayShares; ///< By group.
+  bool IsPerOrganisation = false; ///< Connections belong to organisations.
+  std::set<std::string> GatewayTargets;
   /// By number. A handler may destroy links and make others at the same
   /// address, so whoever goes through several remembers their numbers.
   std::map<std::uint64_t, Link *> Links;
   std::uint64_t NextLink = 1;
   OpeningCounts Openings;
-  SoonestTimer Ticker;
-  sigc::signal<void(const TargetTrouble &)> Trouble;
+  CoalescingTimer Ticker;
+  sigc::signal<void(const TargetFailure &)> TargetFailed;
   sigc::signal<void(const std::string &)> Reached;
 };
 
--- a/Source/Rights/Division.cpp
+++ b/Source/Rights/ConnectionDivision.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// How one target's connections are divided among the proxies that want them.
 
-#include "Rights/Division.h"
+#include "Rights/ConnectionDivision.h"
 
 #include <algorithm>
 #include <numeric>
--- a/Source/Rights/Division.h
+++ b/Source/Rights/ConnectionDivision.h
@@ -1,8 +1,8 @@
 /// \file
 /// How one target's connections are divided among the proxies that want them.
 
-#ifndef CORIANDERDYKE_RIGHTS_DIVISION_H
-#define CORIANDERDYKE_RIGHTS_DIVISION_H
+#ifndef CORIANDERDYKE_RIGHTS_CONNECTIONDIVISION_H
+#define CORIANDERDYKE_RIGHTS_CONNECTIONDIVISION_H
 
 #include <compare>
 #include <cstdint>
--- a/Source/Rights/ConnectionLedger.cpp
+++ b/Source/Rights/ConnectionLedger.cpp
@@ -4,7 +4,7 @@
 #include "Rights/ConnectionLedger.h"
 
 #include "Lease/LeaseRegistry.h"
-#include "Rights/Division.h"
+#include "Rights/ConnectionDivision.h"
 
 #include <algorithm>
 
@@ -14,51 +14,53 @@
 
 Millis longestRights(const ClusterView &View) {
   const std::uint32_t DriftPpm =
-      View.Current ? View.Current->Failover.ClockDriftPpm : 0;
-  return longestLease(RightsDuration, DriftPpm);
+      View.CurrentManifest ? View.CurrentManifest->Failover.ClockDriftPpm : 0;
+  return maxLeaseAcrossClocks(RightsDuration, DriftPpm);
 }
 
 std::uint32_t limitOf(const ClusterView &View, const std::string &Target) {
   const TargetAnnouncement *Known = View.target(Target);
-  if (Known == nullptr || !View.Current)
+  if (Known == nullptr || !View.CurrentManifest)
     return 0;
   // A leaving primary serves until another has taken its place. Without its
   // connections even strict reads would wait for the end of the hand-over.
   const GroupRecord *Group = View.group(Known->Database);
   if (Known->Leaving && (Group == nullptr || Group->Primary != Target))
     return 0;
-  const DatabasePolicy *Policy = View.Current->database(Known->Database);
+  const DatabasePolicy *Policy =
+      View.CurrentManifest->database(Known->Database);
   return Policy == nullptr ? 0 : Policy->ConnectionsPerTarget;
 }
 
 } // namespace
 
-std::uint32_t ConnectionLedger::Loan::outstanding() const {
+std::uint32_t ConnectionLedger::Allocation::outstanding() const {
   std::uint32_t Most = Held;
-  for (const auto &[Sequence, Connections] : UnderWay)
+  for (const auto &[Sequence, Connections] : UnconfirmedGrants)
     Most = std::max(Most, Connections);
   return Most;
 }
 
-void ConnectionLedger::begin(std::uint64_t LeaderTerm, const ClusterView &View,
-                             Millis Now) {
+void ConnectionLedger::startTerm(std::uint64_t LeaderTerm,
+                                 const ClusterView &View, Millis Now) {
   Term = LeaderTerm;
   Holders.clear();
-  Unheard.clear();
+  AwaitedProxies.clear();
   for (const auto &[Id, Where] : View.Proxies)
-    Unheard.insert(Id);
-  UnheardUntil = Now + longestRights(View);
+    AwaitedProxies.insert(Id);
+  AwaitReportsUntil = Now + longestRights(View);
 }
 
-bool ConnectionLedger::isRebuilt(Millis Now) const {
-  return Unheard.empty() || Now >= UnheardUntil;
+bool ConnectionLedger::isComplete(Millis Now) const {
+  return AwaitedProxies.empty() || Now >= AwaitReportsUntil;
 }
 
-bool ConnectionLedger::mayHold(const ProcessId &Proxy, Millis Now) const {
-  if (Unheard.count(Proxy) != 0 && Now < UnheardUntil)
+bool ConnectionLedger::mayHoldConnections(const ProcessId &Proxy,
+                                          Millis Now) const {
+  if (AwaitedProxies.count(Proxy) != 0 && Now < AwaitReportsUntil)
     return true;
   const auto Found = Holders.find(Proxy);
-  return Found != Holders.end() && Now < Found->second.End;
+  return Found != Holders.end() && Now < Found->second.ExpiresAt;
 }
 
 std::uint32_t ConnectionLedger::outstanding(const std::string &Target) const {
@@ -73,34 +75,37 @@
   const auto Of = Holders.find(Proxy);
   if (Of == Holders.end())
     return 0;
-  const auto Found = Of->second.Loans.find(Target);
-  return Found == Of->second.Loans.end() ? 0 : Found->second.outstanding();
+  const auto Found = Of->second.Allocations.find(Target);
+  return Found == Of->second.Allocations.end() ? 0
+                                               : Found->second.outstanding();
 }
 
 void ConnectionLedger::expire(Millis Now) {
-  std::erase_if(Holders,
-                [Now](const auto &Each) { return Each.second.End <= Now; });
+  std::erase_if(Holders, [Now](const auto &Each) {
+    return Each.second.ExpiresAt <= Now;
+  });
 }
 
-void ConnectionLedger::takeReport(Holder &Of, const RightsRequest &Request) {
+void ConnectionLedger::applyReport(Holder &Of, const RightsRequest &Request) {
   Of.LastSequence = Request.Sequence;
   Of.Leaving = Request.Leaving;
-  for (auto &[Target, Each] : Of.Loans) {
+  for (auto &[Target, Each] : Of.Allocations) {
     Each.Held = 0;
     Each.Wanted = 0;
-    std::erase_if(Each.UnderWay, [&Request](const auto &Grant) {
+    std::erase_if(Each.UnconfirmedGrants, [&Request](const auto &Grant) {
       return Grant.first <= Request.AppliedGrant;
     });
   }
   for (const RightsDemand &Each : Request.Demands) {
-    Of.Loans[Each.Target].Held = Each.Held;
-    Of.Loans[Each.Target].Wanted = Each.Wanted;
+    Of.Allocations[Each.Target].Held = Each.Held;
+    Of.Allocations[Each.Target].Wanted = Each.Wanted;
   }
 }
 
-std::uint32_t ConnectionLedger::decide(const ProcessId &Proxy,
-                                       const std::string &Target,
-                                       std::uint32_t Limit, Millis Now) const {
+std::uint32_t ConnectionLedger::computeGrant(const ProcessId &Proxy,
+                                             const std::string &Target,
+                                             std::uint32_t Limit,
+                                             Millis Now) const {
   std::vector<ConnectionClaim> Claims;
   std::size_t Own = 0;
   for (const auto &[Id, Each] : Holders) {
@@ -108,8 +113,8 @@
       continue;
     if (Id == Proxy)
       Own = Claims.size();
-    const auto Found = Each.Loans.find(Target);
-    Claims.push_back(Found == Each.Loans.end()
+    const auto Found = Each.Allocations.find(Target);
+    Claims.push_back(Found == Each.Allocations.end()
                          ? ConnectionClaim{}
                          : ConnectionClaim{Found->second.Wanted,
                                            Found->second.outstanding()});
@@ -121,7 +126,7 @@
     if (Parts[Index] > Claims[Index].Outstanding)
       Missing += Parts[Index] - Claims[Index].Outstanding;
   const std::uint32_t Mine = Claims[Own].Outstanding;
-  const bool MayLend = isRebuilt(Now) && Lent < Limit;
+  const bool MayLend = isComplete(Now) && Lent < Limit;
   const std::uint32_t Free = MayLend ? Limit - Lent : 0;
   if (Parts[Own] >= Mine)
     return Mine + std::min(Parts[Own] - Mine, Free);
@@ -133,8 +138,8 @@
 }
 
 std::optional<RightsGrant>
-ConnectionLedger::answer(const RightsRequest &Request, const ClusterView &View,
-                         Millis ReceivedAt) {
+ConnectionLedger::handleRequest(const RightsRequest &Request,
+                                const ClusterView &View, Millis ReceivedAt) {
   expire(ReceivedAt);
   if (View.Proxies.count(Request.Proxy) == 0 || Request.LeaderTerm > Term)
     return std::nullopt;
@@ -145,17 +150,17 @@
   Holder &Of = Holders[Request.Proxy];
   if (Request.Sequence <= Of.LastSequence)
     return std::nullopt;
-  Unheard.erase(Request.Proxy);
-  takeReport(Of, Request);
-  Of.End = ReceivedAt + longestRights(View);
+  AwaitedProxies.erase(Request.Proxy);
+  applyReport(Of, Request);
+  Of.ExpiresAt = ReceivedAt + longestRights(View);
   if (Of.Leaving)
     return std::nullopt;
   Out.Duration = RightsDuration;
-  for (auto &[Target, Each] : Of.Loans) {
+  for (auto &[Target, Each] : Of.Allocations) {
     const std::uint32_t Connections =
-        decide(Request.Proxy, Target, limitOf(View, Target), ReceivedAt);
-    Each.UnderWay[Request.Sequence] = Connections;
-    Out.Shares.push_back({Target, Connections});
+        computeGrant(Request.Proxy, Target, limitOf(View, Target), ReceivedAt);
+    Each.UnconfirmedGrants[Request.Sequence] = Connections;
+    Out.Allocations.push_back({Target, Connections});
   }
   return Out;
 }
--- a/Source/Rights/ConnectionLedger.h
+++ b/Source/Rights/ConnectionLedger.h
@@ -32,20 +32,21 @@
 class ConnectionLedger {
 public:
   /// Starts as the leader of a term.
-  void begin(std::uint64_t LeaderTerm, const ClusterView &View, Millis Now);
+  void startTerm(std::uint64_t LeaderTerm, const ClusterView &View, Millis Now);
 
   /// Answers a request that came in at \p ReceivedAt. The caller makes sure
   /// that this host was still the leader after that moment. Nothing for a
   /// proxy that isn't registered, for an old request or by an old leader.
-  std::optional<RightsGrant> answer(const RightsRequest &Request,
-                                    const ClusterView &View, Millis ReceivedAt);
+  std::optional<RightsGrant> handleRequest(const RightsRequest &Request,
+                                           const ClusterView &View,
+                                           Millis ReceivedAt);
 
   /// True while a proxy may have connections open. It stays registered as
   /// long, so that a new leader waits for it.
-  bool mayHold(const ProcessId &Proxy, Millis Now) const;
+  bool mayHoldConnections(const ProcessId &Proxy, Millis Now) const;
 
   /// True once nothing of a predecessor's grants is unknown any more.
-  bool isRebuilt(Millis Now) const;
+  bool isComplete(Millis Now) const;
 
   /// Connections to a target that proxies may have open, as far as known.
   std::uint32_t outstanding(const std::string &Target) const;
@@ -55,11 +56,11 @@
                             const std::string &Target) const;
 
 private:
-  struct Loan {
+  struct Allocation {
     std::uint32_t Held = 0;
     std::uint32_t Wanted = 0;
     /// Grants that no report has contained yet, by their sequence.
-    std::map<std::uint64_t, std::uint32_t> UnderWay;
+    std::map<std::uint64_t, std::uint32_t> UnconfirmedGrants;
 
     std::uint32_t outstanding() const;
   };
@@ -67,20 +68,20 @@
   struct Holder {
     std::uint64_t LastSequence = 0;
     bool Leaving = false;
-    Millis End;
-    std::map<std::string, Loan> Loans;
+    Millis ExpiresAt;
+    std::map<std::string, Allocation> Allocations;
   };
 
   void expire(Millis Now);
-  void takeReport(Holder &Of, const RightsRequest &Request);
-  std::uint32_t decide(const ProcessId &Proxy, const std::string &Target,
-                       std::uint32_t Limit, Millis Now) const;
+  void applyReport(Holder &Of, const RightsRequest &Request);
+  std::uint32_t computeGrant(const ProcessId &Proxy, const std::string &Target,
+                             std::uint32_t Limit, Millis Now) const;
 
   std::uint64_t Term = 0;
   std::map<ProcessId, Holder> Holders;
   /// Proxies that may hold something of a predecessor.
-  std::set<ProcessId> Unheard;
-  Millis UnheardUntil;
+  std::set<ProcessId> AwaitedProxies;
+  Millis AwaitReportsUntil;
 };
 
 } // namespace corianderdyke
--- a/Source/Rights/ConnectionRights.cpp
+++ b/Source/Rights/ConnectionRights.cpp
@@ -20,9 +20,9 @@
     Wanted[Target] = Each.Wanted;
     const std::uint32_t Held = std::max(Each.Open, limit(Target, Now));
     Out.Demands.push_back(
-        {Target, Held, std::max(Each.Wanted, FormerlyWanted[Target])});
+        {Target, Held, std::max(Each.Wanted, PreviouslyWanted[Target])});
   }
-  FormerlyWanted = std::move(Wanted);
+  PreviouslyWanted = std::move(Wanted);
   return Out;
 }
 
@@ -38,15 +38,15 @@
   AppliedGrant = Grant.Sequence;
   End = Grant.SentAt + Grant.Duration;
   Shares.clear();
-  for (const RightsShare &Each : Grant.Shares)
+  for (const RightsAllocation &Each : Grant.Allocations)
     Shares[Each.Target] = Each.Connections;
   return false;
 }
 
-void ConnectionRights::leave() {
+void ConnectionRights::relinquish() {
   Leaving = true;
   Shares.clear();
-  FormerlyWanted.clear();
+  PreviouslyWanted.clear();
   // No grant is taken any more, so none that is under way counts.
   AppliedGrant = Sequence;
 }
--- a/Source/Rights/ConnectionRights.h
+++ b/Source/Rights/ConnectionRights.h
@@ -36,14 +36,16 @@
 
   /// The proxy stops: it opens nothing any more, and its requests give back
   /// what isn't open.
-  void leave();
+  void relinquish();
 
   /// Connections that may be open to a target now.
   std::uint32_t limit(const std::string &Target, Millis Now) const;
 
   const ProcessId &id() const { return Self; }
   Millis end() const { return End; }
-  const std::map<std::string, std::uint32_t> &shares() const { return Shares; }
+  const std::map<std::string, std::uint32_t> &allocations() const {
+    return Shares;
+  }
 
 private:
   ProcessId Self;
@@ -53,7 +55,7 @@
   bool Leaving = false;
   Millis End = Millis(-1);
   std::map<std::string, std::uint32_t> Shares;
-  std::map<std::string, std::uint32_t> FormerlyWanted;
+  std::map<std::string, std::uint32_t> PreviouslyWanted;
 };
 
 } // namespace corianderdyke
--- a/Source/Rights/Messages.h
+++ b/Source/Rights/Messages.h
@@ -51,11 +51,11 @@
   }
 };
 
-struct RightsShare {
+struct RightsAllocation {
   std::string Target;
   std::uint32_t Connections = 0;
 
-  auto operator<=>(const RightsShare &) const = default;
+  auto operator<=>(const RightsAllocation &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
     Ar(Target, Connections);
   }
@@ -69,11 +69,11 @@
   Millis SentAt;
   Millis Duration;
   std::uint64_t LeaderTerm = 0;
-  std::vector<RightsShare> Shares;
+  std::vector<RightsAllocation> Allocations;
 
   auto operator<=>(const RightsGrant &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Proxy, Sequence, SentAt, Duration, LeaderTerm, Shares);
+    Ar(Proxy, Sequence, SentAt, Duration, LeaderTerm, Allocations);
   }
 };
 
--- a/Source/Routing/Router.h
+++ b/Source/Routing/Router.h
@@ -21,7 +21,7 @@
   /// Some floor of the session gave way: only the primary is safe.
   bool PrimaryOnly = false;
   /// Replicas that failed this statement before.
-  std::set<std::string> Avoid = {};
+  std::set<std::string> ExcludedTargets = {};
 };
 
 struct Route {
@@ -29,14 +29,14 @@
   bool IsPrimary = false;
   std::uint64_t Term = 0;
   /// The target must be at or past this position to answer.
-  std::uint64_t Floor = 0;
+  std::uint64_t MinPosition = 0;
 
   auto operator<=>(const Route &) const = default;
 };
 
 /// Statements that this proxy has under way at a target, and that wait here
 /// for one of its connections.
-using LoadOf = std::function<std::size_t(const std::string &Target)>;
+using LoadFunction = std::function<std::size_t(const std::string &Target)>;
 
 /// Chooses a target. A read goes to the least loaded replica that is fresh
 /// enough for its kind and for the session, else to the primary. Without
@@ -47,7 +47,8 @@
 /// was lost in a failover that the manifest allowed; Unavailable where no
 /// target fits now.
 Expected<Route> route(const ClusterView &View, const TargetTable &Table,
-                      const RouteQuery &Query, const LoadOf &Load, Millis Now);
+                      const RouteQuery &Query, const LoadFunction &Load,
+                      Millis Now);
 
 } // namespace corianderdyke
 
--- a/Source/Routing/TargetTable.cpp
+++ b/Source/Routing/TargetTable.cpp
@@ -16,7 +16,7 @@
 
 /// On joining a term a target drops what it held beyond the fork, so that its
 /// position may go down then.
-bool isOlder(const TargetSighting &Left, const TargetSighting &Right) {
+bool isOlder(const TargetObservation &Left, const TargetObservation &Right) {
   return std::tuple(Left.Term, !Left.IsFenced, Left.Position) <
          std::tuple(Right.Term, !Right.IsFenced, Right.Position);
 }
@@ -31,7 +31,7 @@
     const auto [Entry, New] = Targets.try_emplace(Name);
     // A new announcement is a new life: it may have lost its log.
     if (!New && Entry->second.Sequence != Target.Sequence)
-      Entry->second = Known{};
+      Entry->second = TargetState{};
     if (New || Entry->second.Sequence != Target.Sequence)
       Entry->second.LastAnswer = Now;
     Entry->second.Database = Target.Database;
@@ -39,33 +39,36 @@
   }
 }
 
-void TargetTable::observe(const std::string &Target, const TargetSighting &Seen,
-                          Millis AskedAt, Millis Now) {
+void TargetTable::observe(const std::string &Target,
+                          const TargetObservation &Observation, Millis AskedAt,
+                          Millis Now) {
   const auto Found = Targets.find(Target);
   if (Found == Targets.end())
     return;
-  Known &Entry = Found->second;
-  Entry.Refused = false;
+  TargetState &Entry = Found->second;
+  Entry.ConnectionRefused = false;
   Entry.LastAnswer = std::max(Entry.LastAnswer, Now);
-  const bool Moved = !Entry.WasSeen || isOlder(Entry.Seen, Seen);
+  const bool Moved =
+      !Entry.IsObserved || isOlder(Entry.LastObservation, Observation);
   // Answers on two connections may cross. A life of a target goes back
   // neither in term nor, once it has joined the term, in position.
-  if (!Entry.WasSeen || !isOlder(Seen, Entry.Seen))
-    Entry.Seen = Seen;
-  Entry.WasSeen = true;
-  noteProgress(Entry, Moved, Now);
-  if (Seen.IsPrimary)
-    sample(Databases[Entry.Database], Seen.Term, {AskedAt, Seen.Position});
+  if (!Entry.IsObserved || !isOlder(Observation, Entry.LastObservation))
+    Entry.LastObservation = Observation;
+  Entry.IsObserved = true;
+  updateProgress(Entry, Moved, Now);
+  if (Observation.IsPrimary)
+    addSample(Databases[Entry.Database], Observation.Term,
+              {AskedAt, Observation.Position});
 }
 
-void TargetTable::noteProgress(Known &Of, bool Moved, Millis Now) {
-  const History &Primary = Databases[Of.Database];
-  const bool Behind =
-      Of.Seen.Term != Primary.Term || Of.Seen.Position < Primary.Position;
+void TargetTable::updateProgress(TargetState &Of, bool Moved, Millis Now) {
+  const PositionHistory &Primary = Databases[Of.Database];
+  const bool Behind = Of.LastObservation.Term != Primary.Term ||
+                      Of.LastObservation.Position < Primary.Position;
   if (!Behind)
-    Of.StuckSince.reset();
-  else if (Moved || !Of.StuckSince)
-    Of.StuckSince = Now;
+    Of.StalledSince.reset();
+  else if (Moved || !Of.StalledSince)
+    Of.StalledSince = Now;
 }
 
 bool TargetTable::isStalled(const std::string &Primary,
@@ -78,15 +81,17 @@
         !isReachable(Name, SuspectAfter, Now))
       continue;
     ++Answering;
-    if (!Each.StuckSince ||
-        Now - *Each.StuckSince < SuspectAfter * StallPatience)
+    if (!Each.StalledSince ||
+        Now - *Each.StalledSince < SuspectAfter * StallTimeoutFactor)
       ++Copying;
   }
   // Where too few answer, another primary couldn't acknowledge either.
-  return Copying < Policy.Copies && Answering >= Policy.Copies;
+  return Copying < Policy.AcknowledgedCopies &&
+         Answering >= Policy.AcknowledgedCopies;
 }
 
-void TargetTable::sample(History &Of, std::uint64_t Term, const Sample &New) {
+void TargetTable::addSample(PositionHistory &Of, std::uint64_t Term,
+                            const Sample &New) {
   if (Term < Of.Term)
     return;
   if (Term > Of.Term) {
@@ -109,16 +114,16 @@
     Of.Samples.pop_front();
 }
 
-void TargetTable::refused(const std::string &Target) {
+void TargetTable::markRefused(const std::string &Target) {
   const auto Found = Targets.find(Target);
   if (Found != Targets.end())
-    Found->second.Refused = true;
+    Found->second.ConnectionRefused = true;
 }
 
 bool TargetTable::isReachable(const std::string &Target, Millis SuspectAfter,
                               Millis Now) const {
   const auto Found = Targets.find(Target);
-  return Found != Targets.end() && !Found->second.Refused &&
+  return Found != Targets.end() && !Found->second.ConnectionRefused &&
          Now - Found->second.LastAnswer < SuspectAfter;
 }
 
@@ -134,12 +139,13 @@
 std::vector<TargetReport> TargetTable::reports(const ClusterView &View,
                                                Millis Now) const {
   std::vector<TargetReport> Out;
-  if (!View.Current)
+  if (!View.CurrentManifest)
     return Out;
-  const Millis SuspectAfter = View.Current->Failover.SuspectAfter;
+  const Millis SuspectAfter = View.CurrentManifest->Failover.SuspectAfter;
   for (const auto &[Name, Each] : Targets) {
     const GroupRecord *Group = View.group(Each.Database);
-    const DatabasePolicy *Policy = View.Current->database(Each.Database);
+    const DatabasePolicy *Policy =
+        View.CurrentManifest->database(Each.Database);
     const bool Stalled = Group != nullptr && Policy != nullptr &&
                          Group->Primary == Name &&
                          isStalled(Name, *Policy, SuspectAfter, Now);
@@ -149,27 +155,30 @@
   return Out;
 }
 
-std::vector<TargetReport> TargetTable::troubles(const ClusterView &View,
-                                                Millis Now) const {
+std::vector<TargetReport> TargetTable::unhealthyReports(const ClusterView &View,
+                                                        Millis Now) const {
   std::vector<TargetReport> Out = reports(View, Now);
   Out.erase(std::remove_if(
                 Out.begin(), Out.end(),
-                [](const TargetReport &Each) { return !Each.isTrouble(); }),
+                [](const TargetReport &Each) { return !Each.isUnhealthy(); }),
             Out.end());
   return Out;
 }
 
-std::size_t TargetTable::copies(const GroupRecord &Group,
-                                std::uint64_t Position) const {
+std::size_t TargetTable::countCopies(const GroupRecord &Group,
+                                     std::uint64_t Position) const {
   // A former primary that was fenced and not yet told whom to follow reports
   // the new term with the end of its own log. Counted as a copy, it would let
   // a caller be told of a write that the next failover loses. The write itself
   // may be of an earlier term, when its key was sent again.
   std::size_t Count = 0;
   for (const auto &[Name, Each] : Targets)
-    if (Each.Database == Group.Database && Each.Seen.Term == Group.Term &&
-        !Each.Seen.IsFenced && Each.Seen.Position >= Position &&
-        Group.holds(Each.Seen.LogTerm, Each.Seen.Position))
+    if (Each.Database == Group.Database &&
+        Each.LastObservation.Term == Group.Term &&
+        !Each.LastObservation.IsFenced &&
+        Each.LastObservation.Position >= Position &&
+        Group.containsPosition(Each.LastObservation.LogTerm,
+                               Each.LastObservation.Position))
       ++Count;
   return Count;
 }
@@ -179,26 +188,27 @@
                                        Millis Now) const {
   const std::uint64_t Term = Group.Term;
   const auto Found = Targets.find(Target);
-  if (Found == Targets.end() || Found->second.Seen.Term != Term ||
-      Found->second.Seen.IsFenced ||
-      !Group.holds(Found->second.Seen.LogTerm, Found->second.Seen.Position))
+  if (Found == Targets.end() || Found->second.LastObservation.Term != Term ||
+      Found->second.LastObservation.IsFenced ||
+      !Group.containsPosition(Found->second.LastObservation.LogTerm,
+                              Found->second.LastObservation.Position))
     return std::nullopt;
   const auto History = Databases.find(Found->second.Database);
   if (History == Databases.end() || History->second.Term != Term)
     return std::nullopt;
   const auto &Samples = History->second.Samples;
   for (auto Each = Samples.rbegin(); Each != Samples.rend(); ++Each)
-    if (Each->Position <= Found->second.Seen.Position)
+    if (Each->Position <= Found->second.LastObservation.Position)
       return Now - Each->AskedAt;
   return std::nullopt;
 }
 
-std::optional<TargetSighting>
-TargetTable::sighting(const std::string &Target) const {
+std::optional<TargetObservation>
+TargetTable::lastObservation(const std::string &Target) const {
   const auto Found = Targets.find(Target);
-  if (Found == Targets.end() || !Found->second.WasSeen)
+  if (Found == Targets.end() || !Found->second.IsObserved)
     return std::nullopt;
-  return Found->second.Seen;
+  return Found->second.LastObservation;
 }
 
 } // namespace corianderdyke
--- a/Source/Routing/TargetTable.h
+++ b/Source/Routing/TargetTable.h
@@ -13,7 +13,7 @@
 namespace corianderdyke {
 
 /// What a target said of itself in an answer.
-struct TargetSighting {
+struct TargetObservation {
   std::uint64_t Term = 0;
   /// Term of the last entry of its log.
   std::uint64_t LogTerm = 0;
@@ -23,7 +23,7 @@
   /// log holds may be no part of the term's log.
   bool IsFenced = false;
 
-  auto operator<=>(const TargetSighting &) const = default;
+  auto operator<=>(const TargetObservation &) const = default;
 };
 
 /// The age of a replica's data is worked out without anyone's wall clock:
@@ -35,11 +35,11 @@
   void update(const ClusterView &View, Millis Now);
 
   /// An answer to a question that was sent at \p AskedAt.
-  void observe(const std::string &Target, const TargetSighting &Seen,
+  void observe(const std::string &Target, const TargetObservation &Observation,
                Millis AskedAt, Millis Now);
 
   /// The target refused a connection: no process listens there.
-  void refused(const std::string &Target);
+  void markRefused(const std::string &Target);
 
   bool isReachable(const std::string &Target, Millis SuspectAfter,
                    Millis Now) const;
@@ -50,7 +50,8 @@
   /// What is seen of all targets; nothing before the first manifest.
   std::vector<TargetReport> reports(const ClusterView &View, Millis Now) const;
   /// Of those, the targets in trouble: what control is told.
-  std::vector<TargetReport> troubles(const ClusterView &View, Millis Now) const;
+  std::vector<TargetReport> unhealthyReports(const ClusterView &View,
+                                             Millis Now) const;
 
   /// True where a primary is ahead of replicas that answer but took nothing
   /// for long, so that no write can be acknowledged. A replica that lags far
@@ -61,10 +62,11 @@
   /// Replicas that take nothing are borne this many times SuspectAfter: 3.2 s
   /// with the default, less than a write's usual deadline and well above the
   /// pauses of a replica that applies what it got in large pieces.
-  static constexpr std::int64_t StallPatience = 8;
+  static constexpr std::int64_t StallTimeoutFactor = 8;
 
   /// How many targets of a group hold the write at \p Position of its log.
-  std::size_t copies(const GroupRecord &Group, std::uint64_t Position) const;
+  std::size_t countCopies(const GroupRecord &Group,
+                          std::uint64_t Position) const;
 
   /// How old the target's data may be at the most; nothing where that can't
   /// be told. A target of another term than the group's has no age, nor one
@@ -72,18 +74,19 @@
   std::optional<Millis> age(const std::string &Target, const GroupRecord &Group,
                             Millis Now) const;
 
-  std::optional<TargetSighting> sighting(const std::string &Target) const;
+  std::optional<TargetObservation>
+  lastObservation(const std::string &Target) const;
 
 private:
-  struct Known {
+  struct TargetState {
     std::string Database;
     std::uint64_t Sequence = 0; ///< Of its announcement.
-    TargetSighting Seen;
-    bool WasSeen = false;
-    bool Refused = false;
+    TargetObservation LastObservation;
+    bool IsObserved = false;
+    bool ConnectionRefused = false;
     Millis LastAnswer;
     /// Since when it has been behind the primary without taking anything.
-    std::optional<Millis> StuckSince;
+    std::optional<Millis> StalledSince;
   };
 
   /// The primary's position was at most Position when it was asked.
@@ -92,17 +95,17 @@
     std::uint64_t Position = 0;
   };
 
-  struct History {
+  struct PositionHistory {
     std::uint64_t Term = 0;
     std::uint64_t Position = 0; ///< The highest that the primary told.
     std::deque<Sample> Samples; ///< Rising in both members.
   };
 
-  void noteProgress(Known &Of, bool Moved, Millis Now);
-  void sample(History &Of, std::uint64_t Term, const Sample &New);
+  void updateProgress(TargetState &Of, bool Moved, Millis Now);
+  void addSample(PositionHistory &Of, std::uint64_t Term, const Sample &New);
 
-  std::map<std::string, Known> Targets;
-  std::map<std::string, History> Databases;
+  std::map<std::string, TargetState> Targets;
+  std::map<std::string, PositionHistory> Databases;
 };
 
 } // namespace corianderdyke
--- a/Source/Session/SessionToken.cpp
+++ b/Source/Session/SessionToken.cpp
@@ -4,7 +4,7 @@
 #include "Session/SessionToken.h"
 
 #include "Common/Codec.h"
-#include "Common/KeyedDigest.h"
+#include "Common/Cryptography.h"
 #include "Common/TextHash.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::uint64_t hashOf(const std::string &Name) { return textHash(Name); }
+std::uint64_t hashOf(const std::string &Name) { return hashText(Name); }
 
 } // namespace
 
@@ -48,24 +48,26 @@
   return Out;
 }
 
-std::string sealToken(const SessionToken &Token, const std::string &Key) {
+std::string signToken(const SessionToken &Token, const std::string &Key) {
   const std::string Bytes = encode(Token);
-  return toText(keyedDigest(Key, Bytes) + Bytes);
+  return encodeBase64Url(truncatedHmac(Key, Bytes) + Bytes);
 }
 
-Expected<SessionToken> openToken(const std::string &Text,
-                                 const std::string &Key) {
+Expected<SessionToken> verifyToken(const std::string &Text,
+                                   const std::string &Key) {
   if (Text.empty())
     return SessionToken();
-  const auto Bytes = fromText(Text);
+  const auto Bytes = decodeBase64Url(Text);
   // The text's last character has bits that stand for nothing; a token with
   // others there isn't one that was given out.
-  if (!Bytes || toText(*Bytes) != Text || Bytes->size() < KeyedDigestBytes ||
-      !sameDigest(Bytes->substr(0, KeyedDigestBytes),
-                  keyedDigest(Key, Bytes->substr(KeyedDigestBytes))))
+  if (!Bytes || encodeBase64Url(*Bytes) != Text ||
+      Bytes->size() < TruncatedHmacBytes ||
+      !equalsInConstantTime(
+          Bytes->substr(0, TruncatedHmacBytes),
+          truncatedHmac(Key, Bytes->substr(TruncatedHmacBytes))))
     return fail(ErrorCode::BadInput,
                 "the session token was altered or cut short");
-  auto Token = decode<SessionToken>(Bytes->substr(KeyedDigestBytes));
+  auto Token = decode<SessionToken>(Bytes->substr(TruncatedHmacBytes));
   if (!Token)
     return fail(ErrorCode::BadInput, "the session token can't be read");
   return Token;
--- a/Source/Session/SessionToken.h
+++ b/Source/Session/SessionToken.h
@@ -54,12 +54,12 @@
 };
 
 /// The token as text, sealed with \p Key.
-std::string sealToken(const SessionToken &Token, const std::string &Key);
+std::string signToken(const SessionToken &Token, const std::string &Key);
 
 /// The token in \p Text; BadInput where it was altered or cut. The empty
 /// text is a new session.
-Expected<SessionToken> openToken(const std::string &Text,
-                                 const std::string &Key);
+Expected<SessionToken> verifyToken(const std::string &Text,
+                                   const std::string &Key);
 
 } // namespace corianderdyke
 
--- a/Source/Settings/KeyTable.cpp
+++ b/Source/Settings/KeySchema.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// The keys that a kind of file knows, as data.
 
-#include "Settings/KeyTable.h"
+#include "Settings/KeySchema.h"
 
 #include <algorithm>
 #include <sstream>
@@ -20,15 +20,15 @@
 
 std::string typeWord(KeyType Of) {
   switch (Of) {
-  case KeyType::Text:
+  case KeyType::String:
     return "string";
-  case KeyType::Texts:
+  case KeyType::StringList:
     return "array of strings";
   case KeyType::Number:
     return "number";
-  case KeyType::Flag:
+  case KeyType::Boolean:
     return "true or false";
-  case KeyType::Word:
+  case KeyType::Choice:
     return "word";
   case KeyType::Address:
     break;
@@ -37,11 +37,11 @@
 }
 
 std::string range(const KeyDescription &Of) {
-  if (Of.Type == KeyType::Word || Of.Type == KeyType::Texts)
-    return joined(Of.Words);
+  if (Of.Type == KeyType::Choice || Of.Type == KeyType::StringList)
+    return joined(Of.Choices);
   if (Of.Type != KeyType::Number)
     return "";
-  return std::to_string(Of.Least) + " to " + std::to_string(Of.Most);
+  return std::to_string(Of.Min) + " to " + std::to_string(Of.Max);
 }
 
 std::string print(const toml::node &Of) {
@@ -57,7 +57,7 @@
 std::string prefix(const std::string &Table, const toml::table &Instance) {
   if (Table.empty())
     return "";
-  std::string Out = bareTable(Table);
+  std::string Out = stripTableBrackets(Table);
   if (Table.rfind("[[", 0) == 0)
     if (const toml::node *Name = Instance.get("name"))
       Out += " " + print(*Name);
@@ -73,25 +73,25 @@
 
 } // namespace
 
-std::string bareTable(const std::string &Table) {
+std::string stripTableBrackets(const std::string &Table) {
   const std::size_t Begin = Table.find_first_not_of('[');
   return Begin == std::string::npos
              ? ""
              : Table.substr(Begin, Table.find(']') - Begin);
 }
 
-const KeyDescription *KeyTable::find(const std::string &Table,
-                                     const std::string &Key) const {
+const KeyDescription *KeySchema::find(const std::string &Table,
+                                      const std::string &Key) const {
   for (const KeyDescription &Each : Keys)
     if (Each.Table == Table && Each.Key == Key)
       return &Each;
   return nullptr;
 }
 
-std::string KeyTable::markdown() const {
+std::string KeySchema::markdown() const {
   const bool AnyReloads =
       std::any_of(Keys.begin(), Keys.end(),
-                  [](const KeyDescription &Each) { return Each.Reloads; });
+                  [](const KeyDescription &Each) { return Each.IsReloadable; });
   std::string Out = std::string("| table | key | type | unit | range | "
                                 "default | ") +
                     (AnyReloads ? "reload | " : "") + "meaning |\n" +
@@ -102,20 +102,21 @@
            " | `" + Each.Key + "` | " + typeWord(Each.Type) + " | " +
            Each.Unit + " | " + range(Each) + " | " +
            (Each.Default.empty() ? "required" : "`" + Each.Default + "`") +
-           " | " + (AnyReloads ? (Each.Reloads ? "yes | " : "no | ") : "") +
+           " | " +
+           (AnyReloads ? (Each.IsReloadable ? "yes | " : "no | ") : "") +
            Each.Meaning + " |\n";
   return Out;
 }
 
 std::map<std::string, std::string>
-KeyTable::flatten(const std::string &Text) const {
+KeySchema::flatten(const std::string &Text) const {
   std::map<std::string, std::string> Out;
   if (Text.empty())
     return Out;
   static const toml::table Empty;
   const toml::table Root = toml::parse(Text);
   for (const KeyDescription &Each : Keys) {
-    const toml::node *At = Root.get(bareTable(Each.Table));
+    const toml::node *At = Root.get(stripTableBrackets(Each.Table));
     if (Each.Table.empty())
       flattenKey(Each, Root, Out);
     else if (const toml::array *All = At == nullptr ? nullptr : At->as_array())
@@ -127,9 +128,9 @@
   return Out;
 }
 
-std::vector<ItemDifference> differences(const KeyTable &Keys,
-                                        const std::string &Before,
-                                        const std::string &After) {
+std::vector<ItemDifference> diffDocuments(const KeySchema &Keys,
+                                          const std::string &Before,
+                                          const std::string &After) {
   const auto Old = Keys.flatten(Before);
   const auto New = Keys.flatten(After);
   std::map<std::string, ItemDifference> All;
--- a/Source/Settings/KeyTable.h
+++ b/Source/Settings/KeySchema.h
@@ -2,8 +2,8 @@
 /// The keys that a kind of file knows, as data: the reader takes types,
 /// ranges and defaults from it, and the manual shows the same rows.
 
-#ifndef CORIANDERDYKE_SETTINGS_KEYTABLE_H
-#define CORIANDERDYKE_SETTINGS_KEYTABLE_H
+#ifndef CORIANDERDYKE_SETTINGS_KEYSCHEMA_H
+#define CORIANDERDYKE_SETTINGS_KEYSCHEMA_H
 
 #include <cstdint>
 #include <map>
@@ -12,28 +12,36 @@
 
 namespace corianderdyke {
 
-enum class KeyType : std::uint8_t { Text, Texts, Number, Flag, Word, Address };
+enum class KeyType : std::uint8_t {
+  String,
+  StringList,
+  Number,
+  Boolean,
+  Choice,
+  Address
+};
 
 /// One key of a TOML table.
 struct KeyDescription {
   std::string Table = {}; ///< "[name]", "[[name]]", or empty for the top level.
   std::string Key = {};
-  KeyType Type = KeyType::Text;
+  KeyType Type = KeyType::String;
   std::string Unit = {};
-  std::int64_t Least = 0;
-  std::int64_t Most = 0;
-  std::vector<std::string> Words = {}; ///< Of a Word key.
-  std::string Default = {};            ///< Empty where the key is required.
+  std::int64_t Min = 0;
+  std::int64_t Max = 0;
+  std::vector<std::string> Choices = {}; ///< Of a Word key.
+  std::string Default = {};              ///< Empty where the key is required.
   std::string Meaning = {};
-  bool Reloads = false; ///< Takes effect on SIGHUP.
+  bool IsReloadable = false; ///< Takes effect on SIGHUP.
 };
 
 /// "[[kind]]" and "[kind]" without their brackets.
-std::string bareTable(const std::string &Table);
+std::string stripTableBrackets(const std::string &Table);
 
-class KeyTable {
+class KeySchema {
 public:
-  explicit KeyTable(std::vector<KeyDescription> Keys) : Keys(std::move(Keys)) {}
+  explicit KeySchema(std::vector<KeyDescription> Keys)
+      : Keys(std::move(Keys)) {}
 
   const std::vector<KeyDescription> &keys() const { return Keys; }
 
@@ -61,9 +69,9 @@
   auto operator<=>(const ItemDifference &) const = default;
 };
 
-std::vector<ItemDifference> differences(const KeyTable &Keys,
-                                        const std::string &Before,
-                                        const std::string &After);
+std::vector<ItemDifference> diffDocuments(const KeySchema &Keys,
+                                          const std::string &Before,
+                                          const std::string &After);
 
 } // namespace corianderdyke
 
