--- a/Source/Settings/Settings.cpp
+++ b/Source/Settings/Settings.cpp
@@ -32,8 +32,8 @@
        .Meaning = "Name of the host."},
       {.Table = "[process]",
        .Key = "roles",
-       .Type = Type::Texts,
-       .Words = {"proxy", "control"},
+       .Type = Type::StringList,
+       .Choices = {"proxy", "control"},
        .Meaning = "What the process does; one or both."},
       {.Table = "[process]",
        .Key = "data_folder",
@@ -41,24 +41,24 @@
        .Meaning = "Folder of the control state; control hosts need it."},
       {.Table = "[process]",
        .Key = "log_format",
-       .Type = Type::Word,
-       .Words = {"human", "json"},
+       .Type = Type::Choice,
+       .Choices = {"human", "json"},
        .Default = "human",
        .Meaning = "Lines for people, or one JSON object a line.",
-       .Reloads = true},
+       .IsReloadable = true},
       {.Table = "[process]",
        .Key = "log_level",
-       .Type = Type::Word,
-       .Words = {"info", "warning", "error"},
+       .Type = Type::Choice,
+       .Choices = {"info", "warning", "error"},
        .Default = "info",
        .Meaning = "The least severe log events that are written.",
-       .Reloads = true},
+       .IsReloadable = true},
       {.Table = "[process]",
        .Key = "stop_notice_ms",
        .Type = Type::Number,
        .Unit = "ms",
-       .Least = 0,
-       .Most = 600000,
+       .Min = 0,
+       .Max = 600000,
        .Default = "2000",
        .Meaning = "How long a stopping proxy still takes callers, so that "
                   "the balancer can see that it isn't ready."},
@@ -66,8 +66,8 @@
        .Key = "stop_bound_ms",
        .Type = Type::Number,
        .Unit = "ms",
-       .Least = 0,
-       .Most = 600000,
+       .Min = 0,
+       .Max = 600000,
        .Default = "30000",
        .Meaning = "How long a graceful stop may wait for what is in flight."},
       {.Table = "[process]",
@@ -77,8 +77,8 @@
                   "\"4500ms\"; goes before stop_bound_ms."},
       {.Table = "[process]",
        .Key = "leadership",
-       .Type = Type::Word,
-       .Words = {"leases", "targets"},
+       .Type = Type::Choice,
+       .Choices = {"leases", "targets"},
        .Default = "leases",
        .Meaning = "What keeps a replaced primary from acknowledging anything: "
                   "leases of the proxies, or the targets themselves."},
@@ -133,21 +133,21 @@
        .Meaning = "Shown by operators who change something."},
       {.Table = "[group]",
        .Key = "seeds",
-       .Type = Type::Texts,
+       .Type = Type::StringList,
        .Default = "none",
        .Meaning = "Addresses of control hosts to start from, where leadership "
                   "is \"targets\". The group needs no other list."},
       {.Table = "[group]",
        .Key = "may_found",
-       .Type = Type::Flag,
+       .Type = Type::Boolean,
        .Default = "false",
        .Meaning = "The whole system starts for the first time, so that the "
                   "seeds may found a group."},
       {.Table = "[group]",
        .Key = "lost_disks_borne",
        .Type = Type::Number,
-       .Least = 0,
-       .Most = 100,
+       .Min = 0,
+       .Max = 100,
        .Default = "1",
        .Meaning = "Disks that may be lost at once; an acknowledged change is "
                   "on one more."},
@@ -184,102 +184,105 @@
 }
 
 void readRoles(TomlReader &In, Settings &Out) {
-  const std::size_t Before = In.faults();
-  const std::vector<std::string> Given = In.texts("roles");
+  const std::size_t Before = In.findingCount();
+  const std::vector<std::string> Given = In.stringList("roles");
   for (const std::string &Role : Given) {
     if (Role == "proxy")
       Out.IsProxy = true;
     else if (Role == "control")
       Out.IsControl = true;
     else
-      In.report("roles", "unknown role '" + Role + "'",
-                "a role is \"proxy\" or \"control\"");
+      In.addFinding("roles", "unknown role '" + Role + "'",
+                    "a role is \"proxy\" or \"control\"");
   }
-  if (Given.empty() && Before == In.faults())
-    In.report("roles", "the process has no role",
-              "write roles = [\"proxy\"], [\"control\"] or both");
+  if (Given.empty() && Before == In.findingCount())
+    In.addFinding("roles", "the process has no role",
+                  "write roles = [\"proxy\"], [\"control\"] or both");
 }
 
 void readProcess(TomlReader In, Settings &Out) {
-  Out.Name = In.text("name");
-  Out.Where.Region = In.text("region", "default");
-  Out.Where.FailureDomain = In.text("failure_domain");
-  Out.Where.Host = In.text("host", Out.Name);
+  Out.Name = In.string("name");
+  Out.OwnLocality.Region = In.string("region", "default");
+  Out.OwnLocality.FailureDomain = In.string("failure_domain");
+  Out.OwnLocality.Host = In.string("host", Out.Name);
   readRoles(In, Out);
-  Out.DataFolder = In.text("data_folder");
+  Out.DataFolder = In.string("data_folder");
   if (Out.IsControl && Out.DataFolder.empty())
-    In.report("data_folder", "a control host needs 'data_folder'",
-              "name a folder on a disk that lasts");
-  Out.JsonLogs = In.word("log_format") == 1;
-  Out.Level = static_cast<LogLevel>(In.word("log_level"));
-  Out.StopNotice = In.millis("stop_notice_ms");
-  Out.StopBound = In.millis("stop_bound_ms");
+    In.addFinding("data_folder", "a control host needs 'data_folder'",
+                  "name a folder on a disk that lasts");
+  Out.JsonLogs = In.choiceIndex("log_format") == 1;
+  Out.Level = static_cast<LogLevel>(In.choiceIndex("log_level"));
+  Out.DrainDelay = In.millis("stop_notice_ms");
+  Out.StopTimeout = In.millis("stop_bound_ms");
   if (const Millis Within = In.duration("stop_within"); Within > Millis(0))
-    Out.StopBound = Within;
-  Out.Lead = static_cast<Leadership>(In.word("leadership"));
-  In.finish();
+    Out.StopTimeout = Within;
+  Out.Fencing = static_cast<FencingMode>(In.choiceIndex("leadership"));
+  In.reportUnknownKeys();
 }
 
 /// The listeners and the group where targets enforce their leadership.
 void readSteering(TomlReader Listen, TomlReader Group, Settings &Out) {
-  Out.Sessions = Listen.endpoint("sessions");
-  Out.Readiness = Listen.endpoint("readiness");
-  Out.Relay = Listen.endpoint("relay");
-  Out.Directory = Listen.endpoint("directory");
-  Out.Peers = Listen.endpoint("peers");
+  Out.SessionEndpoint = Listen.endpoint("sessions");
+  Out.ReadinessEndpoint = Listen.endpoint("readiness");
+  Out.RelayEndpoint = Listen.endpoint("relay");
+  Out.DirectoryEndpoint = Listen.endpoint("directory");
+  Out.PeerEndpoint = Listen.endpoint("peers");
   if (Listen.has("operators"))
-    Out.Operators = Listen.endpoint("operators");
+    Out.OperatorEndpoint = Listen.endpoint("operators");
   const auto Need = [](TomlReader &In, const char *Key, bool IsMissing) {
     if (IsMissing)
-      In.report(Key, std::string("'") + Key + "' is missing",
-                "this role needs it where leadership is \"targets\"");
+      In.addFinding(Key, std::string("'") + Key + "' is missing",
+                    "this role needs it where leadership is \"targets\"");
   };
-  Need(Listen, "sessions", Out.IsProxy && Out.Sessions.Port == 0);
-  Need(Listen, "readiness", Out.IsProxy && Out.Readiness.Port == 0);
-  Need(Listen, "directory", Out.IsControl && Out.Directory.Port == 0);
-  for (const std::string &Each : Group.texts("seeds")) {
+  Need(Listen, "sessions", Out.IsProxy && Out.SessionEndpoint.Port == 0);
+  Need(Listen, "readiness", Out.IsProxy && Out.ReadinessEndpoint.Port == 0);
+  Need(Listen, "directory", Out.IsControl && Out.DirectoryEndpoint.Port == 0);
+  for (const std::string &Each : Group.stringList("seeds")) {
     const auto Parsed = Endpoint::parse(Each);
     if (Parsed)
       Out.Seeds.push_back(*Parsed);
     else
-      Group.report("seeds", Parsed.error().Message);
+      Group.addFinding("seeds", Parsed.error().Message);
   }
   Need(Group, "seeds", Out.Seeds.empty());
-  Out.MayFound = Group.flag("may_found");
-  Out.LostDisksBorne = Group.count("lost_disks_borne");
-  Out.Promotions = Group.endpoint("promotions");
-  Out.QuotaOverage = Group.decimal("quota_overage");
-  Out.QuotaSlack = Group.decimal("quota_slack");
+  Out.MayBootstrap = Group.flag("may_found");
+  Out.ToleratedDiskLosses = Group.count("lost_disks_borne");
+  Out.PromotionEndpoint = Group.endpoint("promotions");
+  Out.QuotaOverageRatio = Group.decimal("quota_overage");
+  Out.QuotaOverageOperations = Group.decimal("quota_slack");
   if (const Millis Window = Group.duration("quota_window"); Window > Millis(0))
     Out.QuotaWindow = Window;
-  Listen.finish();
-  Group.finish();
+  Listen.reportUnknownKeys();
+  Group.reportUnknownKeys();
 }
 
 void readListen(TomlReader In, Settings &Out) {
-  Out.Callers = In.endpoint("callers");
-  Out.Operators = In.endpoint("operators");
-  Out.Peers = In.endpoint("peers");
-  if (Out.IsProxy && Out.Callers.Port == 0)
-    In.report("callers", "a proxy needs 'callers'",
-              "write callers = \"address:port\"");
-  const bool Shared = Out.Operators.Port != 0 &&
-                      (Out.Operators == Out.Peers ||
-                       (Out.IsProxy && Out.Operators == Out.Callers));
+  Out.CallerEndpoint = In.endpoint("callers");
+  Out.OperatorEndpoint = In.endpoint("operators");
+  Out.PeerEndpoint = In.endpoint("peers");
+  if (Out.IsProxy && Out.CallerEndpoint.Port == 0)
+    In.addFinding("callers", "a proxy needs 'callers'",
+                  "write callers = \"address:port\"");
+  const bool Shared =
+      Out.OperatorEndpoint.Port != 0 &&
+      (Out.OperatorEndpoint == Out.PeerEndpoint ||
+       (Out.IsProxy && Out.OperatorEndpoint == Out.CallerEndpoint));
   if (Shared)
-    In.report("operators", "two listeners share " + Out.Operators.text(),
-              "give each its own port");
-  if (Out.IsProxy && Out.Peers.Port != 0 && Out.Callers == Out.Peers)
-    In.report("callers", "two listeners share " + Out.Callers.text(),
-              "give each its own port");
-  In.finish();
+    In.addFinding("operators",
+                  "two listeners share " + Out.OperatorEndpoint.text(),
+                  "give each its own port");
+  if (Out.IsProxy && Out.PeerEndpoint.Port != 0 &&
+      Out.CallerEndpoint == Out.PeerEndpoint)
+    In.addFinding("callers", "two listeners share " + Out.CallerEndpoint.text(),
+                  "give each its own port");
+  In.reportUnknownKeys();
 }
 
 std::string readKey(TomlReader &In, const std::string &Key) {
-  std::string Value = In.text(Key);
+  std::string Value = In.string(Key);
   if (!Value.empty() && Value.size() < MinKeyLength)
-    In.report(Key, "'" + Key + "' is too short to be a key",
-              "use 16 characters or more");
+    In.addFinding(Key, "'" + Key + "' is too short to be a key",
+                  "use 16 characters or more");
   return Value;
 }
 
@@ -293,45 +296,46 @@
   for (const std::string *Other : {&Out.TargetKey, &Out.OperatorKey})
     if (!Other->empty() &&
         (*Other == Out.PeerKey || *Other == Out.SessionKey)) {
-      In.report("peers",
-                "a key that outsiders know is also one of the "
-                "system's own",
-                "use another key for each line");
+      In.addFinding("peers",
+                    "a key that outsiders know is also one of the "
+                    "system's own",
+                    "use another key for each line");
       break;
     }
-  In.finish();
+  In.reportUnknownKeys();
 }
 
 void readControls(TomlReader &In, Settings &Out) {
   In.tables("control", [&Out](TomlReader &Each) {
-    Out.Controls.push_back({Each.text("name"), Each.endpoint("peers")});
-    for (std::size_t Index = 0; Index + 1 < Out.Controls.size(); ++Index)
-      if (Out.Controls[Index].Name == Out.Controls.back().Name)
-        Each.report("name", "two control hosts are named '" +
-                                Out.Controls.back().Name + "'");
+    Out.ControlHosts.push_back({Each.string("name"), Each.endpoint("peers")});
+    for (std::size_t Index = 0; Index + 1 < Out.ControlHosts.size(); ++Index)
+      if (Out.ControlHosts[Index].Name == Out.ControlHosts.back().Name)
+        Each.addFinding("name", "two control hosts are named '" +
+                                    Out.ControlHosts.back().Name + "'");
   });
-  if (Out.Controls.empty())
-    In.report("control", "no control host is named",
-              "add a [[control]] table for each");
+  if (Out.ControlHosts.empty())
+    In.addFinding("control", "no control host is named",
+                  "add a [[control]] table for each");
   const auto Self = std::find_if(
-      Out.Controls.begin(), Out.Controls.end(),
+      Out.ControlHosts.begin(), Out.ControlHosts.end(),
       [&Out](const ControlHost &Each) { return Each.Name == Out.Name; });
   if (!Out.IsControl)
     return;
-  if (Self == Out.Controls.end())
-    In.report("control", "this control host isn't in the [[control]] list",
-              "add a table with name = \"" + Out.Name + "\"");
-  else if (Self->Peers.Port != Out.Peers.Port)
-    In.report("control",
-              "the [[control]] list has " + Self->Peers.text() +
-                  " for this host, which listens on " + Out.Peers.text(),
-              "use the same port in both");
+  if (Self == Out.ControlHosts.end())
+    In.addFinding("control", "this control host isn't in the [[control]] list",
+                  "add a table with name = \"" + Out.Name + "\"");
+  else if (Self->PeerEndpoint.Port != Out.PeerEndpoint.Port)
+    In.addFinding("control",
+                  "the [[control]] list has " + Self->PeerEndpoint.text() +
+                      " for this host, which listens on " +
+                      Out.PeerEndpoint.text(),
+                  "use the same port in both");
 }
 
 } // namespace
 
-const KeyTable &settingKeys() {
-  static const KeyTable All(describeKeys());
+const KeySchema &settingKeys() {
+  static const KeySchema All(describeKeys());
   return All;
 }
 
@@ -344,19 +348,19 @@
   TomlReader In(File, settingKeys(), Root, Found);
   Settings Out;
   readProcess(In.table("process"), Out);
-  if (Out.Lead == Leadership::Targets) {
+  if (Out.Fencing == FencingMode::Targets) {
     readSteering(In.table("listen"), In.table("group"), Out);
     TomlReader Keys = In.table("keys");
     Out.PeerKey = readKey(Keys, "peers");
-    Keys.finish();
+    Keys.reportUnknownKeys();
   } else {
     readListen(In.table("listen"), Out);
     readKeys(In.table("keys"), Out);
     readControls(In, Out);
   }
-  In.finish();
+  In.reportUnknownKeys();
   if (!Found.empty())
-    return tl::unexpected(inOrder(std::move(Found)));
+    return tl::unexpected(sortByPosition(std::move(Found)));
   return Out;
 }
 
--- a/Source/Settings/Settings.h
+++ b/Source/Settings/Settings.h
@@ -7,7 +7,7 @@
 #include "Common/Finding.h"
 #include "Common/Identity.h"
 #include "Common/Millis.h"
-#include "Settings/KeyTable.h"
+#include "Settings/KeySchema.h"
 
 #include <tl/expected.hpp>
 
@@ -16,7 +16,7 @@
 /// A control host as every process knows it from its settings.
 struct ControlHost {
   std::string Name;
-  Endpoint Peers;
+  Endpoint PeerEndpoint;
 
   auto operator<=>(const ControlHost &) const = default;
 };
@@ -25,7 +25,7 @@
 enum class LogLevel : std::uint8_t { Info, Warning, Error };
 
 /// What keeps a replaced primary from acknowledging anything.
-enum class Leadership : std::uint8_t {
+enum class FencingMode : std::uint8_t {
   Leases,  ///< Proxies hold leases from control and serve nothing without.
   Targets, ///< Targets enforce their terms themselves; proxies serve on
            ///< while control is away.
@@ -33,44 +33,45 @@
 
 struct Settings {
   std::string Name;
-  Leadership Lead = Leadership::Leases;
-  Place Where;
+  FencingMode Fencing = FencingMode::Leases;
+  Locality OwnLocality;
   bool IsProxy = false;
   bool IsControl = false;
-  std::string DataFolder; ///< Control only.
-  Endpoint Callers;       ///< Proxy only: where callers and targets connect.
-  Endpoint Operators;     ///< Status, metrics and the manifest.
-  Endpoint Peers;         ///< UDP and TCP among the system's own processes.
-  Endpoint Relay;         ///< Statements of other proxies; without a port none.
-  std::vector<ControlHost> Controls;
+  std::string DataFolder;    ///< Control only.
+  Endpoint CallerEndpoint;   ///< Proxy only: where callers and targets connect.
+  Endpoint OperatorEndpoint; ///< Status, metrics and the manifest.
+  Endpoint PeerEndpoint;     ///< UDP and TCP among the system's own processes.
+  Endpoint RelayEndpoint; ///< Statements of other proxies; without a port none.
+  std::vector<ControlHost> ControlHosts;
   std::string PeerKey;     ///< Seals messages between the processes.
   std::string SessionKey;  ///< Seals session tokens.
   std::string TargetKey;   ///< Given by targets that announce themselves.
   std::string OperatorKey; ///< Given by operators who change something.
   // Only where targets enforce their leadership.
-  Endpoint Sessions;           ///< Proxy: where callers open sessions.
-  Endpoint Readiness;          ///< Proxy: where the balancer asks.
-  Endpoint Directory;          ///< Control: for targets and operators.
-  Endpoint Promotions;         ///< Control: who carries out changes of primary.
+  Endpoint SessionEndpoint;    ///< Proxy: where callers open sessions.
+  Endpoint ReadinessEndpoint;  ///< Proxy: where the balancer asks.
+  Endpoint DirectoryEndpoint;  ///< Control: for targets and operators.
+  Endpoint PromotionEndpoint;  ///< Control: who carries out changes of primary.
   std::vector<Endpoint> Seeds; ///< Control hosts to start from.
-  bool MayFound = false;       ///< Control: the system starts anew.
-  std::size_t LostDisksBorne = 1; ///< Control: at once, without any loss.
-  double QuotaOverage = 0; ///< Proxy: part of a quota that may be passed.
-  double QuotaSlack = 0;   ///< Proxy: operations that may be passed by.
+  bool MayBootstrap = false;   ///< Control: the system starts anew.
+  std::size_t ToleratedDiskLosses = 1; ///< Control: at once, without any loss.
+  double QuotaOverageRatio = 0; ///< Proxy: part of a quota that may be passed.
+  double QuotaOverageOperations =
+      0; ///< Proxy: operations that may be passed by.
   Millis QuotaWindow = Millis(5000); ///< Proxy: in which both are meant.
   bool JsonLogs = false;
   LogLevel Level = LogLevel::Info;
   /// How long a stopping proxy still takes new callers, so that the balancer
   /// can see that it isn't ready.
-  Millis StopNotice = Millis(2000);
+  Millis DrainDelay = Millis(2000);
   /// How long a graceful stop may wait for what is in flight.
-  Millis StopBound = Millis(30000);
+  Millis StopTimeout = Millis(30000);
 
   bool operator==(const Settings &) const = default;
 };
 
 /// The keys of a settings file; Help/settings.md lists the same.
-const KeyTable &settingKeys();
+const KeySchema &settingKeys();
 
 /// The settings in \p Text, or all their faults.
 tl::expected<Settings, Findings> parseSettings(const std::string &File,
--- a/Source/Settings/TomlReader.cpp
+++ b/Source/Settings/TomlReader.cpp
@@ -123,7 +123,7 @@
 
 } // namespace
 
-TomlReader::TomlReader(std::string File, const KeyTable &Keys,
+TomlReader::TomlReader(std::string File, const KeySchema &Keys,
                        const toml::table &Root, Findings &Found)
     : File(std::move(File)), Keys(Keys), Table(&Root), Found(Found) {}
 
@@ -142,13 +142,13 @@
 const toml::node *TomlReader::node(const std::string &Key) {
   const toml::node *At = Table == nullptr ? nullptr : Table->get(Key);
   if (At == nullptr && describe(Key).Default.empty())
-    report(Key,
-           "'" + Key + "' is missing" + (Name.empty() ? "" : " in " + Name));
+    addFinding(Key, "'" + Key + "' is missing" +
+                        (Name.empty() ? "" : " in " + Name));
   return At;
 }
 
-void TomlReader::report(const std::string &Key, std::string Message,
-                        std::string Suggestion) {
+void TomlReader::addFinding(const std::string &Key, std::string Message,
+                            std::string Suggestion) {
   const toml::node *At = Table == nullptr ? nullptr : Table->get(Key);
   if (At == nullptr)
     At = Table;
@@ -161,21 +161,21 @@
 }
 
 void TomlReader::reportType(const std::string &Key, const std::string &Wanted) {
-  report(Key, "'" + Key + "'" + (Name.empty() ? "" : " in " + Name) +
-                  " must be " + Wanted);
+  addFinding(Key, "'" + Key + "'" + (Name.empty() ? "" : " in " + Name) +
+                      " must be " + Wanted);
 }
 
-std::string TomlReader::text(const std::string &Key,
-                             const std::string &Otherwise) {
+std::string TomlReader::string(const std::string &Key,
+                               const std::string &Default) {
   const toml::node *At = node(Key);
   if (At == nullptr)
-    return Otherwise;
+    return Default;
   const auto Value = At->value_exact<std::string>();
   if (!Value)
     reportType(Key, "a string");
   else if (Value->empty())
-    report(Key, "'" + Key + "' is empty");
-  return Value.value_or(Otherwise);
+    addFinding(Key, "'" + Key + "' is empty");
+  return Value.value_or(Default);
 }
 
 std::int64_t TomlReader::number(const std::string &Key) {
@@ -193,19 +193,19 @@
     reportType(Key, "a whole number");
     return Otherwise;
   }
-  if (*Value < Known.Least || *Value > Known.Most) {
-    report(Key,
-           "'" + Key + "'" + (Name.empty() ? "" : " in " + Name) + " is " +
-               std::to_string(*Value),
-           "it may be " + std::to_string(Known.Least) + " to " +
-               std::to_string(Known.Most));
+  if (*Value < Known.Min || *Value > Known.Max) {
+    addFinding(Key,
+               "'" + Key + "'" + (Name.empty() ? "" : " in " + Name) + " is " +
+                   std::to_string(*Value),
+               "it may be " + std::to_string(Known.Min) + " to " +
+                   std::to_string(Known.Max));
     return Otherwise;
   }
   return *Value;
 }
 
 Millis TomlReader::duration(const std::string &Key) {
-  const std::string Text = text(Key);
+  const std::string Text = string(Key);
   if (Text.empty())
     return Millis();
   constexpr double MillisPerSecond = 1000;
@@ -213,8 +213,8 @@
   const double Count = std::strtod(Text.c_str(), &Unit);
   const std::string Word(Unit);
   if (Count < 0 || Unit == Text.c_str() || (Word != "s" && Word != "ms")) {
-    report(Key, "'" + Key + "' is no span of time",
-           "write it like 6s or 4500ms");
+    addFinding(Key, "'" + Key + "' is no span of time",
+               "write it like 6s or 4500ms");
     return Millis();
   }
   return Millis(
@@ -222,12 +222,12 @@
 }
 
 double TomlReader::decimal(const std::string &Key) {
-  const std::string Text = text(Key);
+  const std::string Text = string(Key);
   char *End = nullptr;
   const double Value = std::strtod(Text.c_str(), &End);
   if (Text.empty() || (*End == 0 && Value >= 0 && std::isfinite(Value)))
     return Value;
-  report(Key, "'" + Key + "' is no number from 0 on", "write it like 0.1");
+  addFinding(Key, "'" + Key + "' is no number from 0 on", "write it like 0.1");
   return 0;
 }
 
@@ -242,7 +242,7 @@
   return Value.value_or(Otherwise);
 }
 
-std::vector<std::string> TomlReader::texts(const std::string &Key) {
+std::vector<std::string> TomlReader::stringList(const std::string &Key) {
   std::vector<std::string> Out;
   const toml::node *At = node(Key);
   const toml::array *Array = At == nullptr ? nullptr : At->as_array();
@@ -260,36 +260,36 @@
 }
 
 Endpoint TomlReader::endpoint(const std::string &Key) {
-  const std::string Text = text(Key);
+  const std::string Text = string(Key);
   if (Text.empty())
     return {};
   auto Parsed = Endpoint::parse(Text);
   if (Parsed)
     return *Parsed;
-  report(Key, "'" + Key + "' in " + Name + ": " + Parsed.error().Message,
-         "write it like 127.0.0.1:7000");
+  addFinding(Key, "'" + Key + "' in " + Name + ": " + Parsed.error().Message,
+             "write it like 127.0.0.1:7000");
   return {};
 }
 
-std::size_t TomlReader::word(const std::string &Key) {
+std::size_t TomlReader::choiceIndex(const std::string &Key) {
   const KeyDescription &Known = describe(Key);
   const auto IndexOf = [&Known](const std::string &Word) {
     return static_cast<std::size_t>(
-        std::find(Known.Words.begin(), Known.Words.end(), Word) -
-        Known.Words.begin());
+        std::find(Known.Choices.begin(), Known.Choices.end(), Word) -
+        Known.Choices.begin());
   };
   const toml::node *At = node(Key);
   if (At == nullptr)
     return IndexOf(Known.Default);
   const auto Value = At->value_exact<std::string>();
-  const std::size_t Index = Value ? IndexOf(*Value) : Known.Words.size();
-  if (Index < Known.Words.size())
+  const std::size_t Index = Value ? IndexOf(*Value) : Known.Choices.size();
+  if (Index < Known.Choices.size())
     return Index;
-  const std::string Near = Value ? nearest(*Value, Known.Words) : "";
-  report(Key,
-         "'" + Key + "'" + (Name.empty() ? "" : " in " + Name) +
-             " must be one of " + joined(Known.Words),
-         Near.empty() ? "" : "did you mean '" + Near + "'?");
+  const std::string Near = Value ? nearest(*Value, Known.Choices) : "";
+  addFinding(Key,
+             "'" + Key + "'" + (Name.empty() ? "" : " in " + Name) +
+                 " must be one of " + joined(Known.Choices),
+             Near.empty() ? "" : "did you mean '" + Near + "'?");
   return IndexOf(Known.Default);
 }
 
@@ -317,7 +317,7 @@
     }
     TomlReader Reader(*this, "[[" + Key + "]]", Item.as_table());
     Each(Reader);
-    Reader.finish();
+    Reader.reportUnknownKeys();
   }
 }
 
@@ -327,12 +327,12 @@
     if (Each.Table == Name)
       Out.push_back(Each.Key);
     else if (Name.empty())
-      Out.push_back(bareTable(Each.Table));
+      Out.push_back(stripTableBrackets(Each.Table));
   }
   return Out;
 }
 
-void TomlReader::finish() {
+void TomlReader::reportUnknownKeys() {
   if (Table == nullptr)
     return;
   const std::vector<std::string> Known = knownWords();
--- a/Source/Settings/TomlReader.h
+++ b/Source/Settings/TomlReader.h
@@ -7,7 +7,7 @@
 #include "Common/Finding.h"
 #include "Common/Identity.h"
 #include "Common/Millis.h"
-#include "Settings/KeyTable.h"
+#include "Settings/KeySchema.h"
 
 #include <functional>
 #include <string>
@@ -16,12 +16,13 @@
 
 namespace corianderdyke {
 
-/// One table of a file, read by the descriptions of its keys. finish()
-/// reports keys that have none, with the nearest known key as a suggestion.
+/// One table of a file, read by the descriptions of its keys.
+/// reportUnknownKeys() reports keys that have none, with the nearest known key
+/// as a suggestion.
 class TomlReader {
 public:
   /// Reads the top level.
-  TomlReader(std::string File, const KeyTable &Keys, const toml::table &Root,
+  TomlReader(std::string File, const KeySchema &Keys, const toml::table &Root,
              Findings &Found);
 
   /// True where the file has the key.
@@ -29,7 +30,7 @@
     return Table != nullptr && Table->contains(Key);
   }
   /// A string; \p Otherwise where it's missing and may be.
-  std::string text(const std::string &Key, const std::string &Otherwise = "");
+  std::string string(const std::string &Key, const std::string &Default = "");
   std::int64_t number(const std::string &Key);
   /// A number whose default depends on other keys.
   std::int64_t number(const std::string &Key, std::int64_t Otherwise);
@@ -42,11 +43,11 @@
   /// A number from 0 on in a string, like "0.1"; 0 where it's missing.
   double decimal(const std::string &Key);
   bool flag(const std::string &Key);
-  std::vector<std::string> texts(const std::string &Key);
+  std::vector<std::string> stringList(const std::string &Key);
   /// An address; no address where it's missing and may be.
   Endpoint endpoint(const std::string &Key);
   /// The index of the key's word among those of its description.
-  std::size_t word(const std::string &Key);
+  std::size_t choiceIndex(const std::string &Key);
 
   /// The table "[Key]"; where the file doesn't have it, its required keys
   /// are missing.
@@ -56,14 +57,14 @@
               const std::function<void(TomlReader &)> &Each);
 
   /// Adds a finding at a key, or at the table where the key is missing.
-  void report(const std::string &Key, std::string Message,
-              std::string Suggestion = "");
+  void addFinding(const std::string &Key, std::string Message,
+                  std::string Suggestion = "");
 
   /// Findings so far, in the whole file.
-  std::size_t faults() const { return Found.size(); }
+  std::size_t findingCount() const { return Found.size(); }
 
   /// Reports keys that the file may not have.
-  void finish();
+  void reportUnknownKeys();
 
 private:
   TomlReader(const TomlReader &Outer, std::string Name,
@@ -76,7 +77,7 @@
   std::vector<std::string> knownWords() const;
 
   std::string File;
-  const KeyTable &Keys;
+  const KeySchema &Keys;
   std::string Name; ///< As in KeyDescription::Table.
   const toml::table *Table;
   Findings &Found;
--- a/Source/State/ClusterView.cpp
+++ b/Source/State/ClusterView.cpp
@@ -7,7 +7,8 @@
 
 namespace corianderdyke {
 
-bool GroupRecord::holds(std::uint64_t InTerm, std::uint64_t Position) const {
+bool GroupRecord::containsPosition(std::uint64_t InTerm,
+                                   std::uint64_t Position) const {
   if (InTerm > Term)
     return false;
   for (const Fork &Each : Forks)
@@ -16,18 +17,19 @@
   return true;
 }
 
-bool GroupRecord::isSettled(const TargetAnnouncement &Target) const {
+bool GroupRecord::isLogComplete(const TargetAnnouncement &Target) const {
   // Before the first primary nothing was acknowledged.
   if (Forks.empty())
     return true;
-  const auto Known = Settled.find(Target.Name);
-  return Known != Settled.end() && Known->second == Target.LogId;
+  const auto Known = CompleteLogs.find(Target.Name);
+  return Known != CompleteLogs.end() && Known->second == Target.LogId;
 }
 
-std::size_t GroupRecord::readingsNeeded(const DatabasePolicy &Policy) const {
+std::size_t GroupRecord::failoverQuorum(const DatabasePolicy &Policy) const {
   // A write is acknowledged with Copies targets; that many readings leave out
   // fewer than Copies, so that one of them has it.
-  return std::max(Policy.Targets - Policy.Copies + 1, LeastReadings);
+  return std::max(Policy.Targets - Policy.AcknowledgedCopies + 1,
+                  MinFailoverQuorum);
 }
 
 const GroupRecord *ClusterView::group(const std::string &Database) const {
@@ -40,23 +42,26 @@
   return Found == Targets.end() ? nullptr : &Found->second;
 }
 
-std::string ClusterView::refusalOf(const TargetAnnouncement &Said) const {
+std::string
+ClusterView::refusalReason(const TargetAnnouncement &Announcement) const {
   const DatabasePolicy *Policy =
-      Current ? Current->database(Said.Database) : nullptr;
-  if (Policy == nullptr || group(Said.Database) == nullptr)
-    return "no database '" + Said.Database + "' in the manifest";
-  const TargetAnnouncement *Known = target(Said.Name);
+      CurrentManifest ? CurrentManifest->database(Announcement.Database)
+                      : nullptr;
+  if (Policy == nullptr || group(Announcement.Database) == nullptr)
+    return "no database '" + Announcement.Database + "' in the manifest";
+  const TargetAnnouncement *Known = target(Announcement.Name);
   // A copied configuration or a typing error gives two hosts one name. Were
   // the later one believed, callers of the live target would be sent to it.
   if (Known != nullptr && !Known->Leaving &&
-      (Known->Where != Said.Where || Known->Address != Said.Address ||
-       Known->Database != Said.Database))
+      (Known->TargetLocality != Announcement.TargetLocality ||
+       Known->Address != Announcement.Address ||
+       Known->Database != Announcement.Database))
     return "the name belongs to " + Known->Address.text() + " of " +
            Known->Database + " until that leaves or is long silent";
   // With more members than the manifest says, the copies of a write and the
   // positions that a failover reads need no longer have a target in common.
-  if ((Known == nullptr || Known->Leaving) && !Said.Leaving &&
-      targetsOf(Said.Database).size() >= Policy->Targets)
+  if ((Known == nullptr || Known->Leaving) && !Announcement.Leaving &&
+      targetsOf(Announcement.Database).size() >= Policy->Targets)
     return "the group has its " + std::to_string(Policy->Targets) + " targets";
   return "";
 }
--- a/Source/State/ClusterView.h
+++ b/Source/State/ClusterView.h
@@ -46,29 +46,29 @@
   std::uint64_t PrimarySequence = 0;
   /// The logs, by target, that are known to hold all that was acknowledged
   /// with a copy at that target. Only these prove anything in a failover.
-  std::map<std::string, std::string> Settled = {};
+  std::map<std::string, std::string> CompleteLogs = {};
   /// How many times a name that wasn't in the group has joined it.
-  std::uint32_t Joins = 0;
+  std::uint32_t JoinCount = 0;
   /// Value of Joins once no target can be one of the group's first any more.
-  static constexpr std::uint32_t NoMoreFirst = UINT32_MAX;
+  static constexpr std::uint32_t InitialJoinsClosed = UINT32_MAX;
   /// Targets that a failover reads at the least, where what was acknowledged
   /// by an earlier manifest asks for more than the present one does. 0 where
   /// the present one says enough.
-  std::uint32_t LeastReadings = 0;
+  std::uint32_t MinFailoverQuorum = 0;
   /// Targets that have yet to show, after such a change of the manifest, that
   /// they hold all that was acknowledged before it.
-  std::set<std::string> Unproven = {};
+  std::set<std::string> UnverifiedTargets = {};
 
   auto operator<=>(const GroupRecord &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Database, Phase, Term, Primary, Forks, Targets, PrimarySequence, Settled,
-       Joins);
+    Ar(Database, Phase, Term, Primary, Forks, Targets, PrimarySequence,
+       CompleteLogs, JoinCount);
   }
 
-  bool isSettled(const TargetAnnouncement &Target) const;
+  bool isLogComplete(const TargetAnnouncement &Target) const;
 
   /// Targets that must tell their position before one is promoted.
-  std::size_t readingsNeeded(const DatabasePolicy &Policy) const;
+  std::size_t failoverQuorum(const DatabasePolicy &Policy) const;
 
   /// True where new work may begin at the primary.
   bool isWritable() const { return Phase == GroupPhase::Promoted; }
@@ -79,30 +79,30 @@
 
   /// True where a position that was acknowledged in \p InTerm is still part
   /// of the group's log: every later term began at or behind it.
-  bool holds(std::uint64_t InTerm, std::uint64_t Position) const;
+  bool containsPosition(std::uint64_t InTerm, std::uint64_t Position) const;
 };
 
 /// The state of decisions after one entry of the control log.
 struct ClusterView {
   std::uint64_t Revision = 0;
-  std::optional<Manifest> Current;
+  std::optional<Manifest> CurrentManifest;
   std::map<std::string, GroupRecord> Groups;
   std::map<std::string, TargetAnnouncement> Targets;
   /// The longest lease that any manifest so far has allowed: a new leader
   /// doesn't know by which of them its predecessor granted.
-  Millis LongestLease;
+  Millis MaxLeaseDuration;
   /// Proxies that may hold a lease, by their incarnation.
-  std::map<ProcessId, Place> Proxies;
+  std::map<ProcessId, Locality> Proxies;
 
   bool operator==(const ClusterView &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Revision, Current, Groups, Targets, LongestLease, Proxies);
+    Ar(Revision, CurrentManifest, Groups, Targets, MaxLeaseDuration, Proxies);
   }
 
   const GroupRecord *group(const std::string &Database) const;
   const TargetAnnouncement *target(const std::string &Name) const;
   /// Why an announcement isn't believed; empty where it is.
-  std::string refusalOf(const TargetAnnouncement &Said) const;
+  std::string refusalReason(const TargetAnnouncement &Announcement) const;
   std::vector<TargetAnnouncement>
   allTargetsOf(const std::string &Database) const;
   /// Targets of a database that aren't leaving.
--- a/Source/State/Command.h
+++ b/Source/State/Command.h
@@ -22,9 +22,11 @@
 /// lease, so that a new leader knows everyone who may hold one.
 struct RegisterProxy {
   ProcessId Id;
-  Place Where;
+  Locality ProxyLocality;
   auto operator<=>(const RegisterProxy &) const = default;
-  template <class Archive> void serialize(Archive &Ar) { Ar(Id, Where); }
+  template <class Archive> void serialize(Archive &Ar) {
+    Ar(Id, ProxyLocality);
+  }
 };
 
 /// Forgets a proxy whose last lease has certainly run out.
@@ -68,12 +70,12 @@
 };
 
 /// A target that came new or without its log has caught up in this term.
-struct SettleTarget {
+struct ConfirmTargetLog {
   std::string Database;
   std::uint64_t Term = 0;
   std::string Target;
   std::string LogId;
-  auto operator<=>(const SettleTarget &) const = default;
+  auto operator<=>(const ConfirmTargetLog &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
     Ar(Database, Term, Target, LogId);
   }
@@ -103,11 +105,11 @@
 
 /// Writes into the audit trail what the system can't or won't do, and why, or
 /// who ordered what an entry of another kind carries out.
-struct NoteTrouble {
+struct RecordAuditEvent {
   std::string Action;
   std::string Subject;
   std::string Reason;
-  auto operator<=>(const NoteTrouble &) const = default;
+  auto operator<=>(const RecordAuditEvent &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
     Ar(Action, Subject, Reason);
   }
@@ -115,8 +117,8 @@
 
 using CommandBody =
     std::variant<ApplyManifest, RegisterProxy, RemoveProxy, RecordTarget,
-                 FenceGroup, PromoteTarget, SettleTarget, RemoveTarget,
-                 NoteTrouble, DrainGroup>;
+                 FenceGroup, PromoteTarget, ConfirmTargetLog, RemoveTarget,
+                 RecordAuditEvent, DrainGroup>;
 
 struct Command {
   std::string Actor; ///< The operator, or "control" for the system itself.
--- a/Source/State/ControlState.cpp
+++ b/Source/State/ControlState.cpp
@@ -35,7 +35,7 @@
   // The same change sent again after its answer was lost: it gets the answer
   // that was lost, and proxies get nothing new.
   if (const auto *Body = std::get_if<ApplyManifest>(&Entry.Body);
-      Body != nullptr && isInForce(Body->New))
+      Body != nullptr && isCurrentManifest(Body->New))
     return {Manifests.back().Revision, std::nullopt};
   const std::uint64_t Before = View.Revision;
   View.Revision = Revision;
@@ -46,7 +46,7 @@
   return {Revision, std::move(Refusal)};
 }
 
-void ControlState::note(const Command &Entry, AuditRecord Record) {
+void ControlState::appendAudit(const Command &Entry, AuditRecord Record) {
   Record.Revision = View.Revision;
   Record.WallTime = Entry.WallTime;
   Record.Actor = Entry.Actor;
@@ -55,9 +55,9 @@
 }
 
 Expected<void> ControlState::check(const Manifest &New) const {
-  if (!View.Current)
+  if (!View.CurrentManifest)
     return {};
-  const Manifest &Now = *View.Current;
+  const Manifest &Now = *View.CurrentManifest;
   if (New.Version == Now.Version && New.digest() != Now.digest())
     return fail(ErrorCode::Conflict,
                 "version " + std::to_string(New.Version) +
@@ -92,13 +92,13 @@
   return "";
 }
 
-bool ControlState::isInForce(const Manifest &New) const {
-  return View.Current && View.Current->Version == New.Version &&
-         View.Current->digest() == New.digest();
+bool ControlState::isCurrentManifest(const Manifest &New) const {
+  return View.CurrentManifest && View.CurrentManifest->Version == New.Version &&
+         View.CurrentManifest->digest() == New.digest();
 }
 
-ApplyResult ControlState::noteControlHosts(std::uint64_t Revision,
-                                           const std::string &Voters) {
+ApplyResult ControlState::recordControlHosts(std::uint64_t Revision,
+                                             const std::string &Voters) {
   // The entry carries no time of day. All hosts agree on that of the last
   // line.
   AuditRecord Line{.Revision = Revision,
@@ -116,49 +116,53 @@
 ControlState::databasesWithOtherCopies(const Manifest &New) const {
   std::vector<std::string> Out;
   for (const DatabasePolicy &Each : New.Databases) {
-    const DatabasePolicy *Now =
-        View.Current ? View.Current->database(Each.Name) : nullptr;
+    const DatabasePolicy *Now = View.CurrentManifest
+                                    ? View.CurrentManifest->database(Each.Name)
+                                    : nullptr;
     const GroupRecord *Group = View.group(Each.Name);
     if (Now != nullptr && Group != nullptr && !Group->Forks.empty() &&
-        (Now->Targets != Each.Targets || Now->Copies != Each.Copies))
+        (Now->Targets != Each.Targets ||
+         Now->AcknowledgedCopies != Each.AcknowledgedCopies))
       Out.push_back(Each.Name);
   }
   return Out;
 }
 
-void ControlState::keepReadings(GroupRecord &Group) const {
+void ControlState::raiseFailoverQuorum(GroupRecord &Group) const {
   // Writes that were acknowledged with fewer copies, or in a larger group, may
   // be on none of the targets that the new numbers have read in a failover:
   // callers would miss them after it. Until each target has reached a position
   // that the primary told after the new manifest was in force everywhere, a
   // failover reads as many as either manifest asks for.
-  const DatabasePolicy *Former = View.Current->database(Group.Database);
-  Group.LeastReadings =
-      static_cast<std::uint32_t>(Group.readingsNeeded(*Former));
-  Group.Joins = GroupRecord::NoMoreFirst;
-  Group.Unproven = Group.Targets;
-  Group.Unproven.erase(Group.Primary);
+  const DatabasePolicy *Former = View.CurrentManifest->database(Group.Database);
+  Group.MinFailoverQuorum =
+      static_cast<std::uint32_t>(Group.failoverQuorum(*Former));
+  Group.JoinCount = GroupRecord::InitialJoinsClosed;
+  Group.UnverifiedTargets = Group.Targets;
+  Group.UnverifiedTargets.erase(Group.Primary);
 }
 
-void ControlState::noteProven(GroupRecord &Group, const std::string &Target) {
-  Group.Unproven.erase(Target);
-  if (Group.Unproven.empty())
-    Group.LeastReadings = 0;
+void ControlState::markVerified(GroupRecord &Group, const std::string &Target) {
+  Group.UnverifiedTargets.erase(Target);
+  if (Group.UnverifiedTargets.empty())
+    Group.MinFailoverQuorum = 0;
 }
 
 std::optional<Error> ControlState::on(const Command &Entry,
                                       const ApplyManifest &Body) {
   if (auto Checked = check(Body.New); !Checked)
     return Checked.error();
-  note(Entry, {.Action = "manifest-applied",
-               .Subject = "manifest",
-               .From = View.Current ? describe(*View.Current) : "none",
-               .To = describe(Body.New)});
+  appendAudit(
+      Entry,
+      {.Action = "manifest-applied",
+       .Subject = "manifest",
+       .From = View.CurrentManifest ? describe(*View.CurrentManifest) : "none",
+       .To = describe(Body.New)});
   for (const std::string &Database : databasesWithOtherCopies(Body.New))
-    keepReadings(View.Groups[Database]);
-  View.Current = Body.New;
-  View.LongestLease =
-      std::max(View.LongestLease, Body.New.Failover.LeaseDuration);
+    raiseFailoverQuorum(View.Groups[Database]);
+  View.CurrentManifest = Body.New;
+  View.MaxLeaseDuration =
+      std::max(View.MaxLeaseDuration, Body.New.Failover.LeaseDuration);
   Manifests.push_back({View.Revision, Entry.WallTime, Entry.Actor,
                        Body.New.Version, Body.New.digest(), Body.Text});
   keepLast(Manifests, MaxManifests, 1);
@@ -173,8 +177,8 @@
                                       const RegisterProxy &Body) {
   if (View.Proxies.count(Body.Id) != 0)
     return Error{ErrorCode::Conflict, "registered before"};
-  View.Proxies[Body.Id] = Body.Where;
-  note(Entry, {.Action = "proxy-joined", .Subject = Body.Id.Name});
+  View.Proxies[Body.Id] = Body.ProxyLocality;
+  appendAudit(Entry, {.Action = "proxy-joined", .Subject = Body.Id.Name});
   return std::nullopt;
 }
 
@@ -182,14 +186,14 @@
                                       const RemoveProxy &Body) {
   if (View.Proxies.erase(Body.Id) == 0)
     return Error{ErrorCode::NotFound, "not registered"};
-  note(Entry, {.Action = "proxy-left", .Subject = Body.Id.Name});
+  appendAudit(Entry, {.Action = "proxy-left", .Subject = Body.Id.Name});
   return std::nullopt;
 }
 
 std::optional<Error> ControlState::on(const Command &Entry,
                                       const RecordTarget &Body) {
   const TargetAnnouncement &New = Body.Target;
-  if (std::string Why = View.refusalOf(New); !Why.empty())
+  if (std::string Why = View.refusalReason(New); !Why.empty())
     return Error{ErrorCode::Conflict, std::move(Why)};
   const auto Known = View.Targets.find(New.Name);
   if (Known != View.Targets.end() && Known->second.Sequence >= New.Sequence)
@@ -202,12 +206,12 @@
   // If it comes back after another took its place, what was acknowledged
   // meanwhile may be missing from its log.
   if (New.Leaving)
-    View.Groups[New.Database].Settled.erase(New.Name);
-  note(Entry, {.Action = New.Leaving ? "target-leaving"
-                         : Joins     ? "target-joined"
-                                     : "target-changed",
-               .Subject = New.Name,
-               .To = New.Address.text() + " of " + New.Database});
+    View.Groups[New.Database].CompleteLogs.erase(New.Name);
+  appendAudit(Entry, {.Action = New.Leaving ? "target-leaving"
+                                : Joins     ? "target-joined"
+                                            : "target-changed",
+                      .Subject = New.Name,
+                      .To = New.Address.text() + " of " + New.Database});
   return std::nullopt;
 }
 
@@ -215,37 +219,38 @@
                               const TargetAnnouncement &Target) const {
   if (!Group.Targets.insert(Target.Name).second)
     return;
-  if (Group.Joins != GroupRecord::NoMoreFirst)
-    ++Group.Joins;
+  if (Group.JoinCount != GroupRecord::InitialJoinsClosed)
+    ++Group.JoinCount;
   // One of the first targets of a group, which starts with the first few of
   // them. Nothing was ever acknowledged on the strength of a log that it has
   // lost, nor on that of a target that it takes the place of. Without this a
   // group whose primary fails before the last target has caught up would
   // stand still for no reason.
   const DatabasePolicy *Policy =
-      View.Current ? View.Current->database(Group.Database) : nullptr;
-  if (Policy != nullptr && Group.Joins <= Policy->Targets)
-    Group.Settled[Target.Name] = Target.LogId;
+      View.CurrentManifest ? View.CurrentManifest->database(Group.Database)
+                           : nullptr;
+  if (Policy != nullptr && Group.JoinCount <= Policy->Targets)
+    Group.CompleteLogs[Target.Name] = Target.LogId;
 }
 
-void ControlState::settleAfterPromotion(GroupRecord &Group,
-                                        const TargetAnnouncement &Primary,
-                                        bool Lossy) const {
+void ControlState::updateCompleteLogs(GroupRecord &Group,
+                                      const TargetAnnouncement &Primary,
+                                      bool Lossy) const {
   // What is acknowledged from now on counts from the log of this primary.
   if (Lossy)
-    Group.Settled.clear();
+    Group.CompleteLogs.clear();
   if (Group.Forks.empty())
     for (const TargetAnnouncement &Each : View.targetsOf(Group.Database))
-      Group.Settled[Each.Name] = Each.LogId;
-  Group.Settled[Primary.Name] = Primary.LogId;
-  if (Group.LeastReadings > 0) {
-    Group.Unproven = Group.Targets;
-    Group.Unproven.erase(Primary.Name);
+      Group.CompleteLogs[Each.Name] = Each.LogId;
+  Group.CompleteLogs[Primary.Name] = Primary.LogId;
+  if (Group.MinFailoverQuorum > 0) {
+    Group.UnverifiedTargets = Group.Targets;
+    Group.UnverifiedTargets.erase(Primary.Name);
   }
 }
 
 std::optional<Error> ControlState::on(const Command &Entry,
-                                      const SettleTarget &Body) {
+                                      const ConfirmTargetLog &Body) {
   const auto Known = View.Groups.find(Body.Database);
   const TargetAnnouncement *Target = View.target(Body.Target);
   if (Known == View.Groups.end() || Target == nullptr)
@@ -254,11 +259,11 @@
   if (Group.Term != Body.Term || !Group.isWritable() ||
       Target->LogId != Body.LogId || Target->Leaving)
     return Error{ErrorCode::Conflict, "the group or the target has moved on"};
-  Group.Settled[Body.Target] = Body.LogId;
-  noteProven(Group, Body.Target);
-  note(Entry, {.Action = "target-settled",
-               .Subject = Body.Target,
-               .To = "holds the log of " + Body.Database});
+  Group.CompleteLogs[Body.Target] = Body.LogId;
+  markVerified(Group, Body.Target);
+  appendAudit(Entry, {.Action = "target-settled",
+                      .Subject = Body.Target,
+                      .To = "holds the log of " + Body.Database});
   return std::nullopt;
 }
 
@@ -272,15 +277,16 @@
       return Error{ErrorCode::Conflict, "it's the primary of " + Database};
     // What is acknowledged while it's away isn't counted on it; if it comes
     // back it has to catch up first.
-    Group.Settled.erase(Body.Target);
+    Group.CompleteLogs.erase(Body.Target);
   }
-  note(Entry, {.Action = "target-removed",
+  appendAudit(Entry,
+              {.Action = "target-removed",
                .Subject = Body.Target,
                .From = Target->Address.text() + " of " + Target->Database,
                .Reason = Body.Reason});
   GroupRecord &Left = View.Groups[Target->Database];
   Left.Targets.erase(Body.Target);
-  noteProven(Left, Body.Target);
+  markVerified(Left, Body.Target);
   View.Targets.erase(Body.Target);
   return std::nullopt;
 }
@@ -294,17 +300,18 @@
   if (Group.Term != Body.Term || !Group.isWritable())
     return Error{ErrorCode::Conflict, "the group has moved on"};
   Group.Phase = GroupPhase::Draining;
-  note(Entry, {.Action = "primary-draining",
-               .Subject = Body.Database,
-               .From = describe(Group),
-               .Reason = Body.Reason});
+  appendAudit(Entry, {.Action = "primary-draining",
+                      .Subject = Body.Database,
+                      .From = describe(Group),
+                      .Reason = Body.Reason});
   return std::nullopt;
 }
 
 std::optional<Error> ControlState::on(const Command &Entry,
-                                      const NoteTrouble &Body) {
-  note(Entry,
-       {.Action = Body.Action, .Subject = Body.Subject, .Reason = Body.Reason});
+                                      const RecordAuditEvent &Body) {
+  appendAudit(
+      Entry,
+      {.Action = Body.Action, .Subject = Body.Subject, .Reason = Body.Reason});
   return std::nullopt;
 }
 
@@ -320,11 +327,11 @@
   Group.Phase = GroupPhase::Fencing;
   Group.Term = Body.NewTerm;
   Group.Primary.clear();
-  note(Entry, {.Action = "primary-fenced",
-               .Subject = Body.Database,
-               .From = Before,
-               .To = describe(Group),
-               .Reason = Body.Reason});
+  appendAudit(Entry, {.Action = "primary-fenced",
+                      .Subject = Body.Database,
+                      .From = Before,
+                      .To = describe(Group),
+                      .Reason = Body.Reason});
   return std::nullopt;
 }
 
@@ -341,17 +348,17 @@
   if (Target == nullptr || Target->Sequence != Body.Sequence)
     return Error{ErrorCode::Conflict, "the target isn't the one that was read"};
   const std::string Before = describe(Group);
-  settleAfterPromotion(Group, *Target, Body.Lossy);
+  updateCompleteLogs(Group, *Target, Body.Lossy);
   Group.Phase = GroupPhase::Promoted;
   Group.Primary = Body.Target;
   Group.PrimarySequence = Body.Sequence;
   Group.Forks.push_back({Body.Term, Body.Position});
-  note(Entry,
-       {.Action = "target-promoted",
-        .Subject = Body.Database,
-        .From = Before,
-        .To = describe(Group) + " at position " + std::to_string(Body.Position),
-        .Reason = Body.Reason});
+  appendAudit(Entry, {.Action = "target-promoted",
+                      .Subject = Body.Database,
+                      .From = Before,
+                      .To = describe(Group) + " at position " +
+                            std::to_string(Body.Position),
+                      .Reason = Body.Reason});
   return std::nullopt;
 }
 
--- a/Source/State/ControlState.h
+++ b/Source/State/ControlState.h
@@ -58,8 +58,8 @@
   ApplyResult apply(std::uint64_t Revision, const Command &Entry);
 
   /// Adds the control hosts that vote from \p Revision on to the audit trail.
-  ApplyResult noteControlHosts(std::uint64_t Revision,
-                               const std::string &Voters);
+  ApplyResult recordControlHosts(std::uint64_t Revision,
+                                 const std::string &Voters);
 
   /// Whether a manifest would be accepted now; Conflict where the version
   /// stands for other content or is behind.
@@ -88,20 +88,19 @@
   std::optional<Error> on(const Command &Entry, const FenceGroup &Body);
   std::optional<Error> on(const Command &Entry, const PromoteTarget &Body);
   std::string acceptedBefore(const Manifest &Old) const;
-  bool isInForce(const Manifest &New) const;
-  std::optional<Error> on(const Command &Entry, const SettleTarget &Body);
+  bool isCurrentManifest(const Manifest &New) const;
+  std::optional<Error> on(const Command &Entry, const ConfirmTargetLog &Body);
   std::optional<Error> on(const Command &Entry, const RemoveTarget &Body);
-  std::optional<Error> on(const Command &Entry, const NoteTrouble &Body);
+  std::optional<Error> on(const Command &Entry, const RecordAuditEvent &Body);
   /// Databases in use whose numbers of targets or copies would change.
   std::vector<std::string> databasesWithOtherCopies(const Manifest &New) const;
-  void keepReadings(GroupRecord &Group) const;
-  static void noteProven(GroupRecord &Group, const std::string &Target);
+  void raiseFailoverQuorum(GroupRecord &Group) const;
+  static void markVerified(GroupRecord &Group, const std::string &Target);
   void addToGroup(GroupRecord &Group, const TargetAnnouncement &Target) const;
   std::optional<Error> on(const Command &Entry, const DrainGroup &Body);
-  void settleAfterPromotion(GroupRecord &Group,
-                            const TargetAnnouncement &Primary,
-                            bool Lossy) const;
-  void note(const Command &Entry, AuditRecord Record);
+  void updateCompleteLogs(GroupRecord &Group, const TargetAnnouncement &Primary,
+                          bool Lossy) const;
+  void appendAudit(const Command &Entry, AuditRecord Record);
 
   ClusterView View;
   std::vector<AuditRecord> Audit;
--- a/Source/State/ViewDelta.cpp
+++ b/Source/State/ViewDelta.cpp
@@ -29,23 +29,24 @@
 
 } // namespace
 
-ViewDelta difference(const ClusterView &From, const ClusterView &To) {
+ViewDelta computeDelta(const ClusterView &From, const ClusterView &To) {
   ViewDelta Out;
   Out.Base = From.Revision;
   Out.Revision = To.Revision;
-  Out.LongestLease = To.LongestLease;
-  if (To.Current && !From.Current)
-    Out.NewManifest = To.Current;
-  else if (To.Current && *From.Current != *To.Current)
-    Out.ChangedManifest = difference(*From.Current, *To.Current);
+  Out.MaxLeaseDuration = To.MaxLeaseDuration;
+  if (To.CurrentManifest && !From.CurrentManifest)
+    Out.NewManifest = To.CurrentManifest;
+  else if (To.CurrentManifest && *From.CurrentManifest != *To.CurrentManifest)
+    Out.ChangedManifest =
+        computeDelta(*From.CurrentManifest, *To.CurrentManifest);
   compare(From.Groups, To.Groups, Out.Groups, Out.RemovedGroups);
   compare(From.Targets, To.Targets, Out.Targets, Out.RemovedTargets);
   compare(From.Proxies, To.Proxies, Out.Proxies, Out.RemovedProxies);
   return Out;
 }
 
-Expected<ClusterView> withDelta(const ClusterView &View,
-                                const ViewDelta &Delta) {
+Expected<ClusterView> applyDelta(const ClusterView &View,
+                                 const ViewDelta &Delta) {
   if (View.Revision != Delta.Base)
     return fail(ErrorCode::Conflict, "the delta goes on from revision " +
                                          std::to_string(Delta.Base) +
@@ -53,15 +54,15 @@
                                          std::to_string(View.Revision));
   ClusterView Out = View;
   Out.Revision = Delta.Revision;
-  Out.LongestLease = Delta.LongestLease;
+  Out.MaxLeaseDuration = Delta.MaxLeaseDuration;
   if (Delta.NewManifest)
-    Out.Current = Delta.NewManifest;
+    Out.CurrentManifest = Delta.NewManifest;
   if (Delta.ChangedManifest) {
-    auto Changed =
-        withDelta(View.Current.value_or(Manifest()), *Delta.ChangedManifest);
+    auto Changed = applyDelta(View.CurrentManifest.value_or(Manifest()),
+                              *Delta.ChangedManifest);
     if (!Changed)
       return tl::unexpected(Changed.error());
-    Out.Current = std::move(*Changed);
+    Out.CurrentManifest = std::move(*Changed);
   }
   change(Out.Groups, Delta.Groups, Delta.RemovedGroups);
   change(Out.Targets, Delta.Targets, Delta.RemovedTargets);
--- a/Source/State/ViewDelta.h
+++ b/Source/State/ViewDelta.h
@@ -21,27 +21,27 @@
   /// where it stays.
   std::optional<Manifest> NewManifest;
   std::optional<ManifestDelta> ChangedManifest;
-  Millis LongestLease;
+  Millis MaxLeaseDuration;
   std::map<std::string, GroupRecord> Groups;         ///< New or changed.
   std::map<std::string, TargetAnnouncement> Targets; ///< New or changed.
-  std::map<ProcessId, Place> Proxies;                ///< New or changed.
+  std::map<ProcessId, Locality> Proxies;             ///< New or changed.
   std::set<std::string> RemovedGroups;
   std::set<std::string> RemovedTargets;
   std::set<ProcessId> RemovedProxies;
 
   bool operator==(const ViewDelta &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Base, Revision, NewManifest, ChangedManifest, LongestLease, Groups,
+    Ar(Base, Revision, NewManifest, ChangedManifest, MaxLeaseDuration, Groups,
        Targets, Proxies, RemovedGroups, RemovedTargets, RemovedProxies);
   }
 };
 
 /// The delta that turns \p From into \p To.
-ViewDelta difference(const ClusterView &From, const ClusterView &To);
+ViewDelta computeDelta(const ClusterView &From, const ClusterView &To);
 
 /// The view after a delta; Conflict where the delta doesn't go on from it.
-Expected<ClusterView> withDelta(const ClusterView &View,
-                                const ViewDelta &Delta);
+Expected<ClusterView> applyDelta(const ClusterView &View,
+                                 const ViewDelta &Delta);
 
 } // namespace corianderdyke
 
--- a/Source/Statements/Links.h
+++ b/Source/Statements/Links.h
@@ -42,21 +42,21 @@
     Execute, ///< A prepared name of ours with the caller's arguments.
     Status,
     StopReceiving,
-    ReceiveAgain,
+    ResumeReceiving,
     StepDown,
   };
 
-  Kind What = Kind::Run;
+  Kind Operation = Kind::Run;
   std::string Id = {};   ///< The caller's statement; empty for one of our own.
   std::string Text = {}; ///< The caller's text, a shape, a value or arguments.
   std::string Name = {}; ///< Of a value or a prepared statement.
   /// The target refuses unless its log holds this position.
-  std::optional<LogPosition> After = {};
+  std::optional<LogPosition> MinPosition = {};
   std::uint64_t Term = 0; ///< For orders about the lead.
   /// Where connections are shared: whose turn is first, 0 the highest, and
   /// how long this may wait for its turn before it's refused as not run.
   std::uint32_t Priority = 0;
-  Millis MayWait = {};
+  Millis MaxQueueTime = {};
   /// Where connections are shared: neither this nor what follows it in the
   /// same write is sent unless the command before it succeeded. It saves a
   /// way to the gateway and back.
@@ -64,12 +64,13 @@
 
   bool operator==(const TargetCommand &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(What, Id, Text, Name, After, Term, Priority, MayWait, NeedsPrevious);
+    Ar(Operation, Id, Text, Name, MinPosition, Term, Priority, MaxQueueTime,
+       NeedsPrevious);
   }
 };
 
 /// True for commands that only change what the target holds for a connection.
-inline bool changesOnlyState(TargetCommand::Kind What) {
+inline bool isSessionStateCommand(TargetCommand::Kind What) {
   return What == TargetCommand::Kind::Reset ||
          What == TargetCommand::Kind::SetValue ||
          What == TargetCommand::Kind::Prepare;
@@ -87,7 +88,7 @@
     std::function<void(std::optional<StatementRefusal>)> OnClose;
     /// Answers are due and the other side doesn't answer keepalives either.
     /// They may still come. Not raised by every link; may be empty.
-    std::function<void()> OnSilent = nullptr;
+    std::function<void()> OnKeepaliveTimeout = nullptr;
   };
 
   virtual ~TargetLink() = default;
@@ -109,11 +110,11 @@
   std::string Organisation = {};
   /// It carries no caller's statement, only the process's own questions: a
   /// shared link may then use any organisation's connection.
-  bool IsOwnWork = false;
+  bool IsInternal = false;
 
   auto operator<=>(const TargetAddress &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Group, Id, Address, Organisation, IsOwnWork);
+    Ar(Group, Id, Address, Organisation, IsInternal);
   }
 };
 
--- a/Source/Statements/Statement.h
+++ b/Source/Statements/Statement.h
@@ -70,10 +70,10 @@
 
 struct StatementRefusal {
   RefusalCode Code = RefusalCode::Unknown;
-  std::string Why;
+  std::string Reason;
 
   bool operator==(const StatementRefusal &) const = default;
-  template <class Archive> void serialize(Archive &Ar) { Ar(Code, Why); }
+  template <class Archive> void serialize(Archive &Ar) { Ar(Code, Reason); }
 };
 
 /// Where a session stands after an answer.
@@ -82,14 +82,14 @@
 /// A whole answer to one statement.
 struct StatementAnswer {
   std::vector<std::string> Rows;
-  std::string Proof; ///< The target's signature of the result; opaque here.
+  std::string Signature; ///< The target's signature of the result; opaque here.
   std::optional<StatementRefusal> Refusal;
   SessionPhase Phase = SessionPhase::Idle;
   std::optional<LogPosition> Position; ///< Where the target's log stood.
 
   bool operator==(const StatementAnswer &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Rows, Proof, Refusal, Phase, Position);
+    Ar(Rows, Signature, Refusal, Phase, Position);
   }
 };
 
--- a/Source/Steering/ControlFeed.cpp
+++ b/Source/Steering/ControlClient.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// A proxy's line to control.
 
-#include "Steering/ControlFeed.h"
+#include "Steering/ControlClient.h"
 
 #include <algorithm>
 
@@ -33,33 +33,33 @@
 
 } // namespace
 
-ControlFeed::ControlFeed(FeedOptions Given, Clock &Time, Scheduler &Timers,
-                         Transport &Peers)
+ControlClient::ControlClient(ControlClientOptions Given, Clock &Time,
+                             Scheduler &Timers, Transport &Peers)
     : Options(std::move(Given)), Time(Time), Timers(Timers), Peers(Peers),
       Hosts(Options.Seeds) {
   if (!Hosts.empty())
-    Asked = Hosts[Options.Self.Incarnation % Hosts.size()];
+    Leader = Hosts[Options.Self.Incarnation % Hosts.size()];
 }
 
-void ControlFeed::start() {
-  Peers.signalReceived().connect(sigc::mem_fun(*this, &ControlFeed::receive));
+void ControlClient::start() {
+  Peers.signalReceived().connect(sigc::mem_fun(*this, &ControlClient::receive));
   tick();
 }
 
-void ControlFeed::setSeeds(std::vector<std::string> Seeds) {
+void ControlClient::setSeeds(std::vector<std::string> Seeds) {
   for (std::string &Each : Seeds)
     if (std::find(Hosts.begin(), Hosts.end(), Each) == Hosts.end())
       Hosts.push_back(std::move(Each));
 }
 
-void ControlFeed::tick() {
+void ControlClient::tick() {
   const Millis Now = Time.now();
   const bool IsLost = Now - LastAnswer > Patience;
   const bool LacksSeat = Quotas != nullptr && Quotas->lacksSeat(Now);
   const Millis Interval =
       IsLost || !IsProven || LacksSeat ? AskIntervalWhenLost : AskInterval;
   if (Now - LastAsked >= Interval)
-    ask(IsLost);
+    sendRequest(IsLost);
   if (HasContact && Now - LastAnswer > LostAfter) {
     HasContact = false;
     ContactChanged.emit(false);
@@ -67,114 +67,117 @@
   Timers.after(Interval / 2, [this] { tick(); });
 }
 
-void ControlFeed::ask(bool Everyone) {
+void ControlClient::sendRequest(bool Everyone) {
   LastAsked = Time.now();
-  FollowRequest Request{Options.Self, ++Sequence, Plan.Version,      Seen,
-                        !IsProven,    {},         Options.AsGateway, IsLeaving,
-                        ProxiesSeen,  {}};
+  SubscribeRequest Request{
+      Options.Self, ++Sequence, Plan.Version,          DirectorySeen,
+      !IsProven,    {},         Options.GatewayRecord, IsLeaving,
+      ProxiesSeen,  {}};
   if (Quotas != nullptr)
     Request.Seats = Quotas->request(LastAsked);
-  for (const auto &[Target, Seen] : std::exchange(Sightings, {}))
-    if (!Seen.What.IsReached || LastAsked - Seen.At < ReachedCounts)
-      Request.Sightings.push_back(Seen.What);
+  for (const auto &[Target, Seen] : std::exchange(PendingReports, {}))
+    if (!Seen.Report.IsReachable || LastAsked - Seen.RecordedAt < ReachedCounts)
+      Request.Reports.push_back(Seen.Report);
   // Those that don't lead tell who does, where they know.
   const std::vector<std::string> To =
-      Everyone ? Hosts : std::vector<std::string>{Asked};
+      Everyone ? Hosts : std::vector<std::string>{Leader};
   for (const std::string &Each : To)
     Peers.send({Each, Options.PeerPort}, Delivery::Datagram, Request);
 }
 
-PrimarySighting ControlFeed::sightingOf(const std::string &Target,
-                                        bool IsReached) const {
+ReachabilityReport ControlClient::makeReport(const std::string &Target,
+                                             bool IsReached) const {
   const TargetRecord *Known = Directory.find(Target);
-  return {Target, Known == nullptr ? 0 : Known->BornAt, IsReached};
+  return {Target, Known == nullptr ? 0 : Known->Incarnation, IsReached};
 }
 
-void ControlFeed::noteReached(const std::string &Target) {
-  Sightings[Target] = {sightingOf(Target, true), Time.now()};
+void ControlClient::recordReachable(const std::string &Target) {
+  PendingReports[Target] = {makeReport(Target, true), Time.now()};
 }
 
-void ControlFeed::noteFailed(const std::string &Target) {
-  const auto Known = Sightings.find(Target);
-  const bool IsNews = Known == Sightings.end() || Known->second.What.IsReached;
-  Sightings[Target] = {sightingOf(Target, false), Time.now()};
+void ControlClient::recordUnreachable(const std::string &Target) {
+  const auto Known = PendingReports.find(Target);
+  const bool IsNews =
+      Known == PendingReports.end() || Known->second.Report.IsReachable;
+  PendingReports[Target] = {makeReport(Target, false), Time.now()};
   if (IsNews)
     Timers.after(ReportInterval, [this] {
-      const bool HasFailed =
-          std::any_of(Sightings.begin(), Sightings.end(), [](const auto &Each) {
-            return !Each.second.What.IsReached;
-          });
+      const bool HasFailed = std::any_of(
+          PendingReports.begin(), PendingReports.end(),
+          [](const auto &Each) { return !Each.second.Report.IsReachable; });
       if (HasFailed)
-        ask(false);
+        sendRequest(false);
     });
 }
 
-void ControlFeed::receive(const Envelope &Arrived) {
+void ControlClient::receive(const Envelope &Arrived) {
   std::visit([&](const auto &Body) { on(Body, Arrived); }, Arrived.Body);
 }
 
-void ControlFeed::on(const FollowReply &Body, const Envelope &From) {
+void ControlClient::on(const SubscribeReply &Body, const Envelope &From) {
   LastAnswer = Time.now();
   if (!HasContact) {
     HasContact = true;
     ContactChanged.emit(true);
   }
-  Asked = From.ReplyTo.Address;
+  Leader = From.ReplyTo.Address;
   std::vector<std::string> All = Body.ControlHosts;
   for (const std::string &Each : Options.Seeds)
     if (std::find(All.begin(), All.end(), Each) == All.end())
       All.push_back(Each);
   Hosts = std::move(All);
-  if (Body.IsProven && Body.PlanVersion > 0) {
+  if (Body.IsConfirmed && Body.PlanVersion > 0) {
     ProvenVersion = std::max(ProvenVersion, Body.PlanVersion);
     IsProven = Plan.Version >= ProvenVersion;
   }
-  if (Body.Proxies > 0)
-    ProxiesChanged.emit(Body.Proxies);
+  if (Body.ProxyCount > 0)
+    ProxiesChanged.emit(Body.ProxyCount);
 }
 
-void ControlFeed::announceStop() {
+void ControlClient::announceStop() {
   IsLeaving = true;
-  ask(false);
+  sendRequest(false);
 }
 
-void ControlFeed::on(const FollowElsewhere &Body, const Envelope &) {
-  if (Body.Leader.empty() || Body.Leader == Asked)
+void ControlClient::on(const SubscribeRedirect &Body, const Envelope &) {
+  if (Body.Leader.empty() || Body.Leader == Leader)
     return;
-  Asked = Body.Leader;
-  ask(false);
+  Leader = Body.Leader;
+  sendRequest(false);
 }
 
-void ControlFeed::on(const TellSightings &, const Envelope &) { ask(false); }
+void ControlClient::on(const ReachabilityQuery &, const Envelope &) {
+  sendRequest(false);
+}
 
-void ControlFeed::on(const SeatGrant &Body, const Envelope &) {
+void ControlClient::on(const SeatGrant &Body, const Envelope &) {
   if (Quotas == nullptr)
     return;
   if (Quotas->apply(Body, Time.now()))
-    ask(false);
+    sendRequest(false);
   QuotasChanged.emit();
 }
 
-void ControlFeed::on(const PlanUpdate &Body, const Envelope &) {
+void ControlClient::on(const PlanUpdate &Body, const Envelope &) {
   // Never back within one life: callers have seen the later one.
   if (Body.Plan.Version <= Plan.Version)
     return;
   Plan = Body.Plan;
   IsProven = IsProven || (ProvenVersion > 0 && Plan.Version >= ProvenVersion);
   PlanChanged.emit();
-  ask(false);
+  sendRequest(false);
 }
 
-void ControlFeed::on(const DirectoryUpdate &Body, const Envelope &) {
+void ControlClient::on(const DirectoryUpdate &Body, const Envelope &) {
   // Records replace older ones wherever they come from. What lies between is
   // missing where this update begins later than what is known.
-  if (continues(Body.From, Seen))
-    Seen = std::max(Seen, Body.Version);
+  if (continues(Body.From, DirectorySeen))
+    DirectorySeen = std::max(DirectorySeen, Body.Version);
   if (Directory.merge(Body.Targets, Time.now()))
     DirectoryChanged.emit();
 }
 
-void ControlFeed::on(const ProxyListUpdate &Body, const Envelope &) {
+void ControlClient::on(const ProxyListUpdate &Body, const Envelope &) {
   if (Body.Version <= ProxiesSeen || !continues(Body.From, ProxiesSeen))
     return;
   ProxiesSeen = Body.Version;
@@ -184,7 +187,7 @@
       ByName[Each.Name] = Each;
   for (const ProxyRecord &Each : Body.Present)
     ByName[Each.Name] = Each;
-  for (const std::string &Each : Body.Gone)
+  for (const std::string &Each : Body.Removed)
     ByName.erase(Each);
   std::vector<ProxyRecord> New;
   New.reserve(ByName.size());
--- a/Source/Steering/ControlFeed.h
+++ b/Source/Steering/ControlClient.h
@@ -1,8 +1,8 @@
 /// \file
 /// A proxy's line to control: the plan, the targets, and its own sightings.
 
-#ifndef CORIANDERDYKE_STEERING_CONTROLFEED_H
-#define CORIANDERDYKE_STEERING_CONTROLFEED_H
+#ifndef CORIANDERDYKE_STEERING_CONTROLCLIENT_H
+#define CORIANDERDYKE_STEERING_CONTROLCLIENT_H
 
 #include "Common/Clock.h"
 #include "Loop/Scheduler.h"
@@ -13,20 +13,20 @@
 
 namespace corianderdyke {
 
-struct FeedOptions {
+struct ControlClientOptions {
   ProcessId Self;
   std::uint16_t PeerPort = 0;     ///< The same on all hosts.
   std::vector<std::string> Seeds; ///< Addresses of control hosts.
-  ProxyRecord AsGateway =
+  ProxyRecord GatewayRecord =
       {}; ///< For other proxies; without an address for none.
 };
 
 /// Asks the leading control host again and again, and looks for another where
 /// none answers. What it has learned stays in force while control is away.
-class ControlFeed : public sigc::trackable {
+class ControlClient : public sigc::trackable {
 public:
-  ControlFeed(FeedOptions Given, Clock &Time, Scheduler &Timers,
-              Transport &Peers);
+  ControlClient(ControlClientOptions Given, Clock &Time, Scheduler &Timers,
+                Transport &Peers);
 
   void start();
   /// The settings name other hosts now.
@@ -34,18 +34,18 @@
 
   /// A target answered, or couldn't be used. The latter is told at once: it's
   /// the first part of the time in which nobody can write.
-  void noteReached(const std::string &Target);
-  void noteFailed(const std::string &Target);
+  void recordReachable(const std::string &Target);
+  void recordUnreachable(const std::string &Target);
 
   /// Requests for seats of quotas go along with what is told to control.
   /// Without seats there are none.
-  void setQuotas(QuotaSeats *Seats) { Quotas = Seats; }
+  void setQuotaSeats(QuotaSeats *Seats) { Quotas = Seats; }
 
   /// This proxy stops: no other should send anything through it.
   void announceStop();
 
   /// True once a quorum has confirmed the plan that this process holds.
-  bool isProven() const { return IsProven; }
+  bool isConfirmed() const { return IsProven; }
   /// True while control also confirms it from time to time.
   bool isCurrent() const { return IsProven && HasContact; }
   const RoutePlan &plan() const { return Plan; }
@@ -59,45 +59,46 @@
     return ProxyListChanged;
   }
   /// Emitted when control is lost or found again.
-  sigc::signal<void(bool)> &signalContact() { return ContactChanged; }
+  sigc::signal<void(bool)> &signalConnectivity() { return ContactChanged; }
   /// Emitted when seats of quotas were granted.
   sigc::signal<void()> &signalQuotas() { return QuotasChanged; }
 
 private:
   void tick();
-  void ask(bool Everyone);
-  PrimarySighting sightingOf(const std::string &Target, bool IsReached) const;
+  void sendRequest(bool Everyone);
+  ReachabilityReport makeReport(const std::string &Target,
+                                bool IsReached) const;
   void receive(const Envelope &Arrived);
-  void on(const FollowReply &Body, const Envelope &From);
-  void on(const FollowElsewhere &Body, const Envelope &From);
+  void on(const SubscribeReply &Body, const Envelope &From);
+  void on(const SubscribeRedirect &Body, const Envelope &From);
   void on(const PlanUpdate &Body, const Envelope &From);
   void on(const DirectoryUpdate &Body, const Envelope &From);
   void on(const ProxyListUpdate &Body, const Envelope &From);
-  void on(const TellSightings &Body, const Envelope &From);
+  void on(const ReachabilityQuery &Body, const Envelope &From);
   void on(const SeatGrant &Body, const Envelope &From);
   template <class Other> void on(const Other &, const Envelope &) {}
 
-  FeedOptions Options;
+  ControlClientOptions Options;
   Clock &Time;
   Scheduler &Timers;
   Transport &Peers;
   RoutePlan Plan;
   TargetDirectory Directory;
-  DirectoryVersion Seen;
+  DirectoryVersion DirectorySeen;
   std::vector<std::string> Hosts; ///< Seeds and members, as last told.
-  std::string Asked;              ///< The host that is believed to lead.
+  std::string Leader;             ///< The host that is believed to lead.
   std::uint64_t Sequence = 0;
   Millis LastAsked = Millis(-1000000);
   Millis LastAnswer = Millis(-1000000);
   bool HasContact = false;
   bool IsProven = false;
   std::uint64_t ProvenVersion = 0;
-  struct Sighting {
-    PrimarySighting What;
-    Millis At;
+  struct PendingReport {
+    ReachabilityReport Report;
+    Millis RecordedAt;
   };
   /// Since the last word to control, by target.
-  std::map<std::string, Sighting> Sightings;
+  std::map<std::string, PendingReport> PendingReports;
   sigc::signal<void()> PlanChanged;
   sigc::signal<void()> DirectoryChanged;
   DirectoryVersion ProxiesSeen;
--- a/Source/Steering/Messages.h
+++ b/Source/Steering/Messages.h
@@ -23,67 +23,68 @@
 };
 
 /// A target as one proxy sees it.
-struct PrimarySighting {
+struct ReachabilityReport {
   std::string Id;
-  std::uint64_t BornAt = 0; ///< The life that was met, as the directory has it.
-  bool IsReached = false;   ///< It answered lately; else it couldn't be used.
+  std::uint64_t Incarnation =
+      0;                    ///< The life that was met, as the directory has it.
+  bool IsReachable = false; ///< It answered lately; else it couldn't be used.
 
-  auto operator<=>(const PrimarySighting &) const = default;
+  auto operator<=>(const ReachabilityReport &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Id, BornAt, IsReached);
+    Ar(Id, Incarnation, IsReachable);
   }
 };
 
 /// A proxy's regular word to control: what it knows and what it sees.
-struct FollowRequest {
+struct SubscribeRequest {
   ProcessId Proxy;
   std::uint64_t Sequence = 0;
   std::uint64_t PlanVersion = 0; ///< In force there; 0 where none is.
-  DirectoryVersion Directory;
+  DirectoryVersion DirectoryHeld;
   /// Asks for an answer that the quorum has confirmed: a proxy that just
   /// started must not begin with a plan that another has replaced.
-  bool NeedsProof = false;
-  std::vector<PrimarySighting> Sightings;
+  bool NeedsConfirmation = false;
+  std::vector<ReachabilityReport> Reports;
   /// Itself, for the list of proxies; without an address where it takes no
   /// statements of others.
   ProxyRecord Self;
   bool IsLeaving = false;
-  DirectoryVersion Proxies; ///< Of the list that it has.
+  DirectoryVersion ProxiesHeld; ///< Of the list that it has.
   SeatRequest Seats;
 
-  bool operator==(const FollowRequest &) const = default;
+  bool operator==(const SubscribeRequest &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Proxy, Sequence, PlanVersion, Directory, NeedsProof, Sightings, Self,
-       IsLeaving, Proxies, Seats);
+    Ar(Proxy, Sequence, PlanVersion, DirectoryHeld, NeedsConfirmation, Reports,
+       Self, IsLeaving, ProxiesHeld, Seats);
   }
 };
 
 /// The leader's answer. What the proxy lacks follows in messages of its own.
-struct FollowReply {
+struct SubscribeReply {
   std::uint64_t Sequence = 0;
-  bool IsProven = false;
+  bool IsConfirmed = false;
   std::uint64_t PlanVersion = 0;
   std::vector<std::string> ControlHosts; ///< Addresses of the group's members.
   /// That follow at the moment; 0 while a new leader gets to know them.
-  std::uint32_t Proxies = 0;
+  std::uint32_t ProxyCount = 0;
 
-  bool operator==(const FollowReply &) const = default;
+  bool operator==(const SubscribeReply &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(Sequence, IsProven, PlanVersion, ControlHosts, Proxies);
+    Ar(Sequence, IsConfirmed, PlanVersion, ControlHosts, ProxyCount);
   }
 };
 
 /// Control looks into a target: each proxy tells at once what it has seen.
-struct TellSightings {
-  bool operator==(const TellSightings &) const = default;
+struct ReachabilityQuery {
+  bool operator==(const ReachabilityQuery &) const = default;
   template <class Archive> void serialize(Archive &) {}
 };
 
 /// The asked control host doesn't lead.
-struct FollowElsewhere {
+struct SubscribeRedirect {
   std::string Leader; ///< Address; empty where none is known.
 
-  bool operator==(const FollowElsewhere &) const = default;
+  bool operator==(const SubscribeRedirect &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(Leader); }
 };
 
@@ -112,11 +113,11 @@
   DirectoryVersion From;
   DirectoryVersion Version;
   std::vector<ProxyRecord> Present;
-  std::vector<std::string> Gone; ///< Names.
+  std::vector<std::string> Removed; ///< Names.
 
   bool operator==(const ProxyListUpdate &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
-    Ar(From, Version, Present, Gone);
+    Ar(From, Version, Present, Removed);
   }
 };
 
--- a/Source/Steering/Ports.h
+++ b/Source/Steering/Ports.h
@@ -19,25 +19,25 @@
 };
 
 /// Asks and orders one target.
-class TargetOrderPort {
+class TargetCommandPort {
 public:
   using OnStatus = std::function<void(Expected<TargetStatus>)>;
 
-  virtual ~TargetOrderPort() = default;
+  virtual ~TargetCommandPort() = default;
 
-  /// Sends a Status, StopReceiving, ReceiveAgain or StepDown. Conflict where
+  /// Sends a Status, StopReceiving, ResumeReceiving or StepDown. Conflict where
   /// the target lives but has no slot or connection free, NotFound where
   /// nothing listens there. Any other error says only that no answer came in
   /// time; an order may be carried out later.
-  virtual void ask(const TargetAddress &To, TargetCommand::Kind What,
-                   std::uint64_t Term, Millis Timeout, OnStatus Handler) = 0;
+  virtual void send(const TargetAddress &To, TargetCommand::Kind What,
+                    std::uint64_t Term, Millis Timeout, OnStatus Handler) = 0;
 };
 
 /// Whoever carries out a change of primary.
 class PromotionPort {
 public:
   enum class Result : std::uint8_t {
-    Taken,    ///< The target leads within moments.
+    Accepted, ///< The target leads within moments.
     Rejected, ///< A later order is known, or the target doesn't run.
     Unknown,  ///< No answer: it may be carried out later.
   };
--- a/Source/Steering/PromotionCoordinator.cpp
+++ b/Source/Steering/PromotionCoordinator.cpp
@@ -20,103 +20,104 @@
 } // namespace
 
 PromotionCoordinator::PromotionCoordinator(
-    Clock &Time, const TargetDirectory &Directory, TargetOrderPort &Orders,
+    Clock &Time, const TargetDirectory &Directory, TargetCommandPort &Orders,
     PromotionPort &Promotions, Propose OnPropose, std::string Holder,
     PromotionTimes Times)
-    : Time(Time), Directory(Directory), Orders(Orders), Promotions(Promotions),
-      OnPropose(std::move(OnPropose)), Holder(std::move(Holder)), Times(Times) {
-}
+    : Time(Time), Directory(Directory), Commands(Orders),
+      Promotions(Promotions), OnPropose(std::move(OnPropose)),
+      Holder(std::move(Holder)), Times(Times) {}
 
-void PromotionCoordinator::begin() {
+void PromotionCoordinator::startLeading() {
   IsActive = true;
-  BeganAt = Time.now();
+  LeadingSince = Time.now();
   for (auto &[Name, Each] : Groups)
-    back(Each, Millis(0));
+    resumeWatching(Each, Millis(0));
   MayBeStopped.clear();
   for (const TargetRecord &Each : Directory.all()) {
     if (!Each.IsGone && !Each.IsPrimary)
       MayBeStopped.insert(Each.Id);
     if (!Each.IsGone && Each.IsPrimary) {
-      Groups[Each.Group].Led = Each.Id;
-      Groups[Each.Group].LedBornAt = Each.BornAt;
+      Groups[Each.Group].LastPrimary = Each.Id;
+      Groups[Each.Group].LastPrimaryIncarnation = Each.Incarnation;
     }
   }
 }
 
-void PromotionCoordinator::end() {
+void PromotionCoordinator::stopLeading() {
   // Its successor decides on what was begun, and lets replicas receive again.
   IsActive = false;
   for (auto &[Name, Each] : Groups) {
-    Each.Stopped.clear();
-    back(Each, Millis(0));
+    Each.StoppedReplicas.clear();
+    resumeWatching(Each, Millis(0));
   }
 }
 
-void PromotionCoordinator::noteSightings(
-    const ProcessId &Proxy, const std::vector<PrimarySighting> &Seen) {
-  for (const PrimarySighting &Each : Seen) {
+void PromotionCoordinator::recordReports(
+    const ProcessId &Proxy, const std::vector<ReachabilityReport> &Seen) {
+  for (const ReachabilityReport &Each : Seen) {
     // What was met of an earlier life says nothing of the present one.
     const TargetRecord *Present = Directory.find(Each.Id);
-    if (Present != nullptr && Present->BornAt != Each.BornAt)
+    if (Present != nullptr && Present->Incarnation != Each.Incarnation)
       continue;
-    Sighting &Known = Sightings[Each.Id][Proxy];
-    if (Known.BornAt != Each.BornAt)
-      Known = {.BornAt = Each.BornAt};
-    (Each.IsReached ? Known.ReachedAt : Known.FailedAt) = Time.now();
+    Reachability &Known = ReachabilityByTarget[Each.Id][Proxy];
+    if (Known.Incarnation != Each.Incarnation)
+      Known = {.Incarnation = Each.Incarnation};
+    (Each.IsReachable ? Known.ReachedAt : Known.FailedAt) = Time.now();
   }
 }
 
-std::size_t PromotionCoordinator::countSightings(
+std::size_t PromotionCoordinator::countProxies(
     const TargetRecord &Target,
-    const std::function<bool(const Sighting &)> &Counts) const {
-  const auto Found = Sightings.find(Target.Id);
-  if (Found == Sightings.end())
+    const std::function<bool(const Reachability &)> &Counts) const {
+  const auto Found = ReachabilityByTarget.find(Target.Id);
+  if (Found == ReachabilityByTarget.end())
     return 0;
   return static_cast<std::size_t>(std::count_if(
       Found->second.begin(), Found->second.end(), [&](const auto &Each) {
-        return Each.second.BornAt == Target.BornAt && Counts(Each.second);
+        return Each.second.Incarnation == Target.Incarnation &&
+               Counts(Each.second);
       }));
 }
 
 std::size_t
-PromotionCoordinator::failedLately(const TargetRecord &Target) const {
-  return countSightings(Target, [this](const Sighting &Said) {
+PromotionCoordinator::countRecentFailures(const TargetRecord &Target) const {
+  return countProxies(Target, [this](const Reachability &Said) {
     return Said.FailedAt > Said.ReachedAt &&
-           Time.now() - Said.FailedAt < Times.SightingKept;
+           Time.now() - Said.FailedAt < Times.ReportValidity;
   });
 }
 
 std::size_t
-PromotionCoordinator::reachedLately(const TargetRecord &Target) const {
-  return countSightings(Target, [this](const Sighting &Said) {
+PromotionCoordinator::countRecentlyReached(const TargetRecord &Target) const {
+  return countProxies(Target, [this](const Reachability &Said) {
     return Said.ReachedAt >= Said.FailedAt &&
-           Time.now() - Said.ReachedAt < Times.SightingKept;
+           Time.now() - Said.ReachedAt < Times.ReportValidity;
   });
 }
 
-std::size_t PromotionCoordinator::reachedSince(const TargetRecord &Target,
-                                               Millis Since) const {
-  return countSightings(Target, [Since](const Sighting &Said) {
+std::size_t PromotionCoordinator::countReachedSince(const TargetRecord &Target,
+                                                    Millis Since) const {
+  return countProxies(Target, [Since](const Reachability &Said) {
     return Said.ReachedAt >= Said.FailedAt && Said.ReachedAt >= Since;
   });
 }
 
 void PromotionCoordinator::enter(Group &In, Stage Next) {
-  In.At = Next;
-  In.Since = Time.now();
+  In.CurrentStage = Next;
+  In.StageSince = Time.now();
   ++In.Round;
 }
 
-void PromotionCoordinator::readLater(Group &In) {
-  In.ReadAgainAt = Time.now() + Times.AskPause;
+void PromotionCoordinator::scheduleQuery(Group &In) {
+  In.NextQueryAt = Time.now() + Times.QueryInterval;
 }
 
-void PromotionCoordinator::back(Group &In, Millis Pause) {
+void PromotionCoordinator::resumeWatching(Group &In, Millis Pause) {
   // Replicas that were left without their primary's log would fall behind
   // for good.
   if (IsActive)
-    receiveAgain(In);
-  In.ReadAgainAt.reset();
+    resumeReceiving(In);
+  In.NextQueryAt.reset();
   enter(In, Stage::Watching);
   In.RetryAt = Time.now() + Pause;
 }
@@ -126,7 +127,7 @@
                                      Stage Expected) const {
   const auto Found = Groups.find(Name);
   return IsActive && Found != Groups.end() && Found->second.Round == Round &&
-         Found->second.At == Expected;
+         Found->second.CurrentStage == Expected;
 }
 
 void PromotionCoordinator::tick(const RoutePlan &Plan, std::size_t Proxies) {
@@ -135,34 +136,35 @@
   for (const GroupPolicy &Each : Plan.Groups) {
     Group &In = Groups[Each.Name];
     In.SyncReplicas = Each.SyncReplicas;
-    if (In.ReadAgainAt && Time.now() >= *In.ReadAgainAt)
-      read(Each.Name);
-    else if (In.At == Stage::Watching)
+    if (In.NextQueryAt && Time.now() >= *In.NextQueryAt)
+      queryPositions(Each.Name);
+    else if (In.CurrentStage == Stage::Watching)
       watch(Each.Name, In, Proxies);
     else
-      settle(Each.Name, In);
+      checkProgress(Each.Name, In);
   }
 }
 
 // The new primary shows itself by its own heartbeat, whatever the answer to
 // the call was. A stage that stands still for long begins anew.
-void PromotionCoordinator::settle(const std::string &Name, Group &In) {
+void PromotionCoordinator::checkProgress(const std::string &Name, Group &In) {
   const auto Primary = Directory.primaryOf(Name);
   const Millis Now = Time.now();
-  if ((In.At == Stage::Awaiting || In.At == Stage::Ordering) && Primary &&
-      Primary->Id == In.Chosen) {
+  if ((In.CurrentStage == Stage::Awaiting ||
+       In.CurrentStage == Stage::Ordering) &&
+      Primary && Primary->Id == In.Successor) {
     Step.emit(Name, "promoted",
-              In.Chosen + " leads after " +
-                  std::to_string((Now - In.BeganAt).count()) + " ms");
+              In.Successor + " leads after " +
+                  std::to_string((Now - In.ChangeBeganAt).count()) + " ms");
     In.Excluded.clear();
-    return back(In, Millis(0));
+    return resumeWatching(In, Millis(0));
   }
-  if (Now - In.Since <= Times.PromotionPatience)
+  if (Now - In.StageSince <= Times.PromotionTimeout)
     return;
   Step.emit(Name, "attempt-ended", "no progress in time");
-  if (In.At == Stage::Awaiting)
-    In.Excluded.insert(In.Chosen);
-  back(In, AttemptPause);
+  if (In.CurrentStage == Stage::Awaiting)
+    In.Excluded.insert(In.Successor);
+  resumeWatching(In, AttemptPause);
 }
 
 void PromotionCoordinator::watch(const std::string &Name, Group &In,
@@ -173,63 +175,64 @@
   const auto Primary = Directory.primaryOf(Name);
   if (!Primary) {
     const bool IsKnown = !Directory.ofGroup(Name).empty();
-    if (!IsKnown || Now - BeganAt < Times.Acquaintance)
+    if (!IsKnown || Now - LeadingSince < Times.StartupGracePeriod)
       return;
     In.IsPlanned = false;
     In.Reason = "no target leads";
-    In.Old.clear();
-    In.BeganAt = Now;
-    return read(Name);
+    In.OldPrimary.clear();
+    In.ChangeBeganAt = Now;
+    return queryPositions(Name);
   }
-  In.Old = Primary->Id;
+  In.OldPrimary = Primary->Id;
   // A former leader may have died between stopping replicas and promoting.
   if (In.SyncReplicas > 0)
     for (const TargetRecord &Each : Directory.ofGroup(Name))
       if (MayBeStopped.erase(Each.Id) != 0)
-        In.Stopped.insert(Each.Id);
-  if (In.At == Stage::Watching)
-    receiveAgain(In);
-  if (hasBegunAnew(In, *Primary)) {
+        In.StoppedReplicas.insert(Each.Id);
+  if (In.CurrentStage == Stage::Watching)
+    resumeReceiving(In);
+  if (hasRestarted(In, *Primary)) {
     In.IsPlanned = false;
     In.Reason = "the primary has started again and may lack its log";
-    In.BeganAt = Now;
+    In.ChangeBeganAt = Now;
     // It is asked with the others: nothing changes where it has the most, or
     // where it can't be asked and is judged by what proxies see of it.
-    In.Old.clear();
-    return read(Name);
+    In.OldPrimary.clear();
+    return queryPositions(Name);
   }
-  In.Led = Primary->Id;
-  In.LedBornAt = Primary->BornAt;
+  In.LastPrimary = Primary->Id;
+  In.LastPrimaryIncarnation = Primary->Incarnation;
   if (Primary->IsLeaving) {
     In.IsPlanned = true;
     In.Reason = "the primary is leaving";
-    In.BeganAt = Now;
+    In.ChangeBeganAt = Now;
     return stepDown(Name, *Primary);
   }
-  const std::size_t Failed = failedLately(*Primary);
-  const std::size_t Reached = reachedLately(*Primary);
+  const std::size_t Failed = countRecentFailures(*Primary);
+  const std::size_t Reached = countRecentlyReached(*Primary);
   const bool Reported = Failed > 0 && Failed >= std::min(LeastReports, Proxies);
   // What was heard before this host began to lead went to another.
-  const Millis HeardAt = std::max(Directory.lastHeard(Primary->Id), BeganAt);
+  const Millis HeardAt =
+      std::max(Directory.lastUpdate(Primary->Id), LeadingSince);
   const bool IsSilent = Now - HeardAt > Times.SuspectAfter && Reached == 0;
   if (!Reported && !IsSilent)
     return;
-  In.BeganAt = Now;
+  In.ChangeBeganAt = Now;
   probe(Name, *Primary, Proxies);
 }
 
 // A primary that starts again under its id may still say that it leads, with
 // none of the log that its replicas hold. Left alone it would go on from
 // there, and all that was acknowledged before would be missing.
-bool PromotionCoordinator::hasBegunAnew(const Group &In,
+bool PromotionCoordinator::hasRestarted(const Group &In,
                                         const TargetRecord &Primary) const {
-  return In.Led == Primary.Id && In.LedBornAt > 0 &&
-         Primary.BornAt > In.LedBornAt;
+  return In.LastPrimary == Primary.Id && In.LastPrimaryIncarnation > 0 &&
+         Primary.Incarnation > In.LastPrimaryIncarnation;
 }
 
-bool PromotionCoordinator::isSameLife(const TargetRecord &Asked) const {
+bool PromotionCoordinator::isSameIncarnation(const TargetRecord &Asked) const {
   const TargetRecord *Known = Directory.find(Asked.Id);
-  return Known != nullptr && Known->BornAt == Asked.BornAt;
+  return Known != nullptr && Known->Incarnation == Asked.Incarnation;
 }
 
 // What control itself meets decides. A primary that refuses connections has
@@ -242,30 +245,30 @@
                                  std::size_t Proxies) {
   Group &In = Groups[Name];
   enter(In, Stage::Probing);
-  LookedInto.emit();
-  Orders.ask(addressOf(Primary), TargetCommand::Kind::Status, 0,
-             Times.ProbeTimeout,
-             [this, Name, Round = In.Round, Primary,
-              Proxies](const Expected<TargetStatus> &Answer) {
-               if (isCurrent(Name, Round, Stage::Probing))
-                 judge(Name, Primary, Proxies, Answer);
-             });
+  ProbeStarted.emit();
+  Commands.send(addressOf(Primary), TargetCommand::Kind::Status, 0,
+                Times.ProbeTimeout,
+                [this, Name, Round = In.Round, Primary,
+                 Proxies](const Expected<TargetStatus> &Answer) {
+                  if (isCurrent(Name, Round, Stage::Probing))
+                    evaluateProbe(Name, Primary, Proxies, Answer);
+                });
 }
 
-void PromotionCoordinator::judge(const std::string &Name,
-                                 const TargetRecord &Primary,
-                                 std::size_t Proxies,
-                                 const Expected<TargetStatus> &Answer) {
+void PromotionCoordinator::evaluateProbe(const std::string &Name,
+                                         const TargetRecord &Primary,
+                                         std::size_t Proxies,
+                                         const Expected<TargetStatus> &Answer) {
   Group &In = Groups[Name];
-  const std::size_t Failed = failedLately(Primary);
-  const std::size_t Reached = reachedSince(Primary, In.Since);
+  const std::size_t Failed = countRecentFailures(Primary);
+  const std::size_t Reached = countReachedSince(Primary, In.StageSince);
   const bool IsBusy = !Answer && Answer.error().Code == ErrorCode::Conflict;
   const bool IsGone = !Answer && Answer.error().Code == ErrorCode::NotFound;
   const bool IsMissed = IsGone || Reached == 0 || Failed > Reached;
   const bool WorksForMost =
       Answer && Answer->IsPrimary && Failed * 2 <= Proxies;
   if (IsBusy || WorksForMost || !IsMissed)
-    return back(In, AttemptPause);
+    return resumeWatching(In, AttemptPause);
   In.Reason = Failed == 0 ? "no heartbeat"
                           : std::to_string(Failed) + " proxies can't use it, " +
                                 std::to_string(Reached) + " can";
@@ -276,7 +279,7 @@
     return stepDown(Name, Primary);
   }
   In.Reason += "; nor can control";
-  read(Name);
+  queryPositions(Name);
 }
 
 void PromotionCoordinator::stepDown(const std::string &Name,
@@ -289,7 +292,7 @@
         return Each.Id != Primary.Id && !Each.IsLeaving;
       });
   if (!HasOther)
-    return back(In, PlannedPause);
+    return resumeWatching(In, PlannedPause);
   Step.emit(Name, "planned-change", In.Reason);
   enter(In, Stage::SteppingDown);
   const auto OnStatus = [this, Name, Round = In.Round,
@@ -297,28 +300,28 @@
     if (!isCurrent(Name, Round, Stage::SteppingDown))
       return;
     if (!Answer)
-      return read(Name);
-    Orders.ask(addressOf(Primary), TargetCommand::Kind::StepDown,
-               Answer->Term + 1, Times.AskTimeout,
-               [this, Name, Round](const Expected<TargetStatus> &Last) {
-                 if (!isCurrent(Name, Round, Stage::SteppingDown))
-                   return;
-                 if (Last)
-                   Groups[Name].Goal = Last->Received;
-                 read(Name);
-               });
+      return queryPositions(Name);
+    Commands.send(addressOf(Primary), TargetCommand::Kind::StepDown,
+                  Answer->Term + 1, Times.QueryTimeout,
+                  [this, Name, Round](const Expected<TargetStatus> &Last) {
+                    if (!isCurrent(Name, Round, Stage::SteppingDown))
+                      return;
+                    if (Last)
+                      Groups[Name].RequiredPosition = Last->Received;
+                    queryPositions(Name);
+                  });
   };
-  In.Goal.reset();
-  Orders.ask(addressOf(Primary), TargetCommand::Kind::Status, 0,
-             Times.AskTimeout, OnStatus);
+  In.RequiredPosition.reset();
+  Commands.send(addressOf(Primary), TargetCommand::Kind::Status, 0,
+                Times.QueryTimeout, OnStatus);
 }
 
 std::vector<TargetRecord>
-PromotionCoordinator::choices(const std::string &Name) const {
+PromotionCoordinator::candidates(const std::string &Name) const {
   const Group &In = Groups.at(Name);
   std::vector<TargetRecord> Out;
   for (const TargetRecord &Each : Directory.ofGroup(Name)) {
-    if (Each.Id == In.Old || In.Excluded.count(Each.Id) != 0)
+    if (Each.Id == In.OldPrimary || In.Excluded.count(Each.Id) != 0)
       continue;
     // A leaving replica counts for what was acknowledged until it ends.
     if (!Each.IsLeaving || In.SyncReplicas > 0)
@@ -327,18 +330,18 @@
   return Out;
 }
 
-void PromotionCoordinator::read(const std::string &Name) {
+void PromotionCoordinator::queryPositions(const std::string &Name) {
   Group &In = Groups[Name];
   enter(In, Stage::Reading);
   if (!In.IsPlanned)
-    In.Goal.reset();
-  In.ReadAgainAt.reset();
-  const std::vector<TargetRecord> All = choices(Name);
+    In.RequiredPosition.reset();
+  In.NextQueryAt.reset();
+  const std::vector<TargetRecord> All = candidates(Name);
   if (All.empty()) {
     In.Excluded.clear();
-    return back(In, AttemptPause);
+    return resumeWatching(In, AttemptPause);
   }
-  askAll(Name, All, TargetCommand::Kind::Status, 0);
+  queryAll(Name, All, TargetCommand::Kind::Status, 0);
 }
 
 // Where commits are acknowledged on the strength of a replica's copy, the old
@@ -349,108 +352,110 @@
   Group &In = Groups[Name];
   std::uint64_t Newest = 0;
   std::vector<TargetRecord> All;
-  for (const auto &[Id, Each] : In.Read) {
+  for (const auto &[Id, Each] : In.Statuses) {
     Newest = std::max(Newest, Each.Term);
     if (const TargetRecord *Known = Directory.find(Id))
       All.push_back(*Known);
-    In.Stopped.insert(Id);
+    In.StoppedReplicas.insert(Id);
   }
-  askAll(Name, All, TargetCommand::Kind::StopReceiving, Newest + 1);
+  queryAll(Name, All, TargetCommand::Kind::StopReceiving, Newest + 1);
 }
 
-void PromotionCoordinator::askAll(const std::string &Name,
-                                  const std::vector<TargetRecord> &All,
-                                  TargetCommand::Kind What,
-                                  std::uint64_t Term) {
+void PromotionCoordinator::queryAll(const std::string &Name,
+                                    const std::vector<TargetRecord> &All,
+                                    TargetCommand::Kind What,
+                                    std::uint64_t Term) {
   Group &In = Groups[Name];
-  In.Read.clear();
+  In.Statuses.clear();
   In.Asked = All.size();
   In.Answered = 0;
   In.IsIncomplete = false;
   const bool IsLast =
       In.SyncReplicas == 0 || What == TargetCommand::Kind::StopReceiving;
   for (const TargetRecord &Each : All)
-    Orders.ask(addressOf(Each), What, Term, Times.AskTimeout,
-               [this, Name, Round = In.Round, Each,
-                IsLast](const Expected<TargetStatus> &Answer) {
-                 if (!isCurrent(Name, Round, Stage::Reading))
-                   return;
-                 Group &In = Groups[Name];
-                 ++In.Answered;
-                 if (Answer && isSameLife(Each))
-                   In.Read[Each.Id] = *Answer;
-                 In.IsIncomplete |=
-                     !Answer && Answer.error().Code == ErrorCode::Conflict;
-                 if (In.Answered < In.Asked)
-                   return;
-                 if (IsLast || In.Read.empty())
-                   decide(Name);
-                 else
-                   stopReceiving(Name);
-               });
+    Commands.send(addressOf(Each), What, Term, Times.QueryTimeout,
+                  [this, Name, Round = In.Round, Each,
+                   IsLast](const Expected<TargetStatus> &Answer) {
+                    if (!isCurrent(Name, Round, Stage::Reading))
+                      return;
+                    Group &In = Groups[Name];
+                    ++In.Answered;
+                    if (Answer && isSameIncarnation(Each))
+                      In.Statuses[Each.Id] = *Answer;
+                    In.IsIncomplete |=
+                        !Answer && Answer.error().Code == ErrorCode::Conflict;
+                    if (In.Answered < In.Asked)
+                      return;
+                    if (IsLast || In.Statuses.empty())
+                      chooseSuccessor(Name);
+                    else
+                      stopReceiving(Name);
+                  });
 }
 
-void PromotionCoordinator::receiveAgain(Group &In) {
-  for (const std::string &Id : std::exchange(In.Stopped, {}))
+void PromotionCoordinator::resumeReceiving(Group &In) {
+  for (const std::string &Id : std::exchange(In.StoppedReplicas, {}))
     if (const TargetRecord *Known = Directory.find(Id))
-      Orders.ask(addressOf(*Known), TargetCommand::Kind::ReceiveAgain, 0,
-                 Times.AskTimeout, [](const Expected<TargetStatus> &) {});
+      Commands.send(addressOf(*Known), TargetCommand::Kind::ResumeReceiving, 0,
+                    Times.QueryTimeout, [](const Expected<TargetStatus> &) {});
 }
 
-void PromotionCoordinator::decide(const std::string &Name) {
+void PromotionCoordinator::chooseSuccessor(const std::string &Name) {
   Group &In = Groups[Name];
-  const auto Best = std::max_element(
-      In.Read.begin(), In.Read.end(), [](const auto &Left, const auto &Right) {
-        return Left.second.Received < Right.second.Received;
-      });
-  if (Best == In.Read.end()) {
+  const auto Best =
+      std::max_element(In.Statuses.begin(), In.Statuses.end(),
+                       [](const auto &Left, const auto &Right) {
+                         return Left.second.Received < Right.second.Received;
+                       });
+  if (Best == In.Statuses.end()) {
     Step.emit(Name, "attempt-ended", "no replica answers");
-    return back(In, AttemptPause);
+    return resumeWatching(In, AttemptPause);
   }
   // Any commit that was acknowledged is on so many replicas: among one more
   // than the others there's one that has it.
-  const std::size_t All = choices(Name).size();
-  if (In.SyncReplicas > 0 && In.Read.size() + In.SyncReplicas <= All) {
+  const std::size_t All = candidates(Name).size();
+  if (In.SyncReplicas > 0 && In.Statuses.size() + In.SyncReplicas <= All) {
     Step.emit(Name, "attempt-ended",
-              std::to_string(In.Read.size()) + " of " + std::to_string(All) +
+              std::to_string(In.Statuses.size()) + " of " +
+                  std::to_string(All) +
                   " replicas answer; the others may hold more");
-    return back(In, AttemptPause);
+    return resumeWatching(In, AttemptPause);
   }
-  const Millis Waited = Time.now() - In.BeganAt;
+  const Millis Waited = Time.now() - In.ChangeBeganAt;
   // One that is too busy to tell its position may have the most.
-  if (In.IsIncomplete && Waited < Times.CatchUpPatience)
-    return readLater(In);
-  if (In.Goal && Best->second.Received < *In.Goal &&
-      Waited < Times.CatchUpPatience)
-    return readLater(In);
+  if (In.IsIncomplete && Waited < Times.CatchUpTimeout)
+    return scheduleQuery(In);
+  if (In.RequiredPosition && Best->second.Received < *In.RequiredPosition &&
+      Waited < Times.CatchUpTimeout)
+    return scheduleQuery(In);
   const auto Present = Directory.primaryOf(Name);
-  const auto Own = Present ? In.Read.find(Present->Id) : In.Read.end();
-  const bool HasBegunAnew = Present && hasBegunAnew(In, *Present);
-  const bool HoldsMost = Own != In.Read.end() && Own->second.IsPrimary &&
+  const auto Own = Present ? In.Statuses.find(Present->Id) : In.Statuses.end();
+  const bool HasBegunAnew = Present && hasRestarted(In, *Present);
+  const bool HoldsMost = Own != In.Statuses.end() && Own->second.IsPrimary &&
                          Own->second.Received >= Best->second.Received;
-  if (HoldsMost || (HasBegunAnew && Own == In.Read.end())) {
-    In.LedBornAt = Present->BornAt;
+  if (HoldsMost || (HasBegunAnew && Own == In.Statuses.end())) {
+    In.LastPrimaryIncarnation = Present->Incarnation;
     Step.emit(Name, "kept",
               Present->Id + " leads on: no replica is known to hold more");
-    return back(In, Millis(0));
+    return resumeWatching(In, Millis(0));
   }
-  order(Name, Best->first);
+  proposePromotion(Name, Best->first);
 }
 
-void PromotionCoordinator::order(const std::string &Name,
-                                 const std::string &Target) {
+void PromotionCoordinator::proposePromotion(const std::string &Name,
+                                            const std::string &Target) {
   Group &In = Groups[Name];
   enter(In, Stage::Ordering);
-  In.Chosen = Target;
+  In.Successor = Target;
   std::string Read;
-  for (const auto &[Id, Each] : In.Read)
+  for (const auto &[Id, Each] : In.Statuses)
     Read += (Read.empty() ? "" : ", ") + Id + " has " +
             std::to_string(Each.Received.Term) + "." +
             std::to_string(Each.Received.Number);
   const std::string Why = In.Reason + "; " + Read;
   Step.emit(Name, "promotion-ordered", Target + ": " + Why);
   const TargetRecord *Known = Directory.find(Target);
-  const std::uint64_t BornAt = Known == nullptr ? 0 : Known->BornAt;
+  const std::uint64_t BornAt = Known == nullptr ? 0 : Known->Incarnation;
   OnPropose({Name, Target, Holder, Why},
             [this, Name, Target, BornAt,
              Round = In.Round](std::optional<std::uint64_t> Token) {
@@ -459,16 +464,16 @@
               // One that has started again since it was asked hasn't got the
               // log that it was chosen for.
               const TargetRecord *Now = Directory.find(Target);
-              const bool IsSame = Now != nullptr && Now->BornAt == BornAt;
+              const bool IsSame = Now != nullptr && Now->Incarnation == BornAt;
               if (!Token || !IsSame)
-                return back(Groups[Name], AttemptPause);
-              carryOut(Name, Target, *Token);
+                return resumeWatching(Groups[Name], AttemptPause);
+              sendPromotion(Name, Target, *Token);
             });
 }
 
-void PromotionCoordinator::carryOut(const std::string &Name,
-                                    const std::string &Target,
-                                    std::uint64_t Token) {
+void PromotionCoordinator::sendPromotion(const std::string &Name,
+                                         const std::string &Target,
+                                         std::uint64_t Token) {
   Group &In = Groups[Name];
   enter(In, Stage::Awaiting);
   Promotions.promote(
@@ -477,7 +482,7 @@
         if (!isCurrent(Name, Round, Stage::Awaiting))
           return;
         Group &In = Groups[Name];
-        if (Result == PromotionPort::Result::Taken)
+        if (Result == PromotionPort::Result::Accepted)
           return;
         Step.emit(Name, "promotion-refused",
                   Target + (Result == PromotionPort::Result::Rejected
@@ -487,7 +492,7 @@
           In.Excluded.insert(Target);
         // A call without an answer may still be carried out. The next order
         // has a higher token, so the later one wins whichever comes first.
-        back(In, AttemptPause);
+        resumeWatching(In, AttemptPause);
       });
 }
 
--- a/Source/Steering/PromotionCoordinator.h
+++ b/Source/Steering/PromotionCoordinator.h
@@ -15,9 +15,9 @@
 #define CORIANDERDYKE_STEERING_PROMOTIONCOORDINATOR_H
 
 #include "Common/Clock.h"
-#include "Steering/AgreedState.h"
 #include "Steering/Messages.h"
 #include "Steering/Ports.h"
+#include "Steering/ReplicatedState.h"
 
 #include <functional>
 #include <set>
@@ -30,23 +30,23 @@
   /// two intervals, so that one lost heartbeat is no reason.
   Millis SuspectAfter = Millis(2800);
   /// A proxy's word on a target counts for this long.
-  Millis SightingKept = Millis(1200);
+  Millis ReportValidity = Millis(1200);
   /// How long control waits for a target's word.
-  Millis AskTimeout = Millis(300);
+  Millis QueryTimeout = Millis(300);
   /// How long control waits for a primary that proxies miss, and for what the
   /// others see of it meanwhile: it's one way there and back, and most proxies
   /// have an answer from a primary that is well every 50 ms.
   Millis ProbeTimeout = Millis(250);
   /// A promotion that took effect is seen within this time, or another order
   /// follows.
-  Millis PromotionPatience = Millis(2500);
+  Millis PromotionTimeout = Millis(2500);
   /// How long a planned change waits for its successor to have the whole log.
-  Millis CatchUpPatience = Millis(1500);
+  Millis CatchUpTimeout = Millis(1500);
   /// Pause between two questions while a successor catches up.
-  Millis AskPause = Millis(25);
+  Millis QueryInterval = Millis(25);
   /// A group that has never had a primary is left alone for this long after
   /// control began to lead: heartbeats are still coming in.
-  Millis Acquaintance = Millis(2500);
+  Millis StartupGracePeriod = Millis(2500);
 };
 
 class PromotionCoordinator : public sigc::trackable {
@@ -57,17 +57,17 @@
       OrderPromotion, std::function<void(std::optional<std::uint64_t>)>)>;
 
   PromotionCoordinator(Clock &Time, const TargetDirectory &Directory,
-                       TargetOrderPort &Orders, PromotionPort &Promotions,
+                       TargetCommandPort &Orders, PromotionPort &Promotions,
                        Propose OnPropose, std::string Holder,
                        PromotionTimes Times = {});
 
   /// Begins as a new leader; what a former leadership had under way is over.
-  void begin();
+  void startLeading();
   /// Another leads now: nothing more is ordered.
-  void end();
+  void stopLeading();
   /// Takes in what a proxy sees.
-  void noteSightings(const ProcessId &Proxy,
-                     const std::vector<PrimarySighting> &Seen);
+  void recordReports(const ProcessId &Proxy,
+                     const std::vector<ReachabilityReport> &Seen);
   /// To be called every few dozen milliseconds while leading.
   void tick(const RoutePlan &Plan, std::size_t Proxies);
 
@@ -80,7 +80,7 @@
 
   /// Emitted when a target is looked into: proxies should tell now what they
   /// have seen.
-  sigc::signal<void()> &signalLookedInto() { return LookedInto; }
+  sigc::signal<void()> &signalProbeStarted() { return ProbeStarted; }
 
 private:
   enum class Stage : std::uint8_t {
@@ -93,69 +93,70 @@
   };
 
   struct Group {
-    Stage At = Stage::Watching;
+    Stage CurrentStage = Stage::Watching;
     std::uint64_t Round = 0; ///< Answers of earlier rounds are dropped.
-    Millis Since;            ///< Of the stage.
-    Millis BeganAt;          ///< Of the change.
+    Millis StageSince;       ///< Of the stage.
+    Millis ChangeBeganAt;    ///< Of the change.
     bool IsPlanned = false;
     std::string Reason;
-    std::string Old;
-    std::string Chosen;
+    std::string OldPrimary;
+    std::string Successor;
     /// Who led when the group was last looked at, and in which life.
-    std::string Led;
-    std::uint64_t LedBornAt = 0;
-    std::optional<LogPosition> Goal; ///< That the successor must reach.
-    std::map<std::string, TargetStatus> Read;
+    std::string LastPrimary;
+    std::uint64_t LastPrimaryIncarnation = 0;
+    std::optional<LogPosition>
+        RequiredPosition; ///< That the successor must reach.
+    std::map<std::string, TargetStatus> Statuses;
     std::size_t Asked = 0;
     std::size_t Answered = 0;
     bool IsIncomplete = false;      ///< One was too busy to tell.
     std::set<std::string> Excluded; ///< Refused or failed this time.
     /// Replicas that hold a commit before its answer, as the plan has it.
     std::uint32_t SyncReplicas = 0;
-    std::set<std::string> Stopped; ///< Told to stop receiving.
-    std::optional<Millis> ReadAgainAt;
+    std::set<std::string> StoppedReplicas; ///< Told to stop receiving.
+    std::optional<Millis> NextQueryAt;
     Millis RetryAt;
   };
 
-  struct Sighting {
-    std::uint64_t BornAt = 0; ///< The life of the target that was met.
+  struct Reachability {
+    std::uint64_t Incarnation = 0; ///< The life of the target that was met.
     Millis FailedAt = Millis(-1000000);
     Millis ReachedAt = Millis(-1000000);
   };
 
   void watch(const std::string &Name, Group &In, std::size_t Proxies);
   /// True where the primary is the one of before, in a later life.
-  bool hasBegunAnew(const Group &In, const TargetRecord &Primary) const;
+  bool hasRestarted(const Group &In, const TargetRecord &Primary) const;
   /// True while the life that was asked is the one that is known.
-  bool isSameLife(const TargetRecord &Asked) const;
+  bool isSameIncarnation(const TargetRecord &Asked) const;
   /// Proxies whose word on this life of a target counts.
   std::size_t
-  countSightings(const TargetRecord &Target,
-                 const std::function<bool(const Sighting &)> &Counts) const;
-  std::size_t failedLately(const TargetRecord &Target) const;
-  std::size_t reachedLately(const TargetRecord &Target) const;
+  countProxies(const TargetRecord &Target,
+               const std::function<bool(const Reachability &)> &Counts) const;
+  std::size_t countRecentFailures(const TargetRecord &Target) const;
+  std::size_t countRecentlyReached(const TargetRecord &Target) const;
   /// Proxies that said after \p Since that it answers them.
-  std::size_t reachedSince(const TargetRecord &Target, Millis Since) const;
+  std::size_t countReachedSince(const TargetRecord &Target, Millis Since) const;
   void probe(const std::string &Name, const TargetRecord &Primary,
              std::size_t Proxies);
-  void judge(const std::string &Name, const TargetRecord &Primary,
-             std::size_t Proxies, const Expected<TargetStatus> &Answer);
+  void evaluateProbe(const std::string &Name, const TargetRecord &Primary,
+                     std::size_t Proxies, const Expected<TargetStatus> &Answer);
   void stepDown(const std::string &Name, const TargetRecord &Primary);
   /// Targets whose positions count for a promotion.
-  std::vector<TargetRecord> choices(const std::string &Name) const;
-  void read(const std::string &Name);
-  void readLater(Group &In);
+  std::vector<TargetRecord> candidates(const std::string &Name) const;
+  void queryPositions(const std::string &Name);
+  void scheduleQuery(Group &In);
   void stopReceiving(const std::string &Name);
-  void receiveAgain(Group &In);
-  void askAll(const std::string &Name, const std::vector<TargetRecord> &All,
-              TargetCommand::Kind What, std::uint64_t Term);
-  void decide(const std::string &Name);
-  void order(const std::string &Name, const std::string &Target);
-  void carryOut(const std::string &Name, const std::string &Target,
-                std::uint64_t Token);
-  void settle(const std::string &Name, Group &In);
+  void resumeReceiving(Group &In);
+  void queryAll(const std::string &Name, const std::vector<TargetRecord> &All,
+                TargetCommand::Kind What, std::uint64_t Term);
+  void chooseSuccessor(const std::string &Name);
+  void proposePromotion(const std::string &Name, const std::string &Target);
+  void sendPromotion(const std::string &Name, const std::string &Target,
+                     std::uint64_t Token);
+  void checkProgress(const std::string &Name, Group &In);
   void enter(Group &In, Stage Next);
-  void back(Group &In, Millis Pause);
+  void resumeWatching(Group &In, Millis Pause);
   bool isCurrent(const std::string &Name, std::uint64_t Round,
                  Stage Expected) const;
   TargetAddress addressOf(const TargetRecord &Of) const {
@@ -164,21 +165,21 @@
 
   Clock &Time;
   const TargetDirectory &Directory;
-  TargetOrderPort &Orders;
+  TargetCommandPort &Commands;
   PromotionPort &Promotions;
   Propose OnPropose;
   std::string Holder;
   PromotionTimes Times;
   bool IsActive = false;
-  Millis BeganAt;
+  Millis LeadingSince;
   /// Replicas that a former leader may have stopped.
   std::set<std::string> MayBeStopped;
   std::map<std::string, Group> Groups;
-  std::map<std::string, std::map<ProcessId, Sighting>> Sightings;
+  std::map<std::string, std::map<ProcessId, Reachability>> ReachabilityByTarget;
   sigc::signal<void(const std::string &, const std::string &,
                     const std::string &)>
       Step;
-  sigc::signal<void()> LookedInto;
+  sigc::signal<void()> ProbeStarted;
 };
 
 } // namespace corianderdyke
--- a/Source/Steering/Edge.h
+++ b/Source/Steering/ProtocolAdapter.h
@@ -3,8 +3,8 @@
 /// enforce their leadership themselves. An adapter implements it for the
 /// protocols of one site.
 
-#ifndef CORIANDERDYKE_STEERING_EDGE_H
-#define CORIANDERDYKE_STEERING_EDGE_H
+#ifndef CORIANDERDYKE_STEERING_PROTOCOLADAPTER_H
+#define CORIANDERDYKE_STEERING_PROTOCOLADAPTER_H
 
 #include "Http/HttpClient.h"
 #include "Http/HttpServer.h"
@@ -22,29 +22,30 @@
 
 /// Who orders a change of primary, and at whom.
 struct PromotionAccess {
-  Endpoint At;
+  Endpoint Address;
   std::string Holder;
 };
 
-class Edge {
+class ProtocolAdapter {
 public:
-  virtual ~Edge() = default;
+  virtual ~ProtocolAdapter() = default;
 
-  virtual std::unique_ptr<TargetConnector> targets(EventLoop &Loop) = 0;
-  virtual std::unique_ptr<TargetOrderPort> orders(EventLoop &Loop,
-                                                  TargetConnector &Targets) = 0;
+  virtual std::unique_ptr<TargetConnector>
+  makeTargetConnector(EventLoop &Loop) = 0;
+  virtual std::unique_ptr<TargetCommandPort>
+  makeTargetCommandPort(EventLoop &Loop, TargetConnector &Targets) = 0;
   virtual std::unique_ptr<PromotionPort>
-  promotions(EventLoop &Loop, HttpConnector &Connector,
-             const PromotionAccess &Access) = 0;
+  makePromotionPort(EventLoop &Loop, HttpConnector &Connector,
+                    const PromotionAccess &Access) = 0;
   virtual Expected<std::unique_ptr<CallerListener>>
   listenForCallers(EventLoop &Loop, const Endpoint &At,
                    SessionPipeline &Pipeline) = 0;
   /// Serves targets' heartbeats and operators; \p At is its own address.
-  virtual std::unique_ptr<HttpService> directory(SteeringNode &Node,
-                                                 const Endpoint &At) = 0;
+  virtual std::unique_ptr<HttpService>
+  makeDirectoryService(SteeringNode &Node, const Endpoint &At) = 0;
   /// Tells the balancer whether callers may be sent here.
   virtual std::unique_ptr<HttpService>
-  readiness(std::function<bool()> IsReady) = 0;
+  makeReadinessService(std::function<bool()> IsReady) = 0;
 };
 
 } // namespace corianderdyke
--- a/Source/Steering/ProxyList.cpp
+++ b/Source/Steering/ProxyList.cpp
@@ -15,20 +15,20 @@
 
 } // namespace
 
-void ProxyList::begin(const std::map<std::string, ProxyRecord> &Noted,
-                      Millis Now) {
+void ProxyList::startTerm(const std::map<std::string, ProxyRecord> &Noted,
+                          Millis Now) {
   ByName.clear();
-  GoneIn.clear();
+  RemovedRevisions.clear();
   Revision = 1;
   for (const auto &[Name, Each] : Noted)
     ByName[Name] = {Each, Now, false, Revision};
-  WasNoted = !Noted.empty();
+  StartedWithRecorded = !Noted.empty();
   BeganAt = Now;
-  LastNewAt = Now;
+  LastChangeAt = Now;
 }
 
-void ProxyList::hear(const ProxyRecord &Said, bool IsLeaving, Millis Now) {
-  if (Said.Relay.Port == 0)
+void ProxyList::update(const ProxyRecord &Said, bool IsLeaving, Millis Now) {
+  if (Said.RelayEndpoint.Port == 0)
     return;
   const auto Before = ByName.find(Said.Name);
   const bool IsNews = Before == ByName.end()
@@ -36,35 +36,35 @@
                           : Before->second.Record != Said ||
                                 Before->second.IsLeaving != IsLeaving;
   const std::uint64_t LastChange =
-      Before == ByName.end() ? Revision : Before->second.ChangedIn;
+      Before == ByName.end() ? Revision : Before->second.ChangedRevision;
   if (IsNews) {
     ++Revision;
-    LastNewAt = Now;
+    LastChangeAt = Now;
   }
   ByName[Said.Name] = {Said, Now, IsLeaving, IsNews ? Revision : LastChange};
-  GoneIn.erase(Said.Name);
+  RemovedRevisions.erase(Said.Name);
 }
 
-void ProxyList::dropSilent(Millis Now, Millis Kept) {
+void ProxyList::removeExpired(Millis Now, Millis Kept) {
   const std::uint64_t Next = Revision + 1;
   const std::size_t Gone = std::erase_if(ByName, [&](const auto &Each) {
-    const bool IsGone = Now - Each.second.LastHeard > Kept;
+    const bool IsGone = Now - Each.second.LastContact > Kept;
     if (IsGone)
-      GoneIn[Each.first] = Next;
+      RemovedRevisions[Each.first] = Next;
     return IsGone;
   });
   if (Gone > 0)
     Revision = Next;
 }
 
-bool ProxyList::isSettled(Millis Now) const {
-  return WasNoted || Now - LastNewAt >= QuietBefore ||
+bool ProxyList::isReady(Millis Now) const {
+  return StartedWithRecorded || Now - LastChangeAt >= QuietBefore ||
          Now - BeganAt >= LongestWait;
 }
 
-NoteProxies
-ProxyList::news(const std::map<std::string, ProxyRecord> &Noted) const {
-  NoteProxies Out;
+RecordProxies ProxyList::unrecordedChanges(
+    const std::map<std::string, ProxyRecord> &Noted) const {
+  RecordProxies Out;
   std::map<std::string, ProxyRecord> Present;
   for (const ProxyRecord &Each : all()) {
     Present[Each.Name] = Each;
@@ -74,23 +74,23 @@
   }
   for (const auto &[Name, Each] : Noted)
     if (Present.count(Name) == 0)
-      Out.Gone.push_back(Name);
+      Out.Removed.push_back(Name);
   return Out;
 }
 
-NoteProxies ProxyList::changedSince(std::uint64_t Since) const {
-  NoteProxies Out;
+RecordProxies ProxyList::changedSince(std::uint64_t Since) const {
+  RecordProxies Out;
   for (const auto &[Name, Each] : ByName) {
-    if (Each.ChangedIn <= Since)
+    if (Each.ChangedRevision <= Since)
       continue;
     if (Each.IsLeaving)
-      Out.Gone.push_back(Name);
+      Out.Removed.push_back(Name);
     else
       Out.Present.push_back(Each.Record);
   }
-  for (const auto &[Name, In] : GoneIn)
+  for (const auto &[Name, In] : RemovedRevisions)
     if (In > Since)
-      Out.Gone.push_back(Name);
+      Out.Removed.push_back(Name);
   return Out;
 }
 
--- a/Source/Steering/ProxyList.h
+++ b/Source/Steering/ProxyList.h
@@ -5,7 +5,7 @@
 #define CORIANDERDYKE_STEERING_PROXYLIST_H
 
 #include "Common/Millis.h"
-#include "Steering/AgreedState.h"
+#include "Steering/ReplicatedState.h"
 
 namespace corianderdyke {
 
@@ -16,40 +16,41 @@
 class ProxyList {
 public:
   /// A term as leader begins with those that were noted.
-  void begin(const std::map<std::string, ProxyRecord> &Noted, Millis Now);
+  void startTerm(const std::map<std::string, ProxyRecord> &Noted, Millis Now);
 
   /// A proxy's own word. One that leaves is off the list at once.
-  void hear(const ProxyRecord &Said, bool IsLeaving, Millis Now);
+  void update(const ProxyRecord &Said, bool IsLeaving, Millis Now);
   /// A restarted proxy is back within less, under the same name.
-  void dropSilent(Millis Now, Millis Kept);
+  void removeExpired(Millis Now, Millis Kept);
 
   /// False while a new leader gets to know the proxies.
-  bool isSettled(Millis Now) const;
+  bool isReady(Millis Now) const;
 
   std::vector<ProxyRecord> all() const;
   /// What changed after a revision: those that came or changed, and the names
   /// of those that went.
-  NoteProxies changedSince(std::uint64_t Since) const;
+  RecordProxies changedSince(std::uint64_t Since) const;
   std::size_t size() const { return ByName.size(); }
   /// What the group should note, given what it has; empty where nothing.
-  NoteProxies news(const std::map<std::string, ProxyRecord> &Noted) const;
+  RecordProxies
+  unrecordedChanges(const std::map<std::string, ProxyRecord> &Noted) const;
   /// Raised with each change.
   std::uint64_t revision() const { return Revision; }
 
 private:
-  struct Known {
+  struct TrackedProxy {
     ProxyRecord Record;
-    Millis LastHeard;
+    Millis LastContact;
     bool IsLeaving = false;
-    std::uint64_t ChangedIn = 0; ///< The revision of its last change.
+    std::uint64_t ChangedRevision = 0; ///< The revision of its last change.
   };
 
-  std::map<std::string, Known> ByName;
-  std::map<std::string, std::uint64_t> GoneIn; ///< Revision by name.
+  std::map<std::string, TrackedProxy> ByName;
+  std::map<std::string, std::uint64_t> RemovedRevisions; ///< Revision by name.
   std::uint64_t Revision = 0;
   Millis BeganAt;
-  Millis LastNewAt;
-  bool WasNoted = false; ///< The term began with proxies.
+  Millis LastChangeAt;
+  bool StartedWithRecorded = false; ///< The term began with proxies.
 };
 
 } // namespace corianderdyke
--- a/Source/Steering/AgreedState.cpp
+++ b/Source/Steering/ReplicatedState.cpp
@@ -2,11 +2,12 @@
 /// What the control group agrees on where targets enforce their leadership
 /// themselves.
 
-#include "Steering/AgreedState.h"
+#include "Steering/ReplicatedState.h"
 
 namespace corianderdyke {
 
-bool AgreedState::apply(std::uint64_t Index, const AgreedCommand &Command) {
+bool ReplicatedState::apply(std::uint64_t Index,
+                            const ReplicatedCommand &Command) {
   AuditRecord Line{.Revision = Index, .WallTime = Command.WallTime};
   const bool Changed = std::visit(
       [&](const auto &Body) { return on(Body, Line); }, Command.Body);
@@ -19,7 +20,7 @@
   return true;
 }
 
-bool AgreedState::on(const AcceptPlan &Body, AuditRecord &Line) {
+bool ReplicatedState::on(const AcceptPlan &Body, AuditRecord &Line) {
   if (Body.Plan.Version <= Plan.Version)
     return false;
   Line.Actor = "operator";
@@ -31,7 +32,7 @@
   return true;
 }
 
-bool AgreedState::on(const NoteTargets &Body, AuditRecord &Line) {
+bool ReplicatedState::on(const RecordTargets &Body, AuditRecord &Line) {
   Line.Actor = "control";
   Line.Action = "targets-noted";
   for (const TargetRecord &Each : Body.Targets) {
@@ -49,20 +50,20 @@
   return !Body.Targets.empty();
 }
 
-bool AgreedState::on(const NoteProxies &Body, AuditRecord &Line) {
+bool ReplicatedState::on(const RecordProxies &Body, AuditRecord &Line) {
   Line.Actor = "control";
   Line.Action = "proxies-noted";
   for (const ProxyRecord &Each : Body.Present)
     Proxies[Each.Name] = Each;
-  for (const std::string &Each : Body.Gone)
+  for (const std::string &Each : Body.Removed)
     Proxies.erase(Each);
   Line.Subject = std::to_string(Body.Present.size()) + " present, " +
-                 std::to_string(Body.Gone.size()) + " gone";
+                 std::to_string(Body.Removed.size()) + " gone";
   Line.To = std::to_string(Proxies.size()) + " in all";
-  return !Body.Present.empty() || !Body.Gone.empty();
+  return !Body.Present.empty() || !Body.Removed.empty();
 }
 
-bool AgreedState::on(const NoteSeats &Body, AuditRecord &Line) {
+bool ReplicatedState::on(const RecordQuotaSeats &Body, AuditRecord &Line) {
   Line.Actor = "control";
   Line.Action = "quota-seats-noted";
   for (const auto &[Which, Name] : Body.Holders)
@@ -72,7 +73,7 @@
   return !Body.Holders.empty();
 }
 
-bool AgreedState::on(const OrderPromotion &Body, AuditRecord &Line) {
+bool ReplicatedState::on(const OrderPromotion &Body, AuditRecord &Line) {
   Line.Actor = Body.Holder;
   Line.Action = "promotion-ordered";
   Line.Subject = Body.Group;
--- a/Source/Steering/AgreedState.h
+++ b/Source/Steering/ReplicatedState.h
@@ -2,8 +2,8 @@
 /// What the control group agrees on where targets enforce their leadership
 /// themselves: the plan in force and the order of promotions.
 
-#ifndef CORIANDERDYKE_STEERING_AGREEDSTATE_H
-#define CORIANDERDYKE_STEERING_AGREEDSTATE_H
+#ifndef CORIANDERDYKE_STEERING_REPLICATEDSTATE_H
+#define CORIANDERDYKE_STEERING_REPLICATEDSTATE_H
 
 #include "Directory/TargetDirectory.h"
 #include "Plan/RoutePlan.h"
@@ -40,45 +40,46 @@
 
 /// What targets said of themselves, where it's more than a sign of life. A
 /// leader that starts after all processes were down knows them at once.
-struct NoteTargets {
+struct RecordTargets {
   std::vector<TargetRecord> Targets;
 
-  bool operator==(const NoteTargets &) const = default;
+  bool operator==(const RecordTargets &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(Targets); }
 };
 
 /// Proxies that came or changed, and names of those that went. Without it a
 /// leader that starts after all processes were down would divide targets'
 /// connections among the few proxies that it has heard yet.
-struct NoteProxies {
+struct RecordProxies {
   std::vector<ProxyRecord> Present;
-  std::vector<std::string> Gone;
+  std::vector<std::string> Removed;
 
-  bool operator==(const NoteProxies &) const = default;
-  template <class Archive> void serialize(Archive &Ar) { Ar(Present, Gone); }
+  bool operator==(const RecordProxies &) const = default;
+  template <class Archive> void serialize(Archive &Ar) { Ar(Present, Removed); }
 };
 
 /// Who may hold which part of organisations' quotas from now on.
-struct NoteSeats {
-  NotedSeats Holders;
+struct RecordQuotaSeats {
+  SeatAssignments Holders;
 
-  bool operator==(const NoteSeats &) const = default;
+  bool operator==(const RecordQuotaSeats &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(Holders); }
 };
 
-struct AgreedCommand {
+struct ReplicatedCommand {
   Millis WallTime; ///< For people only.
-  std::variant<AcceptPlan, OrderPromotion, NoteTargets, NoteProxies, NoteSeats>
+  std::variant<AcceptPlan, OrderPromotion, RecordTargets, RecordProxies,
+               RecordQuotaSeats>
       Body;
 
-  bool operator==(const AgreedCommand &) const = default;
+  bool operator==(const ReplicatedCommand &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(WallTime, Body); }
 };
 
-class AgreedState {
+class ReplicatedState {
 public:
   /// Applies the entry at \p Index; true where it changed what is in force.
-  bool apply(std::uint64_t Index, const AgreedCommand &Command);
+  bool apply(std::uint64_t Index, const ReplicatedCommand &Command);
 
   const RoutePlan &plan() const { return Plan; }
   /// Targets that haven't gone, as last noted.
@@ -86,11 +87,11 @@
   /// Proxies by name, as last noted.
   const std::map<std::string, ProxyRecord> &proxies() const { return Proxies; }
   /// Holders of parts of quotas, as last noted.
-  const NotedSeats &seats() const { return Seats; }
+  const SeatAssignments &seats() const { return Seats; }
   /// Decisions, the oldest first; the oldest are dropped.
   const std::vector<AuditRecord> &audit() const { return Audit; }
 
-  bool operator==(const AgreedState &) const = default;
+  bool operator==(const ReplicatedState &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
     Ar(Plan, Targets, Proxies, Seats, Audit);
   }
@@ -98,9 +99,9 @@
 private:
   bool on(const AcceptPlan &Body, AuditRecord &Line);
   bool on(const OrderPromotion &Body, AuditRecord &Line);
-  bool on(const NoteTargets &Body, AuditRecord &Line);
-  bool on(const NoteProxies &Body, AuditRecord &Line);
-  bool on(const NoteSeats &Body, AuditRecord &Line);
+  bool on(const RecordTargets &Body, AuditRecord &Line);
+  bool on(const RecordProxies &Body, AuditRecord &Line);
+  bool on(const RecordQuotaSeats &Body, AuditRecord &Line);
 
   /// A month of primary changes and a day of plans at the target size.
   static constexpr std::size_t MaxAuditRecords = 1600;
@@ -108,7 +109,7 @@
   RoutePlan Plan;
   std::map<std::string, TargetRecord> Targets;
   std::map<std::string, ProxyRecord> Proxies;
-  NotedSeats Seats;
+  SeatAssignments Seats;
   std::vector<AuditRecord> Audit;
 };
 
--- a/Source/Steering/SteeringFollowers.cpp
+++ b/Source/Steering/SteeringFollowers.cpp
@@ -23,33 +23,33 @@
 
 } // namespace
 
-void SteeringNode::on(const Envelope &From, const FollowRequest &Body) {
+void SteeringNode::on(const Envelope &From, const SubscribeRequest &Body) {
   if (!Leading && (leader().empty() || leader() == Options.Name)) {
-    Waiting[Body.Proxy] = {From, Ports.Time.now()};
+    Waiting[Body.Proxy] = {From, Deps.Time.now()};
     return;
   }
   if (!Leading) {
-    Ports.Peers.send(From.ReplyTo, Delivery::Datagram,
-                     FollowElsewhere{leader()});
+    Deps.Peers.send(From.ReplyTo, Delivery::Datagram,
+                    SubscribeRedirect{leader()});
     return;
   }
   // A restarted proxy counts once.
   std::erase_if(Followers, [&Body](const auto &Each) {
     return Each.first.Name == Body.Proxy.Name && Each.first != Body.Proxy;
   });
-  Follower &Known = Followers[Body.Proxy];
+  Subscriber &Known = Followers[Body.Proxy];
   Known.Address = From.ReplyTo;
-  Known.LastHeard = Ports.Time.now();
+  Known.LastContact = Deps.Time.now();
   Known.PlanVersion = Body.PlanVersion;
-  Known.Directory = Body.Directory;
-  Known.Proxies = Body.Proxies;
-  Proxies.hear(Body.Self, Body.IsLeaving, Ports.Time.now());
-  Coordinator.noteSightings(Body.Proxy, Body.Sightings);
+  Known.Directory = Body.DirectoryHeld;
+  Known.Proxies = Body.ProxiesHeld;
+  Proxies.update(Body.Self, Body.IsLeaving, Deps.Time.now());
+  Coordinator.recordReports(Body.Proxy, Body.Reports);
   bringUpToDate(Known);
-  takeSeatRequest(From, Body);
-  if (!Body.NeedsProof)
+  queueSeatRequest(From, Body);
+  if (!Body.NeedsConfirmation)
     return answer(From.ReplyTo, Body, false);
-  barrier([this, To = From.ReplyTo, Body](const Expected<void> &Done) {
+  awaitReadBarrier([this, To = From.ReplyTo, Body](const Expected<void> &Done) {
     if (Done)
       answer(To, Body, true);
   });
@@ -63,19 +63,19 @@
       (!Leading && (leader().empty() || leader() == Options.Name)))
     return;
   for (const auto &[Proxy, Each] : std::exchange(Waiting, {}))
-    if (Ports.Time.now() - Each.Since < WaitingKept)
-      receive(Each.Said);
+    if (Deps.Time.now() - Each.Since < WaitingKept)
+      receive(Each.Message);
 }
 
-void SteeringNode::answer(const Endpoint &To, const FollowRequest &Request,
+void SteeringNode::answer(const Endpoint &To, const SubscribeRequest &Request,
                           bool Proven) {
-  Ports.Peers.send(
+  Deps.Peers.send(
       To, Delivery::Datagram,
-      FollowReply{Request.Sequence, Proven, State.plan().Version, members(),
-                  Proxies.isSettled(Ports.Time.now())
-                      ? static_cast<std::uint32_t>(
-                            std::max(Followers.size(), Proxies.size()))
-                      : 0});
+      SubscribeReply{Request.Sequence, Proven, State.plan().Version, members(),
+                     Proxies.isReady(Deps.Time.now())
+                         ? static_cast<std::uint32_t>(
+                               std::max(Followers.size(), Proxies.size()))
+                         : 0});
 }
 
 std::vector<std::string> SteeringNode::members() const {
@@ -85,19 +85,19 @@
   return Out;
 }
 
-void SteeringNode::bringUpToDate(Follower &To) {
-  const Millis Now = Ports.Time.now();
+void SteeringNode::bringUpToDate(Subscriber &To) {
+  const Millis Now = Deps.Time.now();
   // Ahead of the plan: with it a proxy begins to open connections, and must
   // know how many others do.
-  if (Proxies.isSettled(Now) && To.Proxies != proxiesVersion() &&
+  if (Proxies.isReady(Now) && To.Proxies != proxiesVersion() &&
       Now - To.ProxiesSentAt >= SendAgainAfter) {
     To.ProxiesSentAt = Now;
-    Ports.Peers.send(To.Address, Delivery::Stream, proxyListUpdate(To.Proxies));
+    Deps.Peers.send(To.Address, Delivery::Stream, proxyListUpdate(To.Proxies));
   }
   if (To.PlanVersion < State.plan().Version &&
       Now - To.PlanSentAt >= SendAgainAfter) {
     To.PlanSentAt = Now;
-    Ports.Peers.send(To.Address, Delivery::Stream, planUpdate());
+    Deps.Peers.send(To.Address, Delivery::Stream, planUpdate());
   }
   if (To.Directory != directoryVersion() &&
       Now - To.DirectorySentAt >= SendAgainAfter)
@@ -107,8 +107,8 @@
 const PreparedMessage &SteeringNode::planUpdate() {
   if (SharedPlanVersion != State.plan().Version) {
     SharedPlanVersion = State.plan().Version;
-    SharedPlan = Ports.Peers.prepare(
-        PlanUpdate{withoutKeys(State.plan(), Options.KeySecret)});
+    SharedPlan = Deps.Peers.prepare(
+        PlanUpdate{replaceKeysByDigests(State.plan(), Options.KeySecret)});
   }
   return SharedPlan;
 }
@@ -135,7 +135,7 @@
 SteeringNode::directoryUpdate(const DirectoryVersion &Known) {
   const DirectoryVersion From = baseOf(Known);
   return SharedDirectory.of(From, directoryVersion(), [&] {
-    return Ports.Peers.prepare(DirectoryUpdate{
+    return Deps.Peers.prepare(DirectoryUpdate{
         From, directoryVersion(),
         From == DirectoryVersion{} ? Directory.all()
                                    : Directory.changedSince(From.Revision)});
@@ -146,27 +146,28 @@
 SteeringNode::proxyListUpdate(const DirectoryVersion &Known) {
   const DirectoryVersion From = baseOf(Known);
   return SharedProxies.of(From, proxiesVersion(), [&] {
-    NoteProxies Changed;
+    RecordProxies Changed;
     if (From == DirectoryVersion{})
       Changed.Present = Proxies.all();
     else
       Changed = Proxies.changedSince(From.Revision);
-    return Ports.Peers.prepare(ProxyListUpdate{From, proxiesVersion(),
-                                               std::move(Changed.Present),
-                                               std::move(Changed.Gone)});
+    return Deps.Peers.prepare(ProxyListUpdate{From, proxiesVersion(),
+                                              std::move(Changed.Present),
+                                              std::move(Changed.Removed)});
   });
 }
 
-void SteeringNode::sendDirectory(Follower &To, const DirectoryVersion &Known) {
-  To.DirectorySentAt = Ports.Time.now();
+void SteeringNode::sendDirectory(Subscriber &To,
+                                 const DirectoryVersion &Known) {
+  To.DirectorySentAt = Deps.Time.now();
   To.DirectorySent = directoryVersion();
-  Ports.Peers.send(To.Address, Delivery::Datagram, directoryUpdate(Known));
+  Deps.Peers.send(To.Address, Delivery::Datagram, directoryUpdate(Known));
 }
 
 // Load pattern: hundreds of targets say that they are there within a second.
 // All that changed within one interval goes out together.
 void SteeringNode::publish() {
-  const Millis Now = Ports.Time.now();
+  const Millis Now = Deps.Time.now();
   if (!Leading || Published == directoryVersion() ||
       Now - PublishedAt < PublishInterval)
     return;
@@ -178,15 +179,15 @@
   const PreparedMessage &Update = directoryUpdate(Before);
   for (const std::string &Host : members())
     if (Host != Options.Name)
-      Ports.Peers.send({Host, Options.PeerPort}, Delivery::Datagram, Update);
+      Deps.Peers.send({Host, Options.PeerPort}, Delivery::Datagram, Update);
 }
 
 void SteeringNode::on(const Envelope &, const DirectoryUpdate &Body) {
-  Directory.merge(Body.Targets, Ports.Time.now());
+  Directory.merge(Body.Targets, Deps.Time.now());
 }
 
-void SteeringNode::takeSeatRequest(const Envelope &From,
-                                   const FollowRequest &Body) {
+void SteeringNode::queueSeatRequest(const Envelope &From,
+                                    const SubscribeRequest &Body) {
   if (Body.Seats.Sequence == 0)
     return;
   SeatRequests[Body.Proxy] = {From.ReplyTo, Body.Seats};
@@ -196,13 +197,13 @@
 // One confirmation of this host's lead serves all requests that came before
 // it: it costs a message to each control host and back.
 void SteeringNode::answerSeats() {
-  const Millis Now = Ports.Time.now();
+  const Millis Now = Deps.Time.now();
   if (SeatRequests.empty() || IsConfirmingSeats ||
       Now - SeatsAnsweredAt < SeatsPause)
     return;
   SeatsAnsweredAt = Now;
   IsConfirmingSeats = true;
-  barrier(
+  awaitReadBarrier(
       [this, ReceivedAt = Now, Term = Agreement.term(),
        Requests = std::exchange(SeatRequests, {})](const Expected<void> &Done) {
         if (Term != Agreement.term())
@@ -212,32 +213,32 @@
           return;
         for (const auto &[Proxy, Each] : Requests)
           if (auto Grant = Seats.answer(Proxy, Each.Request, ReceivedAt))
-            Ports.Peers.send(Each.From, Delivery::Datagram, std::move(*Grant));
+            Deps.Peers.send(Each.From, Delivery::Datagram, std::move(*Grant));
       });
 }
 
-void SteeringNode::noteSeats() {
-  if (IsNotingSeats)
+void SteeringNode::recordSeats() {
+  if (IsRecordingSeats)
     return;
-  NotedSeats News = Seats.takeNews();
+  SeatAssignments News = Seats.takeProposedAssignments();
   if (News.empty())
     return;
-  IsNotingSeats = true;
-  propose({Ports.Time.wallTime(), NoteSeats{News}},
+  IsRecordingSeats = true;
+  propose({Deps.Time.wallTime(), RecordQuotaSeats{News}},
           [this, News](std::optional<std::uint64_t> Index) {
-            IsNotingSeats = false;
+            IsRecordingSeats = false;
             if (Index)
-              Seats.noted(News, Ports.Time.now());
+              Seats.applyCommitted(News, Deps.Time.now());
           });
 }
 
-void SteeringNode::dropSilentFollowers() {
+void SteeringNode::removeExpiredSubscribers() {
   for (auto Each = Followers.begin(); Each != Followers.end();)
-    if (Ports.Time.now() - Each->second.LastHeard > FollowerKept)
+    if (Deps.Time.now() - Each->second.LastContact > FollowerKept)
       Each = Followers.erase(Each);
     else
       ++Each;
-  Proxies.dropSilent(Ports.Time.now(), FollowerKept);
+  Proxies.removeExpired(Deps.Time.now(), FollowerKept);
 }
 
 } // namespace corianderdyke
--- a/Source/Steering/SteeringNode.cpp
+++ b/Source/Steering/SteeringNode.cpp
@@ -27,8 +27,8 @@
   Out.Hosts = From.Seeds;
   Out.HeartbeatInterval = HeartbeatInterval;
   Out.ElectionTimeout = ElectionTimeout;
-  Out.Membership = GroupPolicyKind::Open;
-  Out.MayFound = From.MayFound;
+  Out.Membership = MembershipMode::Open;
+  Out.MayBootstrap = From.MayBootstrap;
   return Out;
 }
 
@@ -38,47 +38,48 @@
 
 } // namespace
 
-SteeringNode::SteeringNode(SteeringOptions Given, SteeringPorts Ports,
+SteeringNode::SteeringNode(SteeringOptions Given, SteeringDependencies Deps,
                            ReplicatedLog &Log, std::uint64_t Seed)
-    : Options(std::move(Given)), Ports(Ports),
+    : Options(std::move(Given)), Deps(Deps),
       Agreement(consensusOptions(Options), Log, Seed),
       Coordinator(
-          Ports.Time, Directory, Ports.Orders, Ports.Promotions,
-          [this](OrderPromotion Body, Committed OnDone) {
-            propose({this->Ports.Time.wallTime(), std::move(Body)},
+          Deps.Time, Directory, Deps.TargetCommands, Deps.Promotions,
+          [this](OrderPromotion Body, CommitHandler OnDone) {
+            propose({this->Deps.Time.wallTime(), std::move(Body)},
                     std::move(OnDone));
           },
-          Options.Process),
-      RecalledIndex(Log.lastIndex()), IsRecalled(RecalledIndex == 0) {
-  Coordinator.signalLookedInto().connect([this] {
+          Options.ProcessName),
+      ReplayEndIndex(Log.lastIndex()), IsReplayed(ReplayEndIndex == 0) {
+  Coordinator.signalProbeStarted().connect([this] {
     for (const auto &[Id, Each] : Followers)
-      this->Ports.Peers.send(Each.Address, Delivery::Datagram, TellSightings{});
+      this->Deps.Peers.send(Each.Address, Delivery::Datagram,
+                            ReachabilityQuery{});
   });
 }
 
 void SteeringNode::start() {
-  Agreement.start(Ports.Time.now());
-  Ports.Peers.signalReceived().connect(
+  Agreement.start(Deps.Time.now());
+  Deps.Peers.signalReceived().connect(
       sigc::mem_fun(*this, &SteeringNode::receive));
-  settle();
+  processOutputs();
   tick();
 }
 
 void SteeringNode::tick() {
-  const Millis Now = Ports.Time.now();
+  const Millis Now = Deps.Time.now();
   Agreement.tick(Now);
   if (Leading && Now - LastWatch >= WatchInterval) {
     LastWatch = Now;
-    Directory.forgetGone(Now);
-    dropSilentFollowers();
-    noteTargets();
-    noteProxies();
+    Directory.purgeGone(Now);
+    removeExpiredSubscribers();
+    recordTargets();
+    recordProxies();
     answerSeats();
-    noteSeats();
+    recordSeats();
     Coordinator.tick(State.plan(), Followers.size());
   }
-  settle();
-  Ports.Timers.after(TickInterval, [this] { tick(); });
+  processOutputs();
+  Deps.Timers.after(TickInterval, [this] { tick(); });
 }
 
 void SteeringNode::receive(const Envelope &Arrived) {
@@ -86,19 +87,19 @@
 }
 
 void SteeringNode::on(const Envelope &, const ConsensusMessage &Body) {
-  Agreement.receive(Body, Ports.Time.now());
-  settle();
+  Agreement.receive(Body, Deps.Time.now());
+  processOutputs();
 }
 
 // Operators and targets.
 
-void SteeringNode::accept(RoutePlan Plan, DoneHandler OnDone) {
+void SteeringNode::acceptPlan(RoutePlan Plan, DoneHandler OnDone) {
   if (!Leading)
     return OnDone(notLeading());
   // What was overtaken, or comes again, changes nothing.
   if (Plan.Version <= State.plan().Version)
     return OnDone({});
-  propose({Ports.Time.wallTime(), AcceptPlan{std::move(Plan)}},
+  propose({Deps.Time.wallTime(), AcceptPlan{std::move(Plan)}},
           [OnDone](std::optional<std::uint64_t> Index) {
             if (Index)
               OnDone({});
@@ -110,7 +111,7 @@
 }
 
 void SteeringNode::readPlan(PlanHandler OnRead) {
-  barrier([this, OnRead](const Expected<void> &Done) {
+  awaitReadBarrier([this, OnRead](const Expected<void> &Done) {
     if (Done)
       OnRead(&State.plan());
     else
@@ -118,106 +119,108 @@
   });
 }
 
-void SteeringNode::hear(const TargetRecord &Said, DoneHandler OnDone) {
+void SteeringNode::applyHeartbeat(const TargetRecord &Said,
+                                  DoneHandler OnDone) {
   if (!Leading)
     return OnDone(notLeading());
   const TargetRecord *Known = Directory.find(Said.Id);
   const bool IsPromise =
-      Said.IsLeaving &&
-      (Known == nullptr || !Known->IsLeaving || Known->BornAt < Said.BornAt);
-  Directory.hear(Said, Ports.Time.now());
+      Said.IsLeaving && (Known == nullptr || !Known->IsLeaving ||
+                         Known->Incarnation < Said.Incarnation);
+  Directory.applyHeartbeat(Said, Deps.Time.now());
   publish();
   // The target takes the answer for a promise that it gets nothing new soon.
   // A leader that is cut off from the others, and from most proxies with
   // them, can't keep that.
   if (IsPromise)
-    return barrier(OnDone);
+    return awaitReadBarrier(OnDone);
   OnDone({});
 }
 
-void SteeringNode::forget(const std::string &Target, std::uint64_t BornAt,
-                          DoneHandler OnDone) {
+void SteeringNode::deregister(const std::string &Target, std::uint64_t BornAt,
+                              DoneHandler OnDone) {
   if (!Leading)
     return OnDone(notLeading());
-  Directory.leave(Target, BornAt, Ports.Time.now());
+  Directory.deregister(Target, BornAt, Deps.Time.now());
   publish();
   OnDone({});
 }
 
-void SteeringNode::barrier(const DoneHandler &OnDone) {
-  const auto Begun = Barriers.await(Agreement, Ports.Time.now(), OnDone);
+void SteeringNode::awaitReadBarrier(const DoneHandler &OnDone) {
+  const auto Begun = Barriers.await(Agreement, Deps.Time.now(), OnDone);
   if (!Begun)
     return OnDone(Begun);
-  settle();
+  processOutputs();
 }
 
 // Heartbeats come every second and change nothing; joining, leaving and
 // changes of role are few. All since the last note go into one entry.
-void SteeringNode::noteTargets() {
-  if (IsNoting || NotedTo == Directory.revision())
+void SteeringNode::recordTargets() {
+  if (IsRecordingTargets || RecordedRevision == Directory.revision())
     return;
-  NoteTargets News;
+  RecordTargets News;
   const std::uint64_t Revision = Directory.revision();
-  for (const TargetRecord &Each : Directory.changedSince(NotedTo)) {
+  for (const TargetRecord &Each : Directory.changedSince(RecordedRevision)) {
     const auto Noted = State.targets().find(Each.Id);
-    if (Noted == State.targets().end() ? Each.IsGone
-                                       : Each.saysTheSame(Noted->second))
+    if (Noted == State.targets().end()
+            ? Each.IsGone
+            : Each.equalsIgnoringSequence(Noted->second))
       continue;
     News.Targets.push_back(Each);
   }
   if (News.Targets.empty()) {
-    NotedTo = Revision;
+    RecordedRevision = Revision;
     return;
   }
-  IsNoting = true;
-  propose({Ports.Time.wallTime(), std::move(News)},
+  IsRecordingTargets = true;
+  propose({Deps.Time.wallTime(), std::move(News)},
           [this, Revision](std::optional<std::uint64_t> Index) {
-            IsNoting = false;
+            IsRecordingTargets = false;
             if (Index)
-              NotedTo = Revision;
+              RecordedRevision = Revision;
           });
 }
 
 // Restarts in turn and whole failure domains come together in one entry.
-void SteeringNode::noteProxies() {
-  if (IsNotingProxies || !Proxies.isSettled(Ports.Time.now()))
+void SteeringNode::recordProxies() {
+  if (IsRecordingProxies || !Proxies.isReady(Deps.Time.now()))
     return;
-  NoteProxies News = Proxies.news(State.proxies());
-  if (News.Present.empty() && News.Gone.empty())
+  RecordProxies News = Proxies.unrecordedChanges(State.proxies());
+  if (News.Present.empty() && News.Removed.empty())
     return;
-  IsNotingProxies = true;
-  propose({Ports.Time.wallTime(), std::move(News)},
-          [this](std::optional<std::uint64_t>) { IsNotingProxies = false; });
+  IsRecordingProxies = true;
+  propose({Deps.Time.wallTime(), std::move(News)},
+          [this](std::optional<std::uint64_t>) { IsRecordingProxies = false; });
 }
 
 // The agreement.
 
-void SteeringNode::propose(AgreedCommand Command, Committed OnDone) {
-  const auto Index = Agreement.propose(encode(Command), Ports.Time.now());
+void SteeringNode::propose(ReplicatedCommand Command, CommitHandler OnDone) {
+  const auto Index = Agreement.propose(encode(Command), Deps.Time.now());
   if (!Index)
     return OnDone(std::nullopt);
   Changes[*Index] = {Agreement.term(), false, std::move(OnDone)};
-  settle();
+  processOutputs();
 }
 
-void SteeringNode::settle() {
-  if (Settling)
+void SteeringNode::processOutputs() {
+  if (IsProcessingOutputs)
     return;
-  Settling = true;
+  IsProcessingOutputs = true;
   do {
-    carryOut(Agreement.takeOutputs());
-    noticeLeadership();
+    applyOutputs(Agreement.takeOutputs());
+    updateLeadership();
     finishChanges();
     publish();
   } while (Agreement.hasOutputs());
   compactIfLong();
-  noticeStanding();
-  Settling = false;
-  noticeDisk();
+  checkConsensusStatus();
+  IsProcessingOutputs = false;
+  checkDisk();
   answerWaiting();
 }
 
-void SteeringNode::noticeDisk() {
+void SteeringNode::checkDisk() {
   const auto &Failure = Agreement.failure();
   if (Failure && Failure->Code != ErrorCode::System)
     return Failed.emit(*Failure);
@@ -227,42 +230,42 @@
   DiskChanged.emit(DiskRefuses ? Failure->Message : "");
 }
 
-void SteeringNode::carryOut(ConsensusOutputs Outputs) {
+void SteeringNode::applyOutputs(ConsensusOutputs Outputs) {
   if (Outputs.RestoredState) {
-    auto Restored = decode<AgreedState>(*Outputs.RestoredState);
+    auto Restored = decode<ReplicatedState>(*Outputs.RestoredState);
     if (!Restored)
       return Failed.emit(Restored.error());
     State = std::move(*Restored);
     AppliedIndex = Agreement.log().snapshotIndex();
-    noticeRecalled();
+    checkReplayed();
   }
   for (const Entry &Each : Outputs.Committed) {
     apply(Each);
-    noticeRecalled();
+    checkReplayed();
   }
   Barriers.finish(Outputs);
-  for (OutgoingConsensus &Each : Outputs.Messages)
-    Ports.Peers.send({Each.To, Options.PeerPort}, Delivery::Stream,
-                     std::move(Each.Message));
+  for (OutgoingConsensusMessage &Each : Outputs.Messages)
+    Deps.Peers.send({Each.To, Options.PeerPort}, Delivery::Stream,
+                    std::move(Each.Message));
 }
 
 // A snapshot may hold more than the disk did at the start.
-void SteeringNode::noticeRecalled() {
-  if (AppliedIndex < RecalledIndex || std::exchange(IsRecalled, true))
+void SteeringNode::checkReplayed() {
+  if (AppliedIndex < ReplayEndIndex || std::exchange(IsReplayed, true))
     return;
-  Recalled.emit();
+  Replayed.emit();
 }
 
 void SteeringNode::apply(const Entry &Done) {
   AppliedIndex = Done.Index;
   if (Done.Kind == EntryKind::Command) {
-    const auto Command = decode<AgreedCommand>(Done.Bytes);
+    const auto Command = decode<ReplicatedCommand>(Done.Bytes);
     // To pass over a change that the others make would give this host another
     // state than theirs.
     if (!Command)
       return Failed.emit(Command.error());
     const std::uint64_t Before = State.plan().Version;
-    if (State.apply(Done.Index, *Command) && Done.Index > RecalledIndex)
+    if (State.apply(Done.Index, *Command) && Done.Index > ReplayEndIndex)
       Audited.emit(State.audit().back());
     if (Leading && State.plan().Version != Before)
       for (auto &[Id, Each] : Followers) {
@@ -277,29 +280,30 @@
     Waiting->second.IsCommitted = true;
     return;
   }
-  const Committed OnDone = std::move(Waiting->second.OnDone);
+  const CommitHandler OnDone = std::move(Waiting->second.OnDone);
   Changes.erase(Waiting);
   OnDone(std::nullopt);
 }
 
-bool SteeringNode::isKept(std::uint64_t Index) const {
-  if (Agreement.outlives(Index, Options.LostDisksBorne))
+bool SteeringNode::isDurable(std::uint64_t Index) const {
+  if (Agreement.survivesDiskLoss(Index, Options.ToleratedDiskLosses))
     return true;
   // A system with fewer hosts than the bound asks for can't bear that loss at
   // all; its operators aren't kept waiting for it for good.
   const std::size_t Most = (Agreement.voters().size() - 1) / 2;
-  return Ports.Time.now() - LeadingSince > FormingPatience &&
-         Most < Options.LostDisksBorne && Agreement.outlives(Index, Most);
+  return Deps.Time.now() - LeadingSince > FormingPatience &&
+         Most < Options.ToleratedDiskLosses &&
+         Agreement.survivesDiskLoss(Index, Most);
 }
 
 void SteeringNode::finishChanges() {
   for (auto Each = Changes.begin(); Each != Changes.end();) {
-    if (!Each->second.IsCommitted || !isKept(Each->first)) {
+    if (!Each->second.IsCommitted || !isDurable(Each->first)) {
       ++Each;
       continue;
     }
     const std::uint64_t Index = Each->first;
-    const Committed OnDone = std::move(Each->second.OnDone);
+    const CommitHandler OnDone = std::move(Each->second.OnDone);
     Each = Changes.erase(Each);
     OnDone(Index);
     // The handler may have proposed another.
@@ -313,45 +317,45 @@
     Change.OnDone(std::nullopt);
 }
 
-void SteeringNode::noticeLeadership() {
+void SteeringNode::updateLeadership() {
   if (!Agreement.isLeader() && !Changes.empty())
     failChanges();
-  if (Agreement.isSettledLeader() == Leading)
+  if (Agreement.isReadyLeader() == Leading)
     return;
-  Leading = Agreement.isSettledLeader();
-  LeadingSince = Ports.Time.now();
+  Leading = Agreement.isReadyLeader();
+  LeadingSince = Deps.Time.now();
   Followers.clear();
-  Proxies.begin(State.proxies(), LeadingSince);
-  Seats.begin(Agreement.term(), State.seats(), LeadingSince);
+  Proxies.startTerm(State.proxies(), LeadingSince);
+  Seats.startTerm(Agreement.term(), State.seats(), LeadingSince);
   SeatRequests.clear();
   IsConfirmingSeats = false;
-  IsNotingSeats = false;
+  IsRecordingSeats = false;
   Published = {};
   if (Leading) {
     std::vector<TargetRecord> Known;
     for (const auto &[Id, Each] : State.targets())
       Known.push_back(Each);
-    Directory.merge(Known, Ports.Time.now());
+    Directory.merge(Known, Deps.Time.now());
     Directory.beginTerm(Agreement.term());
-    IsNoting = false;
-    NotedTo = 0;
-    IsNotingProxies = false;
-    Coordinator.begin();
+    IsRecordingTargets = false;
+    RecordedRevision = 0;
+    IsRecordingProxies = false;
+    Coordinator.startLeading();
   } else {
-    Coordinator.end();
+    Coordinator.stopLeading();
     Barriers.failAll();
   }
   Leadership.emit(Leading);
 }
 
-void SteeringNode::noticeStanding() {
+void SteeringNode::checkConsensusStatus() {
   if (LastRole == Agreement.role() && LastTerm == Agreement.term() &&
       LastVoters == Agreement.voters())
     return;
   LastRole = Agreement.role();
   LastTerm = Agreement.term();
   LastVoters = Agreement.voters();
-  Standing.emit();
+  ConsensusStatusChanged.emit();
 }
 
 void SteeringNode::compactIfLong() {
--- a/Source/Steering/SteeringNode.h
+++ b/Source/Steering/SteeringNode.h
@@ -17,21 +17,21 @@
 
 struct SteeringOptions {
   std::string Name;           ///< The host's address: members are named by it.
-  std::string Process;        ///< For people and as the holder of orders.
+  std::string ProcessName;    ///< For people and as the holder of orders.
   std::uint16_t PeerPort = 0; ///< The same on all hosts.
   std::vector<std::string> Seeds; ///< Addresses of hosts to start from.
-  bool MayFound = false;
+  bool MayBootstrap = false;
   /// Disks that may be lost at once without losing an acknowledged change.
-  std::size_t LostDisksBorne = 1;
+  std::size_t ToleratedDiskLosses = 1;
   /// What callers' keys are digested with for proxies.
   std::string KeySecret = {};
 };
 
-struct SteeringPorts {
+struct SteeringDependencies {
   Clock &Time;
   Scheduler &Timers;
   Transport &Peers;
-  TargetOrderPort &Orders;
+  TargetCommandPort &TargetCommands;
   PromotionPort &Promotions;
 };
 
@@ -42,57 +42,61 @@
   /// Nothing, or Unavailable where the leader must be asked.
   using DoneHandler = std::function<void(Expected<void>)>;
 
-  SteeringNode(SteeringOptions Given, SteeringPorts Ports, ReplicatedLog &Log,
-               std::uint64_t Seed);
+  SteeringNode(SteeringOptions Given, SteeringDependencies Deps,
+               ReplicatedLog &Log, std::uint64_t Seed);
 
   void start();
 
   /// Makes a plan the one in force; succeeds without effect where its version
   /// isn't higher. The caller has checked it.
-  void accept(RoutePlan Plan, DoneHandler OnDone);
+  void acceptPlan(RoutePlan Plan, DoneHandler OnDone);
   /// Reads through the quorum.
   void readPlan(PlanHandler OnRead);
   /// A target's heartbeat; done once the proxies are being told.
-  void hear(const TargetRecord &Said, DoneHandler OnDone);
+  void applyHeartbeat(const TargetRecord &Said, DoneHandler OnDone);
   /// The life of a target that began at \p BornAt says goodbye.
-  void forget(const std::string &Target, std::uint64_t BornAt,
-              DoneHandler OnDone);
+  void deregister(const std::string &Target, std::uint64_t BornAt,
+                  DoneHandler OnDone);
 
   bool leads() const { return Leading; }
   /// Address of the leading host; empty where none is known.
   const std::string &leader() const { return Agreement.leader(); }
   const Consensus &consensus() const { return Agreement; }
-  const AgreedState &state() const { return State; }
+  const ReplicatedState &state() const { return State; }
   const TargetDirectory &directory() const { return Directory; }
-  std::size_t followers() const { return Followers.size(); }
+  std::size_t subscriberCount() const { return Followers.size(); }
 
   /// Emitted with the disk's error when it refuses writes, and with nothing
   /// when it takes them again. Meanwhile this host neither leads nor votes.
-  sigc::signal<void(const std::string &)> &signalDisk() { return DiskChanged; }
+  sigc::signal<void(const std::string &)> &signalDiskStatus() {
+    return DiskChanged;
+  }
   /// Emitted when the disk holds what can't be right: the process must end.
   sigc::signal<void(const Error &)> &signalFailed() { return Failed; }
   /// Emitted with each change that was decided since this host's disk was
   /// read.
   sigc::signal<void(const AuditRecord &)> &signalAudited() { return Audited; }
   /// Emitted once all that the disk held at the start is in the state.
-  sigc::signal<void()> &signalRecalled() { return Recalled; }
+  sigc::signal<void()> &signalReplayed() { return Replayed; }
   sigc::signal<void(bool)> &signalLeadership() { return Leadership; }
   /// Emitted when the role, term or voters in the agreement change.
-  sigc::signal<void()> &signalStanding() { return Standing; }
-  PromotionCoordinator &promotions() { return Coordinator; }
+  sigc::signal<void()> &signalConsensusStatus() {
+    return ConsensusStatusChanged;
+  }
+  PromotionCoordinator &promotionCoordinator() { return Coordinator; }
 
 private:
-  using Committed = std::function<void(std::optional<std::uint64_t>)>;
+  using CommitHandler = std::function<void(std::optional<std::uint64_t>)>;
 
-  struct WaitingChange {
+  struct PendingChange {
     std::uint64_t Term = 0;
     bool IsCommitted = false;
-    Committed OnDone;
+    CommitHandler OnDone;
   };
 
-  struct Follower {
+  struct Subscriber {
     Endpoint Address;
-    Millis LastHeard;
+    Millis LastContact;
     std::uint64_t PlanVersion = 0;
     DirectoryVersion Directory;
     DirectoryVersion Proxies;
@@ -117,53 +121,53 @@
   };
 
   /// A request for seats that waits until this host is known to lead still.
-  struct WaitingSeats {
+  struct PendingSeats {
     Endpoint From;
     SeatRequest Request;
   };
 
   /// The word of a proxy that spoke while nobody led.
-  struct WaitingFollow {
-    Envelope Said;
+  struct WaitingSubscribe {
+    Envelope Message;
     Millis Since;
   };
 
   void tick();
   void receive(const Envelope &Arrived);
   void on(const Envelope &From, const ConsensusMessage &Body);
-  void on(const Envelope &From, const FollowRequest &Body);
+  void on(const Envelope &From, const SubscribeRequest &Body);
   void on(const Envelope &From, const DirectoryUpdate &Body);
   template <class Other> void on(const Envelope &, const Other &) {}
 
-  void settle();
-  void noticeDisk();
-  void carryOut(ConsensusOutputs Outputs);
+  void processOutputs();
+  void checkDisk();
+  void applyOutputs(ConsensusOutputs Outputs);
   void apply(const Entry &Done);
   /// Tells once that the state holds what the disk did.
-  void noticeRecalled();
-  void propose(AgreedCommand Command, Committed OnDone);
+  void checkReplayed();
+  void propose(ReplicatedCommand Command, CommitHandler OnDone);
   void finishChanges();
   void failChanges();
-  void noticeLeadership();
-  void noticeStanding();
-  void barrier(const DoneHandler &OnDone);
-  void answer(const Endpoint &To, const FollowRequest &Request, bool Proven);
+  void updateLeadership();
+  void checkConsensusStatus();
+  void awaitReadBarrier(const DoneHandler &OnDone);
+  void answer(const Endpoint &To, const SubscribeRequest &Request, bool Proven);
   /// Answers those that asked before anybody led.
   void answerWaiting();
-  void bringUpToDate(Follower &To);
+  void bringUpToDate(Subscriber &To);
   const PreparedMessage &planUpdate();
   /// The version that an update for someone who has \p Known begins at.
   DirectoryVersion baseOf(const DirectoryVersion &Known) const;
   const PreparedMessage &directoryUpdate(const DirectoryVersion &Known);
   const PreparedMessage &proxyListUpdate(const DirectoryVersion &Known);
-  void sendDirectory(Follower &To, const DirectoryVersion &Known);
+  void sendDirectory(Subscriber &To, const DirectoryVersion &Known);
   void publish();
-  void takeSeatRequest(const Envelope &From, const FollowRequest &Body);
+  void queueSeatRequest(const Envelope &From, const SubscribeRequest &Body);
   void answerSeats();
-  void noteSeats();
-  void dropSilentFollowers();
-  void noteTargets();
-  void noteProxies();
+  void recordSeats();
+  void removeExpiredSubscribers();
+  void recordTargets();
+  void recordProxies();
   void compactIfLong();
   DirectoryVersion directoryVersion() const {
     return {Agreement.term(), Directory.revision()};
@@ -173,36 +177,37 @@
   }
   std::vector<std::string> members() const;
   /// True where the change at an index may be acknowledged.
-  bool isKept(std::uint64_t Index) const;
+  bool isDurable(std::uint64_t Index) const;
 
   SteeringOptions Options;
-  SteeringPorts Ports;
+  SteeringDependencies Deps;
   Consensus Agreement;
-  AgreedState State;
+  ReplicatedState State;
   TargetDirectory Directory;
   PromotionCoordinator Coordinator;
   bool Leading = false;
-  bool Settling = false;
+  bool IsProcessingOutputs = false;
   std::uint64_t AppliedIndex = 0;
   /// The last entry that the disk held at the start. Told again as if decided
   /// now, these would have readers of the logs look for changes that nobody
   /// made: at each restart one for each target and plan.
-  std::uint64_t RecalledIndex;
-  bool IsRecalled; ///< At once where the disk was empty.
+  std::uint64_t ReplayEndIndex;
+  bool IsReplayed; ///< At once where the disk was empty.
   DirectoryVersion Published;
   Millis PublishedAt;
-  bool IsNoting = false;     ///< A note on targets is under way.
-  std::uint64_t NotedTo = 0; ///< Revision of the directory that was noted.
-  bool IsNotingProxies = false;
-  std::map<std::uint64_t, WaitingChange> Changes;
+  bool IsRecordingTargets = false; ///< A note on targets is under way.
+  std::uint64_t RecordedRevision =
+      0; ///< Revision of the directory that was noted.
+  bool IsRecordingProxies = false;
+  std::map<std::uint64_t, PendingChange> Changes;
   ReadBarriers Barriers;
-  std::map<ProcessId, Follower> Followers;
-  std::map<ProcessId, WaitingFollow> Waiting;
+  std::map<ProcessId, Subscriber> Followers;
+  std::map<ProcessId, WaitingSubscribe> Waiting;
   ProxyList Proxies;
   SeatLedger Seats;
-  std::map<ProcessId, WaitingSeats> SeatRequests;
+  std::map<ProcessId, PendingSeats> SeatRequests;
   bool IsConfirmingSeats = false;
-  bool IsNotingSeats = false;
+  bool IsRecordingSeats = false;
   Millis SeatsAnsweredAt;
   std::uint64_t SharedPlanVersion = 0;
   PreparedMessage SharedPlan; ///< Of that version.
@@ -213,10 +218,10 @@
   bool DiskRefuses = false;
   sigc::signal<void(const Error &)> Failed;
   sigc::signal<void(const std::string &)> DiskChanged;
-  sigc::signal<void()> Recalled;
+  sigc::signal<void()> Replayed;
   sigc::signal<void(const AuditRecord &)> Audited;
   sigc::signal<void(bool)> Leadership;
-  sigc::signal<void()> Standing;
+  sigc::signal<void()> ConsensusStatusChanged;
   ConsensusRole LastRole = ConsensusRole::Founding;
   std::uint64_t LastTerm = 0;
   Members LastVoters;
--- a/Source/Storage/FileDisk.cpp
+++ b/Source/Storage/FileDisk.cpp
@@ -99,7 +99,7 @@
   return Descriptor;
 }
 
-void FileDisk::forget(const std::string &Name) {
+void FileDisk::closeDescriptor(const std::string &Name) {
   const auto Known = Open.find(Name);
   if (Known == Open.end())
     return;
@@ -119,7 +119,7 @@
   const Expected<int> Descriptor = descriptor(Name);
   if (!Descriptor)
     return tl::unexpected(Descriptor.error());
-  if (measured(::fdatasync, *Descriptor) != 0)
+  if (timedSync(::fdatasync, *Descriptor) != 0)
     return systemError("can't sync " + Folder + "/" + Name);
   return {};
 }
@@ -129,7 +129,7 @@
   if (!Descriptor)
     return tl::unexpected(Descriptor.error());
   if (::ftruncate(*Descriptor, static_cast<off_t>(Size)) != 0 ||
-      measured(::fsync, *Descriptor) != 0)
+      timedSync(::fsync, *Descriptor) != 0)
     return systemError("can't cut " + Folder + "/" + Name);
   return {};
 }
@@ -143,18 +143,18 @@
   if (Descriptor < 0)
     return systemError("can't open " + Temporary);
   Expected<void> Written = writeAll(Descriptor, Bytes, Temporary);
-  if (Written && measured(::fsync, Descriptor) != 0)
+  if (Written && timedSync(::fsync, Descriptor) != 0)
     Written = systemError("can't sync " + Temporary);
   ::close(Descriptor);
   if (!Written)
     return Written;
   if (::rename(Temporary.c_str(), Path.c_str()) != 0)
     return systemError("can't rename " + Temporary);
-  forget(Name);
+  closeDescriptor(Name);
   return syncFolder();
 }
 
-int FileDisk::measured(int (*Sync)(int), int Descriptor) {
+int FileDisk::timedSync(int (*Sync)(int), int Descriptor) {
   const SystemClock Time;
   const Millis Begin = Time.now();
   const int Result = Sync(Descriptor);
@@ -167,7 +167,7 @@
       ::open(Folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (Descriptor < 0)
     return systemError("can't open " + Folder);
-  const int Result = measured(::fsync, Descriptor);
+  const int Result = timedSync(::fsync, Descriptor);
   ::close(Descriptor);
   if (Result != 0)
     return systemError("can't sync " + Folder);
--- a/Source/Storage/FileDisk.h
+++ b/Source/Storage/FileDisk.h
@@ -31,16 +31,16 @@
                                  const std::string &Bytes) override;
 
   /// How long the host took for each sync.
-  const DurationHistogram &syncs() const { return Syncs; }
+  const DurationHistogram &syncDurations() const { return Syncs; }
 
 private:
   FileDisk(std::string Folder, int Lock);
 
   Expected<int> descriptor(const std::string &Name);
-  void forget(const std::string &Name);
+  void closeDescriptor(const std::string &Name);
   Expected<void> syncFolder();
   /// Calls fsync or fdatasync and records its duration; returns its result.
-  int measured(int (*Sync)(int), int Descriptor);
+  int timedSync(int (*Sync)(int), int Descriptor);
 
   std::string Folder;
   int Lock = -1;
--- a/Source/Storage/Journal.cpp
+++ b/Source/Storage/Journal.cpp
@@ -152,21 +152,21 @@
   return Out;
 }
 
-Expected<void> Journal::keep(Expected<void> Result) {
+Expected<void> Journal::recordFailure(Expected<void> Result) {
   if (!Result)
-    Broken = Result.error();
+    WriteFailure = Result.error();
   return Result;
 }
 
 Expected<void> Journal::append(const std::vector<std::string> &Records) {
-  if (Broken)
-    return tl::unexpected(*Broken);
+  if (WriteFailure)
+    return tl::unexpected(*WriteFailure);
   std::string Bytes;
   for (const std::string &Each : Records)
     Bytes += record(Each, Size);
-  if (auto Done = keep(Files.append(JournalName, Bytes)); !Done)
+  if (auto Done = recordFailure(Files.append(JournalName, Bytes)); !Done)
     return Done;
-  if (auto Done = keep(Files.sync(JournalName)); !Done)
+  if (auto Done = recordFailure(Files.sync(JournalName)); !Done)
     return Done;
   Size += Bytes.size();
   return {};
@@ -176,22 +176,22 @@
 // are cut rather than synced again: whether a second sync covers them isn't
 // known, and nothing was promised on their strength.
 Expected<void> Journal::repair() {
-  if (!Broken)
+  if (!WriteFailure)
     return {};
   if (IsAmbiguous)
-    return tl::unexpected(*Broken);
+    return tl::unexpected(*WriteFailure);
   if (auto Done = Files.truncate(JournalName, Size); !Done)
     return Done;
-  Broken.reset();
+  WriteFailure.reset();
   return {};
 }
 
 Expected<void> Journal::replace(const std::string &Snapshot,
                                 const std::vector<std::string> &Records) {
-  if (Broken)
-    return tl::unexpected(*Broken);
-  if (auto Done =
-          keep(Files.writeAtomically(SnapshotName, record(Snapshot, 0)));
+  if (WriteFailure)
+    return tl::unexpected(*WriteFailure);
+  if (auto Done = recordFailure(
+          Files.writeAtomically(SnapshotName, record(Snapshot, 0)));
       !Done)
     return Done;
   // The file appears only when all of it is synced, so each record may vouch
@@ -200,7 +200,8 @@
   for (const std::string &Each : Records)
     Bytes += record(Each, Bytes.size());
   Bytes += record("", Bytes.size());
-  if (auto Done = keep(Files.writeAtomically(JournalName, Bytes)); !Done) {
+  if (auto Done = recordFailure(Files.writeAtomically(JournalName, Bytes));
+      !Done) {
     IsAmbiguous = true;
     return Done;
   }
--- a/Source/Storage/Journal.h
+++ b/Source/Storage/Journal.h
@@ -66,12 +66,12 @@
   static constexpr std::uint32_t MaxRecordBytes = 64U << 20U;
 
 private:
-  Expected<void> keep(Expected<void> Result);
+  Expected<void> recordFailure(Expected<void> Result);
 
   Disk &Files;
   /// Set by the first failed write or sync. What the file holds from there on
   /// isn't known, and a later sync may succeed without it.
-  std::optional<Error> Broken;
+  std::optional<Error> WriteFailure;
   /// A replacement of the journal file itself failed on the way.
   bool IsAmbiguous = false;
   /// Size of the journal file; all of it is synced between two calls.
--- a/Source/Transport/Envelope.cpp
+++ b/Source/Transport/Envelope.cpp
@@ -5,22 +5,24 @@
 
 #include "Common/Codec.h"
 #include "Common/Compression.h"
-#include "Common/KeyedDigest.h"
+#include "Common/Cryptography.h"
 
 namespace corianderdyke {
 
-std::string seal(const Envelope &Message, const std::string &Key) {
-  const std::string Bytes = pack(encode(Message));
-  return keyedDigest(Key, Bytes) + Bytes;
+std::string signAndEncode(const Envelope &Message, const std::string &Key) {
+  const std::string Bytes = compressMessage(encode(Message));
+  return truncatedHmac(Key, Bytes) + Bytes;
 }
 
-Expected<Envelope> open(const std::string &Bytes, const std::string &Key) {
-  if (Bytes.size() < KeyedDigestBytes)
+Expected<Envelope> verifyAndDecode(const std::string &Bytes,
+                                   const std::string &Key) {
+  if (Bytes.size() < TruncatedHmacBytes)
     return fail(ErrorCode::BadInput, "too short for a message");
-  const std::string Content = Bytes.substr(KeyedDigestBytes);
-  if (!sameDigest(Bytes.substr(0, KeyedDigestBytes), keyedDigest(Key, Content)))
+  const std::string Content = Bytes.substr(TruncatedHmacBytes);
+  if (!equalsInConstantTime(Bytes.substr(0, TruncatedHmacBytes),
+                            truncatedHmac(Key, Content)))
     return fail(ErrorCode::BadInput, "sealed with another key");
-  const auto Unpacked = unpack(Content, MaxUnpackedBytes);
+  const auto Unpacked = decompressMessage(Content, MaxUncompressedBytes);
   if (!Unpacked)
     return tl::unexpected(Unpacked.error());
   auto Out = decode<Envelope>(*Unpacked);
--- a/Source/Transport/Envelope.h
+++ b/Source/Transport/Envelope.h
@@ -19,12 +19,13 @@
 using Message =
     std::variant<ConsensusMessage, LeaseRequest, LeaseGrant, NotLeader,
                  ViewUpdate, ViewApplied, ForwardedAnnouncement, ViewDelta,
-                 RightsRequest, RightsGrant, FollowRequest, FollowReply,
-                 FollowElsewhere, PlanUpdate, DirectoryUpdate, ProxyListUpdate,
-                 TellSightings, SeatGrant, PermitRequest, PermitReply>;
+                 RightsRequest, RightsGrant, SubscribeRequest, SubscribeReply,
+                 SubscribeRedirect, PlanUpdate, DirectoryUpdate,
+                 ProxyListUpdate, ReachabilityQuery, SeatGrant, PermitRequest,
+                 PermitReply>;
 
 /// The longest message before it's packed.
-constexpr std::size_t MaxUnpackedBytes = 64U << 20U;
+constexpr std::size_t MaxUncompressedBytes = 64U << 20U;
 
 struct Envelope {
   static constexpr std::uint32_t CurrentVersion = 1;
@@ -41,11 +42,12 @@
 };
 
 /// Bytes of an envelope, sealed with the key that the processes share.
-std::string seal(const Envelope &Message, const std::string &Key);
+std::string signAndEncode(const Envelope &Message, const std::string &Key);
 
 /// The envelope in \p Bytes; BadInput where the seal isn't the key's,
 /// Corrupt where the content can't be read.
-Expected<Envelope> open(const std::string &Bytes, const std::string &Key);
+Expected<Envelope> verifyAndDecode(const std::string &Bytes,
+                                   const std::string &Key);
 
 } // namespace corianderdyke
 
--- a/Source/Transport/PeerStreams.h
+++ b/Source/Transport/PeerStreams.h
@@ -37,7 +37,7 @@
   virtual std::shared_ptr<PeerStream> connect(const Endpoint &To,
                                               PeerStreamEvents Events) = 0;
   /// Who takes the streams that others open.
-  virtual void accept(OnAccept Handler) = 0;
+  virtual void setAcceptHandler(OnAccept Handler) = 0;
 };
 
 } // namespace corianderdyke
--- a/Source/Transport/SocketOptions.cpp
+++ b/Source/Transport/SocketOptions.cpp
@@ -19,10 +19,10 @@
   return Out;
 }
 
-void tuneSocket(int Socket, Millis SilenceBorne) {
+void setTcpOptions(int Socket, Millis UserTimeout) {
   const int On = 1;
   setsockopt(Socket, IPPROTO_TCP, TCP_NODELAY, &On, sizeof(On));
-  const auto Bound = static_cast<unsigned>(SilenceBorne.count());
+  const auto Bound = static_cast<unsigned>(UserTimeout.count());
   setsockopt(Socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &Bound, sizeof(Bound));
 }
 
@@ -40,11 +40,11 @@
   return Made;
 }
 
-int makeTunedSocket(Millis SilenceBorne) {
+int makeTcpSocket(Millis UserTimeout) {
   const int Socket =
       ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (Socket >= 0)
-    tuneSocket(Socket, SilenceBorne);
+    setTcpOptions(Socket, UserTimeout);
   return Socket;
 }
 
--- a/Source/Transport/SocketOptions.h
+++ b/Source/Transport/SocketOptions.h
@@ -15,14 +15,14 @@
 sockaddr_in socketAddress(const Endpoint &Of);
 
 /// Sends small messages at once, and ends a connection whose peer hasn't
-/// confirmed anything for \p SilenceBorne. Behind a partition it would else
+/// confirmed anything for \p UserTimeout. Behind a partition it would else
 /// stay open and hold its bytes back for seconds after the partition is over,
 /// or for good.
-void tuneSocket(int Socket, Millis SilenceBorne);
+void setTcpOptions(int Socket, Millis UserTimeout);
 
 /// A TCP socket for a connection of our own, with these options set before it
 /// connects; negative where there's none to be had.
-int makeTunedSocket(Millis SilenceBorne);
+int makeTcpSocket(Millis UserTimeout);
 
 /// Listens for TCP connections; \p Handler is called with \p Argument. System
 /// where the address can't be listened on.
--- a/Source/Transport/SocketPeerStreams.cpp
+++ b/Source/Transport/SocketPeerStreams.cpp
@@ -3,7 +3,7 @@
 
 #include "Transport/SocketPeerStreams.h"
 
-#include "Common/KeyedDigest.h"
+#include "Common/Cryptography.h"
 #include "Loop/EventLoop.h"
 #include "Transport/SocketOptions.h"
 
@@ -55,19 +55,19 @@
     std::uint32_t Length = 0;
     evbuffer_copyout(In, &Length, LengthBytes);
     Length = ntohl(Length);
-    if (Length < KeyedDigestBytes ||
+    if (Length < TruncatedHmacBytes ||
         Length > SocketPeerStreams::MaxFrameBytes) {
       end();
       return false;
     }
     if (evbuffer_get_length(In) < LengthBytes + Length)
       return false;
-    std::string Digest(KeyedDigestBytes, '\0');
-    std::string Frame(Length - KeyedDigestBytes, '\0');
+    std::string Digest(TruncatedHmacBytes, '\0');
+    std::string Frame(Length - TruncatedHmacBytes, '\0');
     evbuffer_drain(In, LengthBytes);
     evbuffer_remove(In, Digest.data(), Digest.size());
     evbuffer_remove(In, Frame.data(), Frame.size());
-    if (!sameDigest(Digest, keyedDigest(Key, Frame))) {
+    if (!equalsInConstantTime(Digest, truncatedHmac(Key, Frame))) {
       end();
       return false;
     }
@@ -127,8 +127,8 @@
       return;
     }
     const std::uint32_t Length =
-        htonl(static_cast<std::uint32_t>(KeyedDigestBytes + Frame.size()));
-    const std::string Digest = keyedDigest(State->Key, Frame);
+        htonl(static_cast<std::uint32_t>(TruncatedHmacBytes + Frame.size()));
+    const std::string Digest = truncatedHmac(State->Key, Frame);
     evbuffer_add(Queue, &Length, LengthBytes);
     evbuffer_add(Queue, Digest.data(), Digest.size());
     evbuffer_add(Queue, Frame.data(), Frame.size());
@@ -183,17 +183,17 @@
 std::shared_ptr<PeerStream>
 SocketPeerStreams::connect(const Endpoint &To, PeerStreamEvents Events) {
   auto Made = std::make_shared<SocketPeerStream>(
-      Loop, makeTunedSocket(SilenceBorne), Key);
+      Loop, makeTcpSocket(SilenceBorne), Key);
   Made->start(std::move(Events));
   Made->connect(To);
   return Made;
 }
 
 void SocketPeerStreams::accepted(int Socket) {
-  tuneSocket(Socket, SilenceBorne);
+  setTcpOptions(Socket, SilenceBorne);
   auto Made = std::make_shared<SocketPeerStream>(Loop, Socket, Key);
-  if (Accepting)
-    Made->start(Accepting(Made));
+  if (AcceptHandler)
+    Made->start(AcceptHandler(Made));
 }
 
 } // namespace corianderdyke
--- a/Source/Transport/SocketPeerStreams.h
+++ b/Source/Transport/SocketPeerStreams.h
@@ -26,7 +26,9 @@
 
   std::shared_ptr<PeerStream> connect(const Endpoint &To,
                                       PeerStreamEvents Events) override;
-  void accept(OnAccept Handler) override { Accepting = std::move(Handler); }
+  void setAcceptHandler(OnAccept Handler) override {
+    AcceptHandler = std::move(Handler);
+  }
 
   /// The longest answer that a target may give, and room around it.
   static constexpr std::size_t MaxFrameBytes = 4U << 20U;
@@ -39,7 +41,7 @@
 
   EventLoop &Loop;
   std::string Key;
-  OnAccept Accepting;
+  OnAccept AcceptHandler;
   evconnlistener *Listener = nullptr;
 };
 
--- a/Source/Transport/SocketTransport.cpp
+++ b/Source/Transport/SocketTransport.cpp
@@ -93,7 +93,7 @@
             nullptr,
             [](bufferevent *, short, void *From) {
               auto *Each = static_cast<Stream *>(From);
-              Each->Owner->drop(Each);
+              Each->Owner->closeStream(Each);
             },
             Made.get());
         bufferevent_enable(Made->Buffer, EV_READ | EV_WRITE);
@@ -118,27 +118,28 @@
     ::close(DatagramSocket);
 }
 
-std::string SocketTransport::sealed(Message Body) const {
-  return seal({Envelope::CurrentVersion, Name, At, std::move(Body)}, Key);
+std::string SocketTransport::signedBytes(Message Body) const {
+  return signAndEncode({Envelope::CurrentVersion, Name, At, std::move(Body)},
+                       Key);
 }
 
 void SocketTransport::send(const Endpoint &To, Delivery How, Message Body) {
-  sendSealed(To, How, sealed(std::move(Body)));
+  sendSigned(To, How, signedBytes(std::move(Body)));
 }
 
 PreparedMessage SocketTransport::prepare(Message Body) const {
-  std::string Bytes = sealed(Body);
+  std::string Bytes = signedBytes(Body);
   return {std::move(Body), std::move(Bytes)};
 }
 
 void SocketTransport::send(const Endpoint &To, Delivery How,
                            const PreparedMessage &What) {
-  sendSealed(To, How, What.Sealed);
+  sendSigned(To, How, What.SignedBytes);
 }
 
-void SocketTransport::sendSealed(const Endpoint &To, Delivery How,
+void SocketTransport::sendSigned(const Endpoint &To, Delivery How,
                                  const std::string &Bytes) {
-  Sent += Bytes.size();
+  SentBytes += Bytes.size();
   if (How == Delivery::Datagram && Bytes.size() <= MaxDatagramBytes)
     sendDatagram(To, Bytes);
   else
@@ -159,7 +160,7 @@
   Made->Owner = this;
   Made->OpenedAt = Time.now();
   Made->Buffer = bufferevent_socket_new(
-      Loop.base(), makeTunedSocket(SilenceBorne), BEV_OPT_CLOSE_ON_FREE);
+      Loop.base(), makeTcpSocket(SilenceBorne), BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb(
       Made->Buffer, nullptr, nullptr,
       [](bufferevent *, short Events, void *From) {
@@ -167,7 +168,7 @@
         if ((Events & BEV_EVENT_CONNECTED) != 0)
           Each->IsConnected = true;
         else
-          Each->Owner->drop(Each);
+          Each->Owner->closeStream(Each);
       },
       Made.get());
   const sockaddr_in Address = socketAddress(To);
@@ -183,7 +184,7 @@
 // ones ask those that are still down, and the kernel repeats such a request to
 // connect only after a second. Votes for the first leader would wait in it
 // though their host is up by now: 440 ms of the time without any service.
-void SocketTransport::reopenStuck(const Endpoint &To) {
+void SocketTransport::reconnectStalled(const Endpoint &To) {
   const auto Found = Outgoing.find(To);
   if (Found == Outgoing.end() || Found->second->IsConnected ||
       Time.now() - Found->second->OpenedAt < ConnectTakes)
@@ -235,7 +236,7 @@
     Length = ntohl(Length);
     if (Length > MaxFrameBytes) {
       ++Rejected;
-      drop(&From);
+      closeStream(&From);
       return;
     }
     if (evbuffer_get_length(In) < LengthBytes + Length)
@@ -249,16 +250,16 @@
 
 void SocketTransport::deliver(const std::string &Bytes) {
   ReceivedBytes += Bytes.size();
-  const auto Opened = open(Bytes, Key);
+  const auto Opened = verifyAndDecode(Bytes, Key);
   if (!Opened) {
     ++Rejected;
     return;
   }
-  reopenStuck(Opened->ReplyTo);
+  reconnectStalled(Opened->ReplyTo);
   signalReceived().emit(*Opened);
 }
 
-void SocketTransport::drop(Stream *Closed) {
+void SocketTransport::closeStream(Stream *Closed) {
   for (auto Each = Outgoing.begin(); Each != Outgoing.end(); ++Each) {
     if (Each->second.get() == Closed) {
       Outgoing.erase(Each);
--- a/Source/Transport/SocketTransport.h
+++ b/Source/Transport/SocketTransport.h
@@ -37,11 +37,11 @@
             const PreparedMessage &What) override;
 
   PeerTraffic traffic() const override {
-    return {Sent, ReceivedBytes, Rejected};
+    return {SentBytes, ReceivedBytes, Rejected};
   }
 
   /// Bytes sent and received, for metrics.
-  std::uint64_t bytesSent() const { return Sent; }
+  std::uint64_t bytesSent() const { return SentBytes; }
   std::uint64_t bytesReceived() const { return ReceivedBytes; }
   /// Messages thrown away for a bad seal or content.
   std::uint64_t rejected() const { return Rejected; }
@@ -56,18 +56,18 @@
                   std::string Key);
 
   Expected<void> bind();
-  std::string sealed(Message Body) const;
-  void sendSealed(const Endpoint &To, Delivery How, const std::string &Bytes);
+  std::string signedBytes(Message Body) const;
+  void sendSigned(const Endpoint &To, Delivery How, const std::string &Bytes);
   void sendDatagram(const Endpoint &To, const std::string &Bytes);
   void sendFrame(const Endpoint &To, const std::string &Bytes);
   /// A stream that begins to connect; null where it can't.
   std::unique_ptr<Stream> connect(const Endpoint &To);
   /// A peer was heard: a stream to it that still connects begins anew.
-  void reopenStuck(const Endpoint &To);
+  void reconnectStalled(const Endpoint &To);
   void readDatagrams();
   void readFrames(Stream &From);
   void deliver(const std::string &Bytes);
-  void drop(Stream *Closed);
+  void closeStream(Stream *Closed);
 
   SystemClock Time;
   EventLoop &Loop;
@@ -79,7 +79,7 @@
   evconnlistener *Listener = nullptr;
   std::map<Endpoint, std::unique_ptr<Stream>> Outgoing;
   std::set<std::unique_ptr<Stream>> Incoming;
-  std::uint64_t Sent = 0;
+  std::uint64_t SentBytes = 0;
   std::uint64_t ReceivedBytes = 0;
   std::uint64_t Rejected = 0;
 };
--- a/Source/Transport/Transport.h
+++ b/Source/Transport/Transport.h
@@ -30,7 +30,7 @@
 /// each receiver.
 struct PreparedMessage {
   Message Body;
-  std::string Sealed; ///< Empty where the transport seals none.
+  std::string SignedBytes; ///< Empty where the transport seals none.
 };
 
 /// Sends and receives messages. No delivery is certain: everything that
--- a/Tests/Fuzz/LineProtocolFuzz.cpp
+++ b/Tests/Fuzz/LineProtocolFuzz.cpp
@@ -16,10 +16,10 @@
   const std::unique_ptr<evbuffer, decltype(&evbuffer_free)> In(evbuffer_new(),
                                                                evbuffer_free);
   evbuffer_add(In.get(), Input.data(), Input.size());
-  AnswerReader Reader;
+  AnswerParser Reader;
   bool IsBroken = false;
   while (true) {
-    const auto Line = takeLine(In.get());
+    const auto Line = extractLine(In.get());
     if (!Line || !*Line)
       break;
     if (const auto Message = parseCallerLine(**Line))
@@ -33,5 +33,5 @@
       static_cast<void>(parseStatus(**Answer));
   }
   if (const auto Plan = parsePlan(Input))
-    expect(Plan->Version > 0 && faultsOf(*Plan).empty());
+    expect(Plan->Version > 0 && validationErrors(*Plan).empty());
 }
--- a/Tests/Fuzz/RelayFuzz.cpp
+++ b/Tests/Fuzz/RelayFuzz.cpp
@@ -3,15 +3,14 @@
 
 #include "Common/Codec.h"
 #include "FuzzSupport.h"
-#include "Relay/RelayFrames.h"
+#include "Relay/RelayCodec.h"
 
 using namespace corianderdyke;
 
 namespace {
 
 /// What was read is packed and read again as the same.
-void expectSame(RelayFrames &Frames,
-                const std::vector<RelayMessage> &Messages) {
+void expectSame(RelayCodec &Frames, const std::vector<RelayMessage> &Messages) {
   const auto Again = Frames.read(Frames.write(Messages));
   expect(Again.has_value() && *Again == Messages);
 }
@@ -19,7 +18,7 @@
 } // namespace
 
 void fuzzOne(const std::string &Input) {
-  static RelayFrames Frames;
+  static RelayCodec Frames;
   // As it arrives: bytes that are no packing, or one of anything.
   if (const auto Read = Frames.read(Input))
     expectSame(Frames, *Read);
--- a/Tests/Fuzz/SessionTokenFuzz.cpp
+++ b/Tests/Fuzz/SessionTokenFuzz.cpp
@@ -8,9 +8,9 @@
 
 void fuzzOne(const std::string &Input) {
   const std::string Key = "a key for the sessions";
-  const auto Opened = openToken(Input, Key);
+  const auto Opened = verifyToken(Input, Key);
   if (!Opened)
     return;
-  const auto Again = openToken(sealToken(*Opened, Key), Key);
+  const auto Again = verifyToken(signToken(*Opened, Key), Key);
   expect(Again.has_value() && *Again == *Opened);
 }
--- a/Tests/Fuzz/StatementFuzz.cpp
+++ b/Tests/Fuzz/StatementFuzz.cpp
@@ -43,9 +43,11 @@
     if (std::getline(Lines, Value))
       Request.Headers[Name] = Value;
   }
-  for (const Verb What : {Verb::Run, Verb::Begin, Verb::Commit}) {
+  for (const StatementOperation What :
+       {StatementOperation::Run, StatementOperation::Begin,
+        StatementOperation::Commit}) {
     const auto Read = parseStatement(What, Request, manifest(), "key");
-    expect(!Read || (Read->Deadline > Millis() &&
+    expect(!Read || (Read->Timeout > Millis() &&
                      manifest().database(Read->Database) != nullptr));
   }
 }
--- a/Tests/Golden/CrashingProgram.cpp
+++ b/Tests/Golden/CrashingProgram.cpp
@@ -30,8 +30,8 @@
 } // namespace
 
 int main(int Count, char **Words) {
-  corianderdyke::setUpLogs(Count > 2, corianderdyke::Severity::Info);
-  corianderdyke::reportCrashes();
+  corianderdyke::configureLogging(Count > 2, corianderdyke::Severity::Info);
+  corianderdyke::installCrashHandler();
   if (Count < 2)
     return 2;
   if (std::strcmp(Words[1], "access") == 0)
--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -116,7 +116,7 @@
   Open = std::make_shared<Session>();
   Open->Owner = this;
   Open->Buffer = bufferevent_socket_new(
-      Loop.base(), makeTunedSocket(Millis(5000)), BEV_OPT_CLOSE_ON_FREE);
+      Loop.base(), makeTcpSocket(Millis(5000)), BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb(
       Open->Buffer,
       [](bufferevent *, void *Raw) {
--- a/Tests/Soak/FaultyLink.cpp
+++ b/Tests/Soak/FaultyLink.cpp
@@ -107,8 +107,8 @@
   Made->Owner = this;
   Made->Dialler =
       bufferevent_socket_new(Loop.base(), Socket, BEV_OPT_CLOSE_ON_FREE);
-  Made->Other = bufferevent_socket_new(
-      Loop.base(), makeTunedSocket(Millis(5000)), BEV_OPT_CLOSE_ON_FREE);
+  Made->Other = bufferevent_socket_new(Loop.base(), makeTcpSocket(Millis(5000)),
+                                       BEV_OPT_CLOSE_ON_FREE);
   for (bufferevent *Each : {Made->Dialler, Made->Other}) {
     bufferevent_setcb(
         Each,
--- a/Tests/StandIn/StandInTarget.cpp
+++ b/Tests/StandIn/StandInTarget.cpp
@@ -95,7 +95,7 @@
     Exchange->respond(answer(StatusNotFound, "no such path\n"));
 }
 
-void StandInTarget::disconnected(const std::string &Peer) {
+void StandInTarget::handleDisconnect(const std::string &Peer) {
   Connected.erase(Peer);
   Transactions.erase(Peer);
 }
@@ -338,7 +338,7 @@
   struct LogExchange final : HttpExchange {
     std::function<void()> Send;
     void respond(HttpResponse) override { Send(); }
-    void onHangUp(std::function<void()>) override {}
+    void onDisconnect(std::function<void()>) override {}
   };
   auto Adapter = std::make_shared<LogExchange>();
   Adapter->Send = Respond;
--- a/Tests/StandIn/StandInTarget.h
+++ b/Tests/StandIn/StandInTarget.h
@@ -20,7 +20,7 @@
 struct StandInOptions {
   std::string Name;
   std::string Database;
-  Place Where;
+  Locality Where;
   Endpoint Address;
   std::vector<Endpoint> Proxies; ///< What the balancer stands before.
   std::string TargetKey;
@@ -52,7 +52,7 @@
 
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpExchange> Exchange) override;
-  void disconnected(const std::string &Peer) override;
+  void handleDisconnect(const std::string &Peer) override;
 
   void setLag(Millis Lag) { Options.Lag = Lag; }
   std::uint64_t term() const { return Term; }
--- a/Tests/Support/FailoverSupport.h
+++ b/Tests/Support/FailoverSupport.h
@@ -14,8 +14,8 @@
   return Group == nullptr ? "" : Group->Primary;
 }
 
-inline std::vector<std::string> othersThan(const FakeCluster &Cluster,
-                                           const std::string &Target) {
+inline std::vector<std::string> targetsExcept(const FakeCluster &Cluster,
+                                              const std::string &Target) {
   std::vector<std::string> Out;
   for (const auto &[Name, Node] : Cluster.Targets)
     if (Name != Target)
@@ -24,8 +24,8 @@
 }
 
 /// Runs until another target than \p Old is primary.
-inline bool awaitOther(FakeCluster &Cluster, const std::string &Old,
-                       Millis Most = Millis(5000)) {
+inline bool awaitNewPrimary(FakeCluster &Cluster, const std::string &Old,
+                            Millis Most = Millis(5000)) {
   return Cluster.Loop.runUntilTrue(
       [&] {
         return Cluster.isWritable("bale-ledger-1") && primaryOf(Cluster) != Old;
@@ -34,23 +34,25 @@
 }
 
 /// Asks again, as callers are told to, while the answer is "not run".
-inline CallerAnswer askAgain(FakeCluster &Cluster, const std::string &Proxy,
-                             const CallerQuestion &Question,
-                             Millis Most = Millis(10000)) {
+inline CallerResponse sendWithRetries(FakeCluster &Cluster,
+                                      const std::string &Proxy,
+                                      const CallerRequest &Question,
+                                      Millis Most = Millis(10000)) {
   const Millis End = Cluster.Loop.now() + Most;
-  CallerAnswer Out = Cluster.askNow(Proxy, Question);
+  CallerResponse Out = Cluster.sendAndWait(Proxy, Question);
   while (Out.Outcome == "not-run" && Cluster.Loop.now() < End) {
     Cluster.Loop.runFor(Millis(100));
-    Out = Cluster.askNow(Proxy, Question);
+    Out = Cluster.sendAndWait(Proxy, Question);
   }
   return Out;
 }
 
 /// Why the last action of a kind was taken; empty where there was none.
-inline std::string auditOf(FakeCluster &Cluster, const std::string &Action) {
+inline std::string lastAuditReason(FakeCluster &Cluster,
+                                   const std::string &Action) {
   std::string Out;
   if (ControlNode *Leader = Cluster.leader(); Leader != nullptr)
-    for (const AuditRecord &Each : Leader->applied().audit())
+    for (const AuditRecord &Each : Leader->appliedState().audit())
       if (Each.Action == Action)
         Out = Each.Reason.empty() ? Each.To : Each.Reason;
   return Out;
