--- a/Tests/Support/FakeCluster.cpp
+++ b/Tests/Support/FakeCluster.cpp
@@ -57,11 +57,11 @@
 Settings FakeCluster::settings(const std::string &Name) const {
   Settings Out;
   Out.Name = Name;
-  Out.Where = {"riga", "kundzinsala", Name};
-  Out.Peers = endpoint(Name, PeersPort);
+  Out.OwnLocality = {"riga", "kundzinsala", Name};
+  Out.PeerEndpoint = endpoint(Name, PeersPort);
   for (const std::string &Each : ControlNames)
-    Out.Controls.push_back({Each, endpoint(Each, PeersPort)});
-  Out.PeerKey = Out.SessionKey = Out.TargetKey = AnyKey;
+    Out.ControlHosts.push_back({Each, endpoint(Each, PeersPort)});
+  Out.PeerKey = Out.SessionKey = Out.TargetKey = SharedKey;
   return Out;
 }
 
@@ -87,8 +87,9 @@
   All->Peers = Net.attach(Host, endpoint(Name, PeersPort));
   All->Connector = Net.connector(Host);
   All->Node = std::make_unique<ControlNode>(
-      settings(Name), ControlPorts{Host, Host, *All->Peers, *All->Connector},
-      *All->Log, NextNumber++);
+      settings(Name),
+      ControlDependencies{Host, Host, *All->Peers, *All->Connector}, *All->Log,
+      NextNumber++);
   Controls[Name] = All->Node.get();
   All->Node->start();
   Kept.push_back(All);
@@ -105,7 +106,8 @@
   All->Peers = Net.attach(Host, endpoint(Name, PeersPort));
   All->Connector = Net.connector(Host);
   All->Node = std::make_unique<ProxyNode>(
-      settings(Name), ProxyPorts{Host, Host, *All->Peers, *All->Connector},
+      settings(Name),
+      ProxyDependencies{Host, Host, *All->Peers, *All->Connector},
       NextNumber++);
   Proxies[Name] = All->Node.get();
   Net.serve(Host, endpoint(Name, CallersPort), *All->Node);
@@ -127,7 +129,7 @@
   Options.Database = Database;
   Options.Where = {"riga", "kundzinsala", Name};
   Options.Address = endpoint(Name, TargetPort);
-  Options.TargetKey = AnyKey;
+  Options.TargetKey = SharedKey;
   for (const std::string &Each : ProxyNames)
     Options.Proxies.push_back(endpoint(Each, CallersPort));
   All->Node =
@@ -153,10 +155,10 @@
       startTarget(Each.Name + "-" + std::to_string(Index), Each.Name);
 }
 
-void FakeCluster::apply(const std::string &Text) {
+void FakeCluster::applyManifest(const std::string &Text) {
   const auto Parsed = parseManifest("test", Text);
   if (!Parsed)
-    throw std::runtime_error(text(Parsed.error()));
+    throw std::runtime_error(refusalText(Parsed.error()));
   if (!Loop.runUntilTrue([this] { return leader() != nullptr; }, Millis(10000)))
     throw std::runtime_error("no leader");
   auto Done = std::make_shared<bool>(false);
@@ -165,8 +167,8 @@
   Loop.runUntilTrue([Done] { return *Done; }, Millis(10000));
 }
 
-void FakeCluster::bringUp(const std::string &Text) {
-  apply(Text);
+void FakeCluster::startAndAwaitWritable(const std::string &Text) {
+  applyManifest(Text);
   const Manifest Parsed = *parseManifest("test", Text);
   startTargets(Parsed);
   const auto Ready = [&] {
@@ -175,7 +177,7 @@
         return false;
     for (const auto &[Name, Each] : Proxies)
       if (!Each->isReady() ||
-          Each->view().Revision != leader()->applied().view().Revision)
+          Each->view().Revision != leader()->appliedState().view().Revision)
         return false;
     return true;
   };
@@ -185,14 +187,15 @@
 
 ControlNode *FakeCluster::leader() {
   for (const auto &[Name, Each] : Controls)
-    if (!Hosts[Name]->isFrozen() && Each->consensus().isSettledLeader())
+    if (!Hosts[Name]->isFrozen() && Each->consensus().isReadyLeader())
       return Each;
   return nullptr;
 }
 
 const GroupRecord *FakeCluster::group(const std::string &Database) {
   ControlNode *Leader = leader();
-  return Leader == nullptr ? nullptr : Leader->applied().view().group(Database);
+  return Leader == nullptr ? nullptr
+                           : Leader->appliedState().view().group(Database);
 }
 
 bool FakeCluster::isWritable(const std::string &Database) {
@@ -211,14 +214,14 @@
   return Connector->connect(endpoint(Proxy, CallersPort));
 }
 
-std::shared_ptr<CallerAnswer> FakeCluster::ask(const std::string &Proxy,
-                                               const CallerQuestion &Question) {
+std::shared_ptr<CallerResponse>
+FakeCluster::send(const std::string &Proxy, const CallerRequest &Question) {
   const auto Connection = connectTo(Proxy);
   Kept.push_back(Connection);
-  return askOver(*Connection, Question);
+  return sendOver(*Connection, Question);
 }
 
-std::string FakeCluster::issuedKey(const std::string &Name) {
+std::string FakeCluster::idempotencyKey(const std::string &Name) {
   if (Name.empty() || IdempotencyKey::parse(Name))
     return Name;
   return IssuedKeys
@@ -227,9 +230,9 @@
       .first->second;
 }
 
-std::shared_ptr<CallerAnswer>
-FakeCluster::askOver(HttpConnection &Connection,
-                     const CallerQuestion &Question) {
+std::shared_ptr<CallerResponse>
+FakeCluster::sendOver(HttpConnection &Connection,
+                      const CallerRequest &Question) {
   HttpRequest Request;
   Request.Method = HttpMethod::Post;
   Request.Path = Question.Path;
@@ -238,13 +241,13 @@
                      {caller_header::Kind, Question.Kind},
                      {caller_header::Session, Question.Session},
                      {caller_header::Transaction, Question.Transaction},
-                     {caller_header::Key, issuedKey(Question.Key)}};
+                     {caller_header::Key, idempotencyKey(Question.Key)}};
   if (Question.DeadlineMs != 0)
     Request.Headers[caller_header::DeadlineMs] =
         std::to_string(Question.DeadlineMs);
   Request.Body = Question.Body;
   constexpr Millis Patience(60000);
-  auto Answer = std::make_shared<CallerAnswer>();
+  auto Answer = std::make_shared<CallerResponse>();
   Connection.request(
       std::move(Request), Patience,
       [this, Answer](const Expected<HttpResponse> &Got) {
@@ -265,17 +268,18 @@
   return Answer;
 }
 
-CallerAnswer FakeCluster::askNow(const std::string &Proxy,
-                                 const CallerQuestion &Question, Millis Most) {
-  const auto Answer = ask(Proxy, Question);
-  Loop.runUntilTrue([&] { return Answer->Arrived; }, Most);
+CallerResponse FakeCluster::sendAndWait(const std::string &Proxy,
+                                        const CallerRequest &Question,
+                                        Millis Timeout) {
+  const auto Answer = send(Proxy, Question);
+  Loop.runUntilTrue([&] { return Answer->Arrived; }, Timeout);
   return *Answer;
 }
 
-CallerAnswer FakeCluster::askNowOver(HttpConnection &Connection,
-                                     const CallerQuestion &Question,
-                                     Millis Most) {
-  const auto Answer = askOver(Connection, Question);
+CallerResponse FakeCluster::sendOverAndWait(HttpConnection &Connection,
+                                            const CallerRequest &Question,
+                                            Millis Most) {
+  const auto Answer = sendOver(Connection, Question);
   Loop.runUntilTrue([&] { return Answer->Arrived; }, Most);
   return *Answer;
 }
--- a/Tests/Support/FakeCluster.h
+++ b/Tests/Support/FakeCluster.h
@@ -14,7 +14,7 @@
 namespace corianderdyke {
 
 /// What a caller got.
-struct CallerAnswer {
+struct CallerResponse {
   std::string Outcome;
   std::string Body;
   std::string Session;
@@ -26,15 +26,15 @@
   Millis At; ///< When it arrived.
   bool Arrived = false;
 
-  bool operator==(const CallerAnswer &) const = default;
+  bool operator==(const CallerResponse &) const = default;
 };
 
 /// What a caller asks.
-struct CallerQuestion {
+struct CallerRequest {
   std::string Database = "bale-ledger-1";
   std::string Organisation = "port-clerks";
   std::string Kind = "handover";
-  std::string Key = {}; ///< A name for one; see issuedKey().
+  std::string Key = {}; ///< A name for one; see idempotencyKey().
   std::string Body = {};
   std::string Session = {};
   std::string Transaction = {};
@@ -62,9 +62,9 @@
 
   /// Three targets for each database of the manifest.
   void startTargets(const Manifest &For);
-  void apply(const std::string &Text);
+  void applyManifest(const std::string &Text);
   /// Applies \p Text, starts the targets and waits until all can be written.
-  void bringUp(const std::string &Text);
+  void startAndAwaitWritable(const std::string &Text);
 
   /// The leading control host; null where none leads.
   ControlNode *leader();
@@ -73,23 +73,24 @@
 
   /// Sends a statement to a proxy. The answer comes into the result later;
   /// its Arrived tells.
-  std::shared_ptr<CallerAnswer> ask(const std::string &Proxy,
-                                    const CallerQuestion &Question);
+  std::shared_ptr<CallerResponse> send(const std::string &Proxy,
+                                       const CallerRequest &Question);
   /// Sends it and runs until the answer is there.
-  CallerAnswer askNow(const std::string &Proxy, const CallerQuestion &Question,
-                      Millis Most = Millis(20000));
+  CallerResponse sendAndWait(const std::string &Proxy,
+                             const CallerRequest &Question,
+                             Millis Timeout = Millis(20000));
 
   /// A caller's kept connection to a proxy; letting go of it hangs up.
   std::shared_ptr<HttpConnection> connectTo(const std::string &Proxy);
   /// The key that a caller issues when it first uses a name for one; the same
   /// for the same name from then on.
-  std::string issuedKey(const std::string &Name);
+  std::string idempotencyKey(const std::string &Name);
   /// The same over a kept connection.
-  std::shared_ptr<CallerAnswer> askOver(HttpConnection &Connection,
-                                        const CallerQuestion &Question);
-  CallerAnswer askNowOver(HttpConnection &Connection,
-                          const CallerQuestion &Question,
-                          Millis Most = Millis(20000));
+  std::shared_ptr<CallerResponse> sendOver(HttpConnection &Connection,
+                                           const CallerRequest &Question);
+  CallerResponse sendOverAndWait(HttpConnection &Connection,
+                                 const CallerRequest &Question,
+                                 Millis Most = Millis(20000));
 
   FakeLoop Loop;
   FakeNetwork Net;
@@ -102,9 +103,9 @@
   StandInOptions TargetOptions;
 
   /// Every key of the cluster.
-  static constexpr const char *AnyKey = "a key for the cluster in memory";
+  static constexpr const char *SharedKey = "a key for the cluster in memory";
 
-  static constexpr const char *Manifest1 = R"(
+  static constexpr const char *BaseManifest = R"(
 version = 1
 [[organisation]]
 name = "port-clerks"
--- a/Tests/Support/FakeControlGroup.cpp
+++ b/Tests/Support/FakeControlGroup.cpp
@@ -3,7 +3,7 @@
 
 #include "FakeControlGroup.h"
 
-#include "Common/KeyedDigest.h"
+#include "Common/Cryptography.h"
 
 #include <algorithm>
 #include <stdexcept>
@@ -22,12 +22,12 @@
 } // namespace
 
 FakeControlGroup::FakeControlGroup(std::uint64_t Seed, std::size_t Hosts,
-                                   GroupPolicyKind Membership)
+                                   MembershipMode Membership)
     : Random(Seed), Membership(Membership) {
   for (std::size_t Index = 1; Index <= Hosts; ++Index)
     Names.push_back("control-" + std::to_string(Index));
   Seeds = Names;
-  if (Membership == GroupPolicyKind::Open)
+  if (Membership == MembershipMode::Open)
     Seeds.resize(std::min<std::size_t>(3, Seeds.size()));
   for (const std::string &Name : Names)
     start(Name);
@@ -46,16 +46,17 @@
   start(New);
 }
 
-std::uint64_t FakeControlGroup::acknowledge(const std::string &Text,
-                                            std::size_t LostDisks) {
+std::uint64_t FakeControlGroup::proposeDurably(const std::string &Text,
+                                               std::size_t LostDisks) {
   if (!runUntil([this] { return leader() != nullptr; }))
     return 0;
   Consensus *At = leader();
   const auto Index = At->propose(Text, Now);
   if (!Index)
     return 0;
-  const bool Held = runUntil(
-      [&] { return leader() == At && At->outlives(*Index, LostDisks); });
+  const bool Held = runUntil([&] {
+    return leader() == At && At->survivesDiskLoss(*Index, LostDisks);
+  });
   return Held ? *Index : 0;
 }
 
@@ -73,10 +74,10 @@
     return;
   require(Loaded.has_value(),
           Name + " doesn't start: " + (Loaded ? "" : Loaded.error().Message));
-  const bool IsOpen = Membership == GroupPolicyKind::Open;
+  const bool IsOpen = Membership == MembershipMode::Open;
   ConsensusOptions Options{Name, IsOpen ? Seeds : Names};
   Options.Membership = Membership;
-  Options.MayFound = !IsOpen || IsFounding;
+  Options.MayBootstrap = !IsOpen || IsFounding;
   Made->Node =
       std::make_unique<Consensus>(std::move(Options), *Made->Log, Random());
   Hosts[Name] = std::move(Made);
@@ -99,7 +100,7 @@
 Consensus *FakeControlGroup::leader() {
   Consensus *Best = nullptr;
   for (const auto &[Name, Each] : Hosts)
-    if (Frozen.count(Name) == 0 && Each->Node->isSettledLeader() &&
+    if (Frozen.count(Name) == 0 && Each->Node->isReadyLeader() &&
         (Best == nullptr || Each->Node->term() > Best->term()))
       Best = Each->Node.get();
   return Best;
@@ -180,7 +181,7 @@
     collect(Name);
     // A host whose disk refused a sync goes on and waits for it.
     if (Each->Node->failure() &&
-        (Each->Disk->hasLostPower() || Each->Disk->Refused == 0)) {
+        (Each->Disk->hasLostPower() || Each->Disk->FailedSyncs == 0)) {
       require(Each->Disk->hasLostPower(),
               Name + " failed: " + Each->Node->failure()->Message);
       Dead.push_back(Name);
@@ -207,13 +208,13 @@
 }
 
 void FakeControlGroup::post(const std::string &From,
-                            const OutgoingConsensus &Each) {
-  if (Cuts.count({From, Each.To}) != 0 || chance() < Quality.Lost)
+                            const OutgoingConsensusMessage &Each) {
+  if (Cuts.count({From, Each.To}) != 0 || chance() < Faults.Lost)
     return;
-  const int Copies = chance() < Quality.Doubled ? 2 : 1;
+  const int Copies = chance() < Faults.Duplicated ? 2 : 1;
   for (int Copy = 0; Copy < Copies; ++Copy) {
     const auto Delay =
-        1 + Random() % static_cast<std::uint64_t>(Quality.MostDelay.count());
+        1 + Random() % static_cast<std::uint64_t>(Faults.MaxDelay.count());
     Network.emplace(Now + Millis(static_cast<std::int64_t>(Delay)),
                     InFlight{Each.To, Each.Message});
   }
@@ -239,7 +240,7 @@
                 " that began after " + std::to_string(At.Reads[Each.Ticket]) +
                 " was committed");
   }
-  for (const OutgoingConsensus &Each : Out.Messages)
+  for (const OutgoingConsensusMessage &Each : Out.Messages)
     post(Name, Each);
   if (!At.Node->isLeader() || At.Node->failure())
     return;
@@ -258,7 +259,7 @@
                                      " differs on " + Name +
                                      " from what was committed");
   At.Applied = Each.Index;
-  At.State = contentDigest(At.State + std::to_string(Each.Index) + Each.Bytes);
+  At.State = sha256Hex(At.State + std::to_string(Each.Index) + Each.Bytes);
   States[Each.Index] = At.State;
 }
 
@@ -267,7 +268,7 @@
   for (const auto &[Name, Each] : Hosts)
     for (std::uint64_t Index = Each->Log->snapshotIndex() + 1;
          Index <= Each->Log->lastIndex(); ++Index) {
-      const Entry &Here = *Each->Log->at(Index);
+      const Entry &Here = *Each->Log->entryAt(Index);
       const auto Known = Seen.try_emplace({Here.Index, Here.Term}, Here).first;
       require(Known->second == Here,
               "entry " + std::to_string(Index) + " of term " +
--- a/Tests/Support/FakeControlGroup.h
+++ b/Tests/Support/FakeControlGroup.h
@@ -13,17 +13,17 @@
 namespace corianderdyke {
 
 /// Rates out of a thousand messages, and the longest delay of one.
-struct FakeNetworkQuality {
+struct MessageFaults {
   int Lost = 0;
-  int Doubled = 0;
-  Millis MostDelay = Millis(10);
+  int Duplicated = 0;
+  Millis MaxDelay = Millis(10);
 };
 
 class FakeControlGroup {
 public:
   /// In an open group the first three hosts are the seeds.
   FakeControlGroup(std::uint64_t Seed, std::size_t Hosts,
-                   GroupPolicyKind Membership = GroupPolicyKind::Listed);
+                   MembershipMode Membership = MembershipMode::Listed);
 
   /// Lets time pass in steps of some milliseconds and checks after each that
   /// a term has one leader, that all hosts apply the same entries and that
@@ -44,7 +44,7 @@
   void replace(const std::string &Old, const std::string &New);
   /// Proposes through the leader and runs until it outlives the loss of so
   /// many disks; the index, 0 where that doesn't come about.
-  std::uint64_t acknowledge(const std::string &Text, std::size_t LostDisks);
+  std::uint64_t proposeDurably(const std::string &Text, std::size_t LostDisks);
 
   /// The settled leader that the most hosts follow; null where there's none.
   Consensus *leader();
@@ -64,7 +64,7 @@
   std::set<std::string> Frozen;
   /// Ordered pairs of which the second hears nothing from the first.
   std::set<std::pair<std::string, std::string>> Cuts;
-  FakeNetworkQuality Quality;
+  MessageFaults Faults;
   std::mt19937_64 Random;
   Millis Now = Millis(1000);
   std::uint64_t ConfirmedReads = 0;
@@ -91,10 +91,10 @@
   void deliver();
   void collect(const std::string &Name);
   void apply(const std::string &Name, Host &At, const Entry &Each);
-  void post(const std::string &From, const OutgoingConsensus &Each);
+  void post(const std::string &From, const OutgoingConsensusMessage &Each);
   int chance() { return static_cast<int>(Random() % 1000); }
 
-  GroupPolicyKind Membership;
+  MembershipMode Membership;
   std::vector<std::string> Seeds; ///< Of an open group.
   bool IsFounding = true;         ///< The hosts start for the first time.
   std::map<std::string, std::unique_ptr<Host>> Hosts;
--- a/Tests/Support/FakeDisk.h
+++ b/Tests/Support/FakeDisk.h
@@ -29,7 +29,7 @@
 
   Expected<void> sync(const std::string &Name) override {
     if (FailSyncs) {
-      ++Refused;
+      ++FailedSyncs;
       return fail(ErrorCode::System, "sync failed");
     }
     const bool Lost = losesPower();
@@ -74,7 +74,7 @@
       PowerLostAt = Operations + Count;
   }
   /// Takes back a loss that hasn't come yet.
-  void keepPower() {
+  void cancelPowerLoss() {
     if (!hasLostPower())
       PowerLostAt = Never;
   }
@@ -85,7 +85,7 @@
 
   bool FailSyncs = false;
   /// Syncs that FailSyncs refused.
-  std::size_t Refused = 0;
+  std::size_t FailedSyncs = 0;
 
 private:
   static constexpr std::size_t Never = ~std::size_t(0);
--- a/Tests/Support/FakeFleet.h
+++ b/Tests/Support/FakeFleet.h
@@ -7,7 +7,7 @@
 
 #include "FakeDisk.h"
 #include "FakeNetwork.h"
-#include "Steering/ControlFeed.h"
+#include "Steering/ControlClient.h"
 #include "Steering/SteeringNode.h"
 
 #include <catch2/catch.hpp>
@@ -19,14 +19,14 @@
 constexpr std::uint16_t RelayPort = 7001;
 
 /// Targets as control meets them: their positions, and who leads.
-class FakeTargets final : public TargetOrderPort, public PromotionPort {
+class FakeTargets final : public TargetCommandPort, public PromotionPort {
 public:
   struct Target {
     bool IsUp = true;
     bool IsBusy = false;
-    bool Receives = true;
-    bool IsRefusing = false;       ///< Nothing listens there any more.
-    bool IsCutFromControl = false; ///< But its heartbeats come through.
+    bool IsReplicating = true;
+    bool RefusesConnections = false; ///< Nothing listens there any more.
+    bool IsCutFromControl = false;   ///< But its heartbeats come through.
     bool IsPrimary = false;
     LogPosition Received{1, 10};
     std::uint64_t BornAt = 1000;
@@ -34,8 +34,8 @@
 
   explicit FakeTargets(FakeLoop &Loop) : Loop(Loop) {}
 
-  void ask(const TargetAddress &To, TargetCommand::Kind What, std::uint64_t,
-           Millis Timeout, OnStatus Handler) override {
+  void send(const TargetAddress &To, TargetCommand::Kind What, std::uint64_t,
+            Millis Timeout, OnStatus Handler) override {
     Target &At = Targets[To.Id];
     if (!At.IsUp || At.IsCutFromControl) {
       Loop.at(Loop.now() + Timeout,
@@ -45,12 +45,12 @@
     Loop.at(Loop.now() + Millis(2), [this, &At, What, Handler] {
       if (At.IsBusy)
         return Handler(fail(ErrorCode::Conflict, "busy"));
-      if (At.IsRefusing)
+      if (At.RefusesConnections)
         return Handler(fail(ErrorCode::NotFound, "refused"));
       if (What == TargetCommand::Kind::StopReceiving)
-        At.Receives = false;
-      if (What == TargetCommand::Kind::ReceiveAgain)
-        At.Receives = true;
+        At.IsReplicating = false;
+      if (What == TargetCommand::Kind::ResumeReceiving)
+        At.IsReplicating = true;
       if (What == TargetCommand::Kind::StepDown) {
         At.IsPrimary = false;
         ++StepDowns;
@@ -62,15 +62,15 @@
   void promote(const std::string &, const std::string &Target,
                std::uint64_t Token, OnResult Handler) override {
     Orders.push_back({Target, Token});
-    const Millis Late = DelayNext;
-    DelayNext = Millis(0);
+    const Millis Late = NextPromotionDelay;
+    NextPromotionDelay = Millis(0);
     Loop.at(Loop.now() + Millis(2) + Late, [this, Target, Token, Handler] {
       if (Token < HighestToken || !Targets[Target].IsUp)
         return Handler(Result::Rejected);
       HighestToken = Token;
       for (auto &[Id, Each] : Targets)
         Each.IsPrimary = Id == Target;
-      Handler(Result::Taken);
+      Handler(Result::Accepted);
     });
   }
 
@@ -84,7 +84,7 @@
   std::vector<Order> Orders;
   std::uint64_t HighestToken = 0;
   std::size_t StepDowns = 0;
-  Millis DelayNext;
+  Millis NextPromotionDelay;
 };
 
 struct ControlHostParts {
@@ -98,14 +98,15 @@
 struct ProxyParts {
   std::unique_ptr<FakeHost> Host;
   std::unique_ptr<Transport> Peers;
-  std::unique_ptr<ControlFeed> Feed;
+  std::unique_ptr<ControlClient> Feed;
 };
 
 /// Five control hosts, some proxies, one group of three targets whose
 /// heartbeats go to whoever leads.
-class Fleet {
+class FakeFleet {
 public:
-  explicit Fleet(std::uint64_t Seed, std::size_t Proxies = 3, int Controls = 5)
+  explicit FakeFleet(std::uint64_t Seed, std::size_t Proxies = 3,
+                     int Controls = 5)
       : Net(Loop, Seed), Targets(Loop), Random(Seed) {
     for (int Each = 1; Each <= Controls; ++Each)
       Names.push_back("10.0.0." + std::to_string(Each));
@@ -117,10 +118,10 @@
       Targets.Targets[Id].IsPrimary = std::string(Id) == "a";
   }
 
-  ~Fleet() {
+  ~FakeFleet() {
     Loop.clear();
     Proxies.clear();
-    GoneProxies.clear();
+    KilledProxies.clear();
     Controls.clear();
   }
 
@@ -136,14 +137,15 @@
     REQUIRE(Made.Log->load("disk-" + std::to_string(++LastDisk)));
     SteeringOptions Options;
     Options.Name = Name;
-    Options.Process = "control at " + Name;
+    Options.ProcessName = "control at " + Name;
     Options.PeerPort = PeerPort;
     Options.Seeds = {Names[0], Names[1], Names[2]};
-    Options.MayFound = MayFound;
-    Options.LostDisksBorne = 2;
+    Options.MayBootstrap = MayFound;
+    Options.ToleratedDiskLosses = 2;
     Made.Node = std::make_unique<SteeringNode>(
         Options,
-        SteeringPorts{*Made.Host, *Made.Host, *Made.Peers, Targets, Targets},
+        SteeringDependencies{*Made.Host, *Made.Host, *Made.Peers, Targets,
+                             Targets},
         *Made.Log, Random());
     Controls[Name] = std::move(Made);
     Controls[Name].Node->start();
@@ -153,11 +155,11 @@
     ProxyParts Made;
     Made.Host = std::make_unique<FakeHost>(Loop, Name);
     Made.Peers = Net.attach(*Made.Host, {Name, PeerPort});
-    Made.Feed = std::make_unique<ControlFeed>(
-        FeedOptions{{Name, Random()},
-                    PeerPort,
-                    {Names[0], Names[1], Names[2]},
-                    {Name, {Name, RelayPort}, "here"}},
+    Made.Feed = std::make_unique<ControlClient>(
+        ControlClientOptions{{Name, Random()},
+                             PeerPort,
+                             {Names[0], Names[1], Names[2]},
+                             {Name, {Name, RelayPort}, "here"}},
         *Made.Host, *Made.Host, *Made.Peers);
     Made.Feed->signalProxyList().connect(
         [this, Name](const std::vector<ProxyRecord> &All) {
@@ -169,14 +171,14 @@
 
   void killControl(const std::string &Name) {
     Controls[Name].Host->kill();
-    Graveyard.push_back(std::move(Controls[Name]));
+    KilledControls.push_back(std::move(Controls[Name]));
     Controls.erase(Name);
   }
 
   void killProxies() {
     for (auto &[Name, Each] : Proxies) {
       Each.Host->kill();
-      GoneProxies.push_back(std::move(Each));
+      KilledProxies.push_back(std::move(Each));
     }
     Proxies.clear();
   }
@@ -201,7 +203,7 @@
   }
 
   /// Targets speak to the leader as they do on their own, every second.
-  void beat() {
+  void sendHeartbeats() {
     ++Sequence;
     for (const auto &[Id, Each] : Targets.Targets) {
       if (!Each.IsUp || leader() == nullptr)
@@ -211,28 +213,28 @@
       Said.Group = "ledger";
       Said.Address = {Id, 5000};
       Said.FailureDomain = "here";
-      Said.BornAt = Each.BornAt;
+      Said.Incarnation = Each.BornAt;
       Said.Sequence = Sequence;
       Said.IsPrimary = Each.IsPrimary;
       Said.IsLeaving = Leaving.count(Id) != 0;
-      leader()->hear(Said, [](const Expected<void> &) {});
+      leader()->applyHeartbeat(Said, [](const Expected<void> &) {});
     }
   }
 
-  void runBeating(Millis Span) {
+  void runWithHeartbeats(Millis Span) {
     for (Millis Left = Span; Left > Millis(0); Left = Left - Millis(200)) {
-      beat();
+      sendHeartbeats();
       Loop.runFor(Millis(200));
     }
   }
 
-  bool accept(std::uint64_t Version, std::uint32_t SyncReplicas = 0) {
+  bool acceptPlan(std::uint64_t Version, std::uint32_t SyncReplicas = 0) {
     RoutePlan Plan;
     Plan.Version = Version;
     Plan.Groups = {{"ledger", 16, SyncReplicas}};
     Plan.Document = "document " + std::to_string(Version);
     auto Done = std::make_shared<std::optional<bool>>();
-    leader()->accept(Plan, [Done](const Expected<void> &Result) {
+    leader()->acceptPlan(Plan, [Done](const Expected<void> &Result) {
       *Done = Result.has_value();
     });
     Loop.runUntilTrue([Done] { return Done->has_value(); }, Millis(5000));
@@ -247,10 +249,10 @@
   }
 
   /// What proxies see of a target.
-  void report(const std::string &Target, std::size_t Count) {
+  void reportFailure(const std::string &Target, std::size_t Count) {
     for (auto &[Name, Each] : Proxies)
       if (Count-- > 0)
-        Each.Feed->noteFailed(Target);
+        Each.Feed->recordUnreachable(Target);
       else
         break;
   }
@@ -262,8 +264,8 @@
   std::vector<std::string> Names;
   std::map<std::string, std::unique_ptr<FakeDisk>> Disks;
   std::map<std::string, ControlHostParts> Controls;
-  std::vector<ControlHostParts> Graveyard;
-  std::vector<ProxyParts> GoneProxies;
+  std::vector<ControlHostParts> KilledControls;
+  std::vector<ProxyParts> KilledProxies;
   std::map<std::string, ProxyParts> Proxies;
   /// Lengths of the lists that each proxy was told.
   std::map<std::string, std::vector<std::size_t>> ProxyLists;
@@ -272,15 +274,15 @@
   int LastDisk = 0;
 };
 
-struct ReadySetup {
-  explicit ReadySetup(std::uint64_t Seed = 1, std::size_t Proxies = 3)
-      : On(Seed, Proxies) {
-    REQUIRE(On.awaitLeader());
-    REQUIRE(On.accept(1));
-    On.runBeating(Millis(1000));
-    REQUIRE(On.allProxiesHave(1));
+struct ReadyFleet {
+  explicit ReadyFleet(std::uint64_t Seed = 1, std::size_t Proxies = 3)
+      : Fleet(Seed, Proxies) {
+    REQUIRE(Fleet.awaitLeader());
+    REQUIRE(Fleet.acceptPlan(1));
+    Fleet.runWithHeartbeats(Millis(1000));
+    REQUIRE(Fleet.allProxiesHave(1));
   }
-  Fleet On;
+  FakeFleet Fleet;
 };
 
 } // namespace corianderdyke
--- a/Tests/Support/FakeGroup.cpp
+++ b/Tests/Support/FakeGroup.cpp
@@ -18,10 +18,10 @@
   Out.Group = GroupName;
   Out.Address = {Name, 5000};
   Out.FailureDomain = "here";
-  Out.BornAt = BornAt;
+  Out.Incarnation = BornAt;
   Out.Sequence = Changes;
   Out.IsPrimary = IsPrimary;
-  Out.PrimarySince = IsPrimary ? Changes : 0;
+  Out.PrimaryEpoch = IsPrimary ? Changes : 0;
   return Out;
 }
 
@@ -72,12 +72,12 @@
   void arrive() {
     if (!server().IsUp)
       return end(std::nullopt);
-    if (server().IsSilent)
+    if (server().IsUnresponsive)
       return;
-    ++server().Openings;
-    if (server().Open >= server().MaxConnections)
+    ++server().ConnectionAttempts;
+    if (server().OpenConnections >= server().MaxConnections)
       return end(StatementRefusal{RefusalCode::ConnectionLimit, "full"});
-    ++server().Open;
+    ++server().OpenConnections;
     IsOpen = true;
     const auto Handler = Handlers.OnOpen;
     Handler();
@@ -85,7 +85,7 @@
 
   void leave() {
     if (std::exchange(IsOpen, false))
-      --server().Open;
+      --server().OpenConnections;
   }
 
   void end(const std::optional<StatementRefusal> &Why) {
@@ -110,29 +110,30 @@
   }
 
   void take(const TargetCommand &Command) {
-    if (!IsOpen || server().IsSilent)
+    if (!IsOpen || server().IsUnresponsive)
       return;
     StatementAnswer Answer = execute(Command);
     Answer.Phase = phase();
     Answer.Position = server().Log;
     const bool IsCallers = !Command.Id.empty();
-    if (IsCallers && server().LoseAnswers > 0) {
-      --server().LoseAnswers;
+    if (IsCallers && server().ConnectionsToMute > 0) {
+      --server().ConnectionsToMute;
       IsDeaf = true;
     }
     if (IsDeaf)
       return;
-    if (IsCallers && server().SkipAnswers > 0) {
-      --server().SkipAnswers;
+    if (IsCallers && server().AnswersToDrop > 0) {
+      --server().AnswersToDrop;
       return;
     }
-    if (IsCallers && server().CutAnswers > 0) {
-      --server().CutAnswers;
+    if (IsCallers && server().AnswersToCut > 0) {
+      --server().AnswersToCut;
       return drop();
     }
     // Answers stay in order.
     const Millis Now = Owner.Loop.now();
-    AnswerAt = std::max(AnswerAt, Now + (IsCallers ? Owner.Work : Millis(0)));
+    AnswerAt =
+        std::max(AnswerAt, Now + (IsCallers ? Owner.ExecutionTime : Millis(0)));
     later(AnswerAt - Now + Owner.Latency, [this, Answer] {
       const auto Handler = Handlers.OnAnswer;
       Handler(Answer);
@@ -141,7 +142,7 @@
 
   StatementAnswer execute(const TargetCommand &Command) {
     using Kind = TargetCommand::Kind;
-    switch (Command.What) {
+    switch (Command.Operation) {
     case Kind::Reset:
       Values.clear();
       Prepared.clear();
@@ -153,8 +154,8 @@
       Prepared[Command.Name] = Command.Text;
       return {};
     case Kind::Begin:
-      if (server().RefuseOpenings > 0) {
-        --server().RefuseOpenings;
+      if (server().BeginsToRefuse > 0) {
+        --server().BeginsToRefuse;
         return refuse(RefusalCode::Busy);
       }
       if (!server().IsPrimary)
@@ -163,7 +164,7 @@
       Plain = true;
       return {};
     case Kind::BeginRead:
-      if (Command.After && server().Log < *Command.After)
+      if (Command.MinPosition && server().Log < *Command.MinPosition)
         return refuse(RefusalCode::Lagging);
       InTransaction = true;
       Plain = false;
@@ -179,7 +180,7 @@
 
   StatementAnswer runCallers(const TargetCommand &Command) {
     std::string Text = Command.Text;
-    if (Command.What == TargetCommand::Kind::Execute) {
+    if (Command.Operation == TargetCommand::Kind::Execute) {
       const auto Shape = Prepared.find(Command.Name);
       if (Shape == Prepared.end())
         return refuse(RefusalCode::NoStatement);
@@ -189,7 +190,7 @@
       return refuse(RefusalCode::Malformed);
     if (server().IsBusy)
       return refuse(RefusalCode::Busy);
-    if (Command.After && server().Log < *Command.After)
+    if (Command.MinPosition && server().Log < *Command.MinPosition)
       return refuse(RefusalCode::Lagging);
     const bool IsCommit = Text == "COMMIT";
     const bool IsWrite = Text.rfind("STORE", 0) == 0;
@@ -207,7 +208,7 @@
     if (!InTransaction)
       commit();
     StatementAnswer Out;
-    Out.Proof = "proof of " + Command.Id;
+    Out.Signature = "proof of " + Command.Id;
     if (!IsWrite && !IsCommit)
       Out.Rows = {"row of " + Command.Id};
     return Out;
@@ -220,7 +221,7 @@
     for (const std::string &Id : std::exchange(Written, {}))
       Owner.Committed[Id] = server().Log;
     for (auto &[Other, Each] : Owner.Servers)
-      if (Each.Receives && Each.IsUp && !Each.IsPrimary)
+      if (Each.IsReplicating && Each.IsUp && !Each.IsPrimary)
         Each.Log = server().Log;
   }
 
@@ -260,7 +261,7 @@
   Server &New = Servers[Name];
   New.Log = {New.Log.Term + 1, New.Log.Number};
   for (auto &[Other, Each] : Servers) {
-    if (Other != Name && Each.IsUp && Each.Receives)
+    if (Other != Name && Each.IsUp && Each.IsReplicating)
       Each.Log = New.Log;
   }
 }
@@ -274,8 +275,8 @@
   return Out;
 }
 
-const FakeRun *FakeGroup::run(const std::string &Id) const {
-  for (const FakeRun &Each : Runs)
+const FakeExecution *FakeGroup::run(const std::string &Id) const {
+  for (const FakeExecution &Each : Runs)
     if (Each.Id == Id)
       return &Each;
   return nullptr;
@@ -284,25 +285,27 @@
 std::size_t FakeGroup::runs(const std::string &Id) const {
   return static_cast<std::size_t>(
       std::count_if(Runs.begin(), Runs.end(),
-                    [&](const FakeRun &Each) { return Each.Id == Id; }));
+                    [&](const FakeExecution &Each) { return Each.Id == Id; }));
 }
 
 FakePipeline::FakePipeline(FakeLoop &Loop, FakeGroup &Group)
     : Loop(Loop), Group(Group), Host(Loop, "proxy"),
       Pipeline({Host, Host, Group, Floors}, {"region", "here", "proxy"}) {
   Pipeline.adopt(planOfThreeRoutes());
-  learn();
+  updateDirectory();
 }
 
-void FakePipeline::learn() { Pipeline.update(Group.directory()); }
+void FakePipeline::updateDirectory() {
+  Pipeline.updateTargets(Group.directory());
+}
 
-void FakePipeline::learnFrom(const std::string &Primary) {
+void FakePipeline::updateDirectoryWithStalePrimary(const std::string &Primary) {
   std::vector<TargetRecord> All;
   for (const auto &[Name, Each] : Group.Servers)
     All.push_back(recordOf(Name, Name == Primary, 1, Each.BornAt));
   TargetDirectory Late;
   Late.merge(All, Loop.now());
-  Pipeline.update(Late);
+  Pipeline.updateTargets(Late);
 }
 
 FakePipeline::Session FakePipeline::connect(const std::string &Database,
@@ -354,7 +357,7 @@
     Each.Name = Name;
     Each.Database = Name;
     Each.Reads = Reads;
-    Each.AcceptedAge = AcceptedAge;
+    Each.MaxStaleness = AcceptedAge;
     Each.StatementTimeout = Millis(800);
     Each.Objective = Millis(100);
     Each.Priority = 1;
@@ -362,7 +365,7 @@
     Out.Routes.push_back(Each);
   };
   Add("primary", Freshness::Primary, Millis(0));
-  Add("bounded", Freshness::Bounded, Millis(1500));
+  Add("bounded", Freshness::BoundedStaleness, Millis(1500));
   Add("own", Freshness::ReadYourWrites, Millis(2500));
   return Out;
 }
--- a/Tests/Support/FakeGroup.h
+++ b/Tests/Support/FakeGroup.h
@@ -19,7 +19,7 @@
 namespace corianderdyke {
 
 /// One statement as a target ran it.
-struct FakeRun {
+struct FakeExecution {
   std::string Id;
   std::string Target;
   std::string Text;         ///< With the shape in place of a prepared name.
@@ -37,17 +37,17 @@
   struct Server {
     bool IsPrimary = false;
     bool IsUp = true;
-    bool IsSilent = false;          ///< Takes everything and answers nothing.
-    bool IsBusy = false;            ///< Refuses statements as busy.
-    bool Receives = true;           ///< Gets what its primary commits.
-    std::size_t LoseAnswers = 0;    ///< Runs so many more and tells nobody.
-    std::size_t SkipAnswers = 0;    ///< Leaves so many out and goes on.
-    std::size_t RefuseOpenings = 0; ///< Opens so many transactions fewer.
-    std::size_t CutAnswers = 0;     ///< Closes in place of so many answers.
+    bool IsUnresponsive = false; ///< Takes everything and answers nothing.
+    bool IsBusy = false;         ///< Refuses statements as busy.
+    bool IsReplicating = true;   ///< Gets what its primary commits.
+    std::size_t ConnectionsToMute = 0; ///< Runs so many more and tells nobody.
+    std::size_t AnswersToDrop = 0;     ///< Leaves so many out and goes on.
+    std::size_t BeginsToRefuse = 0;    ///< Opens so many transactions fewer.
+    std::size_t AnswersToCut = 0;      ///< Closes in place of so many answers.
     std::size_t MaxConnections = 16;
     LogPosition Log{1, 1};
-    std::size_t Open = 0;
-    std::size_t Openings = 0; ///< That it took or refused.
+    std::size_t OpenConnections = 0;
+    std::size_t ConnectionAttempts = 0; ///< That it took or refused.
     std::uint64_t BornAt = 1000;
   };
 
@@ -62,15 +62,15 @@
   /// What targets would say of themselves.
   TargetDirectory directory() const;
   /// The run of a caller's statement; null where it never ran.
-  const FakeRun *run(const std::string &Id) const;
+  const FakeExecution *run(const std::string &Id) const;
   std::size_t runs(const std::string &Id) const;
 
   std::map<std::string, Server> Servers;
-  std::vector<FakeRun> Runs;
+  std::vector<FakeExecution> Runs;
   /// Ids of writes that are in a log for good, with their position.
   std::map<std::string, LogPosition> Committed;
   Millis Latency = Millis(1);
-  Millis Work = Millis(3);
+  Millis ExecutionTime = Millis(3);
 
 private:
   class Link;
@@ -119,9 +119,9 @@
                       const std::string &Id = "", const std::string &Text = "");
   StatementAnswer ask(const Session &On, Statement What);
   /// Lets the pipeline know what targets say of themselves now.
-  void learn();
+  void updateDirectory();
   /// The same from somebody who still takes \p Primary for the primary.
-  void learnFrom(const std::string &Primary);
+  void updateDirectoryWithStalePrimary(const std::string &Primary);
 
   FakeLoop &Loop;
   FakeGroup &Group;
--- a/Tests/Support/FakeLoop.h
+++ b/Tests/Support/FakeLoop.h
@@ -48,9 +48,9 @@
 
   void runFor(Millis Span) { runUntil(Time + Span); }
 
-  /// Runs until the condition holds; false where it didn't within \p Most.
-  bool runUntilTrue(const std::function<bool()> &Condition, Millis Most) {
-    const Millis Last = Time + Most;
+  /// Runs until the condition holds; false where it didn't within \p Timeout.
+  bool runUntilTrue(const std::function<bool()> &Condition, Millis Timeout) {
+    const Millis Last = Time + Timeout;
     while (!Condition()) {
       if (Actions.empty() || Actions.begin()->first.first > Last)
         return false;
@@ -74,8 +74,8 @@
 /// Time that a process loses at readings of its clock, the same for a seed: of
 /// \p Among readings about one takes 30 ms, and one in twenty a millisecond.
 /// Copies draw from one sequence.
-inline std::function<Millis()> interruptions(std::uint64_t Seed,
-                                             std::uint64_t Among) {
+inline std::function<Millis()> randomPauses(std::uint64_t Seed,
+                                            std::uint64_t Among) {
   return [Random = std::make_shared<std::mt19937_64>(Seed), Among] {
     const std::uint64_t Draw = (*Random)() % Among;
     return Millis(Draw == 0 ? 30 : Draw < Among / 20 ? 1 : 0);
@@ -95,8 +95,8 @@
   Millis now() const override {
     constexpr std::int64_t Million = 1000000;
     const std::int64_t True = Loop.now().count();
-    if (AtReading)
-      Passed += AtReading();
+    if (OnClockRead)
+      Passed += OnClockRead();
     return Millis(True + True * DriftPpm / Million) + Passed;
   }
   Millis wallTime() const override { return now() + WallOffset; }
@@ -145,15 +145,15 @@
       Each();
   }
   /// Runs an action when the process dies, such as closing its sockets.
-  void atDeath(std::function<void()> Action) {
+  void onKill(std::function<void()> Action) {
     AtDeath.push_back(std::move(Action));
   }
-  bool isDead() const { return Dead; }
+  bool isKilled() const { return Dead; }
   bool isFrozen() const { return Frozen; }
 
   /// How much time passes at each reading of the clock: a process may lose the
   /// processor between any two. Empty: none.
-  std::function<Millis()> AtReading;
+  std::function<Millis()> OnClockRead;
   std::int64_t DriftPpm = 0;
   Millis WallOffset = Millis(1700000000000);
 
--- a/Tests/Support/FakeNetwork.cpp
+++ b/Tests/Support/FakeNetwork.cpp
@@ -15,12 +15,12 @@
       Net.Receivers.erase(Known);
   }
   void send(const Endpoint &To, Delivery How, Message Body) override {
-    ++Net.Made[Body.index()];
+    ++Net.BuiltMessages[Body.index()];
     Net.send(Host, To, How,
              {Envelope::CurrentVersion, Host.name(), At, std::move(Body)});
   }
   PreparedMessage prepare(Message Body) const override {
-    ++Net.Made[Body.index()];
+    ++Net.BuiltMessages[Body.index()];
     return {std::move(Body), ""};
   }
   void send(const Endpoint &To, Delivery How,
@@ -63,7 +63,7 @@
   void request(HttpRequest Request, Millis Timeout, Handler OnAnswer) override {
     // A process's death closes its connections; its kernel sees to that.
     if (!std::exchange(Used, true))
-      Client.atDeath([this, Gone = Closed] { *Gone ? void() : close(); });
+      Client.onKill([this, Gone = Closed] { *Gone ? void() : close(); });
     Request.Peer = Peer;
     Current = std::make_shared<Call>();
     Current->OnAnswer = std::move(OnAnswer);
@@ -93,7 +93,7 @@
       Server.Host->run([Server, Gone, Each] {
         if (const auto HangUp = std::exchange(Each->HangUp, nullptr))
           HangUp();
-        Server.Handler->disconnected(Gone);
+        Server.Handler->handleDisconnect(Gone);
       });
     });
   }
@@ -113,7 +113,7 @@
       Wire->Loop.at(Wire->Loop.now() + Wire->latency(Client),
                     [Held = Each, Response] { Held->finish(Response); });
     }
-    void onHangUp(std::function<void()> Action) override {
+    void onDisconnect(std::function<void()> Action) override {
       Each->HangUp = std::move(Action);
     }
   };
@@ -123,7 +123,7 @@
                      const HttpRequest &Request) {
     const auto Found = Wire.Services.find(At);
     const bool Listens =
-        Found != Wire.Services.end() && !Found->second.Host->isDead();
+        Found != Wire.Services.end() && !Found->second.Host->isKilled();
     // A dead process's kernel still answers, with a refusal.
     if (!Listens) {
       const bool Lost = Found != Wire.Services.end() &&
@@ -151,7 +151,7 @@
     constexpr Millis Step(1);
     if (!Each->OnAnswer)
       return;
-    if (Server->isDead()) {
+    if (Server->isKilled()) {
       Each->finish(fail(ErrorCode::Unavailable, "connection reset"));
       return;
     }
@@ -200,7 +200,7 @@
 void FakeNetwork::send(FakeHost &From, const Endpoint &To, Delivery How,
                        Envelope What) {
   static const std::string Key = "a key for the network in memory";
-  const std::string Bytes = seal(What, Key);
+  const std::string Bytes = signAndEncode(What, Key);
   auto &Seen = Traffic[What.Body.index()];
   ++Seen.first;
   Seen.second += Bytes.size();
@@ -221,7 +221,7 @@
       return;
     Found->second.Host->run([this, To, Bytes] {
       // Through the real codec, so that tests meet its faults too.
-      const auto Opened = open(Bytes, Key);
+      const auto Opened = verifyAndDecode(Bytes, Key);
       const auto Again = Receivers.find(To);
       if (Opened && Again != Receivers.end())
         Again->second.At->signalReceived().emit(*Opened);
--- a/Tests/Support/FakeNetwork.h
+++ b/Tests/Support/FakeNetwork.h
@@ -53,7 +53,7 @@
   std::map<std::size_t, std::pair<std::uint64_t, std::uint64_t>> Traffic;
   /// Messages that a sender made, by index of Message; one that goes to many
   /// is made once.
-  std::map<std::size_t, std::uint64_t> Made;
+  std::map<std::size_t, std::uint64_t> BuiltMessages;
 
 private:
   class Port;
--- a/Tests/Support/FakeRelay.cpp
+++ b/Tests/Support/FakeRelay.cpp
@@ -8,7 +8,7 @@
 namespace corianderdyke {
 
 /// What both ends of a stream share.
-struct FakeStreams::Pipe {
+struct FakePeerStreams::Pipe {
   struct Side {
     FakeHost *Host = nullptr;
     PeerStreamEvents Events;
@@ -17,9 +17,9 @@
   Side Sides[2];
 };
 
-class FakeStreams::Stream final : public PeerStream {
+class FakePeerStreams::Stream final : public PeerStream {
 public:
-  Stream(FakeStreams &Net, std::shared_ptr<Pipe> Of, int Self)
+  Stream(FakePeerStreams &Net, std::shared_ptr<Pipe> Of, int Self)
       : Net(Net), Of(std::move(Of)), Self(Self) {}
 
   ~Stream() override { close(Net, Of, Self); }
@@ -35,7 +35,7 @@
   }
 
   /// One side is gone: the other learns after the latency.
-  static void close(FakeStreams &Net, const std::shared_ptr<Pipe> &Of,
+  static void close(FakePeerStreams &Net, const std::shared_ptr<Pipe> &Of,
                     int Which) {
     if (!std::exchange(Of->Sides[Which].IsOpen, false))
       return;
@@ -70,17 +70,17 @@
                 });
   }
 
-  FakeStreams &Net;
+  FakePeerStreams &Net;
   std::shared_ptr<Pipe> Of;
   int Self;
 };
 
-class FakeStreams::End final : public PeerStreams {
+class FakePeerStreams::End final : public PeerStreams {
 public:
-  End(FakeStreams &Net, FakeHost &Host, Endpoint At)
+  End(FakePeerStreams &Net, FakeHost &Host, Endpoint At)
       : Net(Net), Host(Host), At(std::move(At)) {
     Net.Listening[this->At] = this;
-    Host.atDeath([this] {
+    Host.onKill([this] {
       this->Net.Listening.erase(this->At);
       for (const auto &[Each, Side] : Pipes)
         Stream::close(this->Net, Each, Side);
@@ -105,7 +105,9 @@
     return std::make_shared<Stream>(Net, Made, 0);
   }
 
-  void accept(OnAccept Handler) override { Accepting = std::move(Handler); }
+  void setAcceptHandler(OnAccept Handler) override {
+    Accepting = std::move(Handler);
+  }
 
 private:
   void take(const std::shared_ptr<Pipe> &Made) {
@@ -115,15 +117,15 @@
     });
   }
 
-  FakeStreams &Net;
+  FakePeerStreams &Net;
   FakeHost &Host;
   Endpoint At;
   OnAccept Accepting;
   std::vector<std::pair<std::shared_ptr<Pipe>, int>> Pipes;
 };
 
-std::unique_ptr<PeerStreams> FakeStreams::attach(FakeHost &Host,
-                                                 const Endpoint &At) {
+std::unique_ptr<PeerStreams> FakePeerStreams::attach(FakeHost &Host,
+                                                     const Endpoint &At) {
   return std::make_unique<End>(*this, Host, At);
 }
 
@@ -133,8 +135,8 @@
 
 } // namespace
 
-std::unique_ptr<TargetLink> FakeAccess::open(const TargetAddress &To,
-                                             TargetLink::Events Events) {
+std::unique_ptr<TargetLink>
+FakeTargetConnector::open(const TargetAddress &To, TargetLink::Events Events) {
   class Refused final : public TargetLink {
   public:
     void send(const std::vector<TargetCommand> &) override {}
@@ -152,8 +154,8 @@
   return Made;
 }
 
-FakeProxy::FakeProxy(FakeLoop &Loop, FakeStreams &Net, TargetConnector &Targets,
-                     const std::string &Name)
+FakeProxy::FakeProxy(FakeLoop &Loop, FakePeerStreams &Net,
+                     TargetConnector &Targets, const std::string &Name)
     : Host(Loop, Name), Access(Loop, Targets),
       Streams(Net.attach(Host, {Name, RelayPort})), Broker(Host, Host, Access),
       Shared({Host, Host, Access, Broker, *Streams, Frames, Floors}, Name),
@@ -176,12 +178,12 @@
                                                   "p" + std::to_string(Each)));
   }
   for (auto &Each : Proxies) {
-    Each->Shared.adopt(Plan);
+    Each->Shared.setPlan(Plan);
     Each->Pipeline.adopt(Plan);
   }
   if (KnowsList)
-    listAll();
-  learn();
+    resetProxyList();
+  updateDirectories();
 }
 
 FakeRelaySystem::~FakeRelaySystem() { Loop.clear(); }
@@ -191,37 +193,37 @@
   return {Name, {Name, RelayPort}, "here"};
 }
 
-void FakeRelaySystem::list(const std::vector<std::size_t> &Present) {
+void FakeRelaySystem::setProxyList(const std::vector<std::size_t> &Present) {
   Listed = Present;
   std::vector<ProxyRecord> All;
   All.reserve(Present.size());
   for (const std::size_t Each : Present)
     All.push_back(recordOf(Each));
   for (auto &Each : Proxies) {
-    if (Each->Host.isDead())
+    if (Each->Host.isKilled())
       continue;
     Each->Shared.setProxies(All);
     Each->Pipeline.setProxyCount(All.size());
   }
 }
 
-void FakeRelaySystem::adopt(RoutePlan New) {
+void FakeRelaySystem::applyPlan(RoutePlan New) {
   for (GroupPolicy &Each : New.Groups)
     Each.MaxConnections = Plan.Groups.front().MaxConnections;
-  Plan = withoutKeys(std::move(New), "");
+  Plan = replaceKeysByDigests(std::move(New), "");
   for (auto &Each : Proxies) {
-    Each->Shared.adopt(Plan);
+    Each->Shared.setPlan(Plan);
     Each->Pipeline.adopt(Plan);
   }
-  learn();
+  updateDirectories();
 }
 
-void FakeRelaySystem::learn() {
+void FakeRelaySystem::updateDirectories() {
   for (auto &Each : Proxies) {
-    if (Each->Host.isDead())
+    if (Each->Host.isKilled())
       continue;
-    Each->Shared.update(Group.directory());
-    Each->Pipeline.update(Group.directory());
+    Each->Shared.updateTargets(Group.directory());
+    Each->Pipeline.updateTargets(Group.directory());
   }
 }
 
@@ -256,7 +258,7 @@
   return On.Caller->last();
 }
 
-std::vector<std::size_t> FakeRelaySystem::holders() const {
+std::vector<std::size_t> FakeRelaySystem::proxiesWithConnections() const {
   std::vector<std::size_t> Out;
   for (std::size_t Each = 0; Each < Proxies.size(); ++Each)
     if (Proxies[Each]->Broker.connections() > 0)
@@ -271,17 +273,17 @@
   for (const std::size_t Each : Listed)
     All.push_back(recordOf(Each));
   const std::size_t Count =
-      gatewaysFor(Plan.Groups.front().usableConnections());
+      gatewayCount(Plan.Groups.front().usableConnections());
   const GatewayTable Table(All, Group.directory().all(),
                            {{Plan.Groups.front().Name, Count}});
   std::vector<std::size_t> Out;
-  for (const ProxyRecord &Each : Table.of(Target))
+  for (const ProxyRecord &Each : Table.gatewaysOf(Target))
     if (Out.size() < Count)
       Out.push_back(static_cast<std::size_t>(std::stoi(Each.Name.substr(1))));
   return Out;
 }
 
-std::size_t FakeRelaySystem::outsider(const std::string &Target) const {
+std::size_t FakeRelaySystem::nonGateway(const std::string &Target) const {
   const std::vector<std::size_t> Inside = gateways(Target);
   for (const std::size_t Each : Listed)
     if (std::find(Inside.begin(), Inside.end(), Each) == Inside.end())
--- a/Tests/Support/FakeRelay.h
+++ b/Tests/Support/FakeRelay.h
@@ -6,16 +6,16 @@
 #define CORIANDERDYKE_TESTS_SUPPORT_FAKERELAY_H
 
 #include "FakeGroup.h"
-#include "Relay/RelayHost.h"
+#include "Relay/RelayServer.h"
 #include "Relay/SharedConnector.h"
 
 namespace corianderdyke {
 
 /// Streams of frames with a latency. A killed host's streams close, a frozen
 /// host's stay open and silent.
-class FakeStreams {
+class FakePeerStreams {
 public:
-  explicit FakeStreams(FakeLoop &Loop) : Loop(Loop) {}
+  explicit FakePeerStreams(FakeLoop &Loop) : Loop(Loop) {}
 
   /// A host's end; it stays good after the host's death.
   std::unique_ptr<PeerStreams> attach(FakeHost &Host, const Endpoint &At);
@@ -32,9 +32,9 @@
 };
 
 /// One proxy's way to the targets: those in Cut refuse it.
-class FakeAccess final : public TargetConnector {
+class FakeTargetConnector final : public TargetConnector {
 public:
-  FakeAccess(FakeLoop &Loop, TargetConnector &Targets)
+  FakeTargetConnector(FakeLoop &Loop, TargetConnector &Targets)
       : Loop(Loop), Targets(Targets) {}
 
   std::unique_ptr<TargetLink> open(const TargetAddress &To,
@@ -50,16 +50,16 @@
 /// One proxy with everything that shares connections.
 struct FakeProxy {
   FakeHost Host;
-  FakeAccess Access;
+  FakeTargetConnector Access;
   FloorTable Floors;
   std::unique_ptr<PeerStreams> Streams;
-  RelayFrames Frames;
+  RelayCodec Frames;
   TargetBroker Broker;
   SharedConnector Shared;
-  RelayHost Relay;
+  RelayServer Relay;
   SessionPipeline Pipeline;
 
-  FakeProxy(FakeLoop &Loop, FakeStreams &Net, TargetConnector &Targets,
+  FakeProxy(FakeLoop &Loop, FakePeerStreams &Net, TargetConnector &Targets,
             const std::string &Name);
 };
 
@@ -85,17 +85,17 @@
   StatementAnswer ask(const Session &On, StatementKind Kind,
                       const std::string &Id = "", const std::string &Text = "");
   /// All get a plan; the group takes as many connections as before.
-  void adopt(RoutePlan New);
+  void applyPlan(RoutePlan New);
   /// All learn what targets say of themselves now.
-  void learn();
+  void updateDirectories();
   /// All learn that only these proxies are there.
-  void list(const std::vector<std::size_t> &Present);
-  void listAll() { list(Listed); }
+  void setProxyList(const std::vector<std::size_t> &Present);
+  void resetProxyList() { setProxyList(Listed); }
   FakeProxy &proxy(std::size_t Index) { return *Proxies[Index]; }
   /// Proxies that hold a connection to any target.
-  std::vector<std::size_t> holders() const;
+  std::vector<std::size_t> proxiesWithConnections() const;
   /// A proxy that isn't a gateway of the target, and those that are.
-  std::size_t outsider(const std::string &Target) const;
+  std::size_t nonGateway(const std::string &Target) const;
   std::vector<std::size_t> gateways(const std::string &Target) const;
 
 private:
@@ -103,7 +103,7 @@
 
   FakeLoop &Loop;
   FakeGroup &Group;
-  FakeStreams Net;
+  FakePeerStreams Net;
   RoutePlan Plan;
   std::vector<std::size_t> Listed;
   std::vector<std::unique_ptr<FakeProxy>> Proxies;
--- a/Tests/Unit/AdmissionClusterTest.cpp
+++ b/Tests/Unit/AdmissionClusterTest.cpp
@@ -84,7 +84,7 @@
   struct Sent {
     std::string Organisation;
     Millis At;
-    std::shared_ptr<CallerAnswer> Answer;
+    std::shared_ptr<CallerResponse> Answer;
   };
   std::vector<Sent> All;
 
@@ -98,12 +98,12 @@
       return;
     const std::string Key = "k" + std::to_string(All.size());
     All.push_back({Of.Organisation, Cluster.Loop.now(),
-                   Cluster.ask(Open[All.size() % Open.size()],
-                               {.Organisation = Of.Organisation,
-                                .Kind = Of.Kind,
-                                .Key = Key,
-                                .Body = Of.Kind == "lookup" ? "get bale"
-                                                            : "put bale x"})});
+                   Cluster.send(Open[All.size() % Open.size()],
+                                {.Organisation = Of.Organisation,
+                                 .Kind = Of.Kind,
+                                 .Key = Key,
+                                 .Body = Of.Kind == "lookup" ? "get bale"
+                                                             : "put bale x"})});
   }
 
   FakeCluster &Cluster;
@@ -126,7 +126,7 @@
   // once with a time to come back.
   FakeCluster Cluster(3);
   Cluster.TargetOptions.ServiceTime = Millis(10);
-  Cluster.bringUp(TwoOrganisations);
+  Cluster.startAndAwaitWritable(TwoOrganisations);
   Callers All(Cluster);
   All.offer(Millis(3000),
             {{"port-clerks", "lookup", 180}, {"mills", "lookup", 4000}});
@@ -148,14 +148,14 @@
   // The mills open transactions and go away from their desks. Each holds a
   // connection until its idle bound. Handovers by others go on meanwhile.
   FakeCluster Cluster(4);
-  Cluster.bringUp(TwoOrganisations);
+  Cluster.startAndAwaitWritable(TwoOrganisations);
   std::vector<std::shared_ptr<HttpConnection>> Desks;
-  std::vector<std::shared_ptr<CallerAnswer>> Begun;
+  std::vector<std::shared_ptr<CallerResponse>> Begun;
   for (int Index = 0; Index < 20; ++Index) {
     Desks.push_back(Cluster.connectTo(Index % 2 == 0 ? "entry-1" : "entry-2"));
     Begun.push_back(
-        Cluster.askOver(*Desks.back(), {.Organisation = "mills",
-                                        .Path = "/transaction/begin"}));
+        Cluster.sendOver(*Desks.back(), {.Organisation = "mills",
+                                         .Path = "/transaction/begin"}));
   }
   Callers All(Cluster);
   All.offer(Millis(2000), {{"port-clerks", "handover", 50}});
@@ -175,7 +175,7 @@
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed), 3, 3);
   Cluster.TargetOptions.Connections = 100;
   Cluster.TargetOptions.ServiceTime = Millis(5);
-  Cluster.bringUp(TwoOrganisations);
+  Cluster.startAndAwaitWritable(TwoOrganisations);
   std::size_t Most = 0;
   const auto Watch = [&] {
     for (const auto &[Name, Each] : Cluster.Targets)
@@ -212,12 +212,12 @@
   FakeCluster Cluster(5);
   Cluster.TargetOptions.Connections = 100;
   Cluster.TargetOptions.ServiceTime = Millis(20);
-  Cluster.bringUp(TwoOrganisations);
+  Cluster.startAndAwaitWritable(TwoOrganisations);
   std::size_t Most = 0;
   const auto Load = [&](const std::string &Proxy, std::int64_t Span) {
     for (std::int64_t At = 0; At < Span; ++At) {
       if (At % 4 == 0)
-        Cluster.ask(Proxy, {.Kind = "lookup", .Body = "get bale"});
+        Cluster.send(Proxy, {.Kind = "lookup", .Body = "get bale"});
       Cluster.Loop.runFor(Millis(1));
       for (const auto &[Name, Each] : Cluster.Targets)
         Most = std::max(Most, Each->connections());
@@ -225,7 +225,8 @@
   };
   const auto Lent = [&](const std::string &Proxy) {
     std::uint32_t Sum = 0;
-    for (const auto &[Name, Each] : Cluster.Proxies[Proxy]->rights().shares())
+    for (const auto &[Name, Each] :
+         Cluster.Proxies[Proxy]->rights().allocations())
       Sum = std::max(Sum, Each);
     return Sum;
   };
@@ -248,21 +249,22 @@
   // connections, has all of them within two seconds, and not after ten.
   FakeCluster Cluster(6);
   Cluster.TargetOptions.ServiceTime = Millis(20);
-  Cluster.bringUp(TwoOrganisations);
+  Cluster.startAndAwaitWritable(TwoOrganisations);
   const auto Load = [&](const std::string &Proxy, std::int64_t Span) {
     for (std::int64_t At = 0; At < Span; At += 4) {
-      Cluster.ask(Proxy, {.Kind = "lookup", .Body = "get bale"});
+      Cluster.send(Proxy, {.Kind = "lookup", .Body = "get bale"});
       Cluster.Loop.runFor(Millis(4));
     }
   };
   Load("entry-1", 1500);
   Cluster.Loop.runFor(Millis(600));
-  Cluster.Proxies["entry-1"]->giveBackRights();
+  Cluster.Proxies["entry-1"]->releaseRights();
   Cluster.Loop.runFor(Millis(10));
   Cluster.kill("entry-1");
   Load("entry-2", 2000);
   std::uint32_t Most = 0;
-  for (const auto &[Name, Each] : Cluster.Proxies["entry-2"]->rights().shares())
+  for (const auto &[Name, Each] :
+       Cluster.Proxies["entry-2"]->rights().allocations())
     Most = std::max(Most, Each);
   CHECK(Most == 6);
 }
@@ -273,7 +275,7 @@
   // either by chance, reads pile up at the slow one and its callers are
   // refused (58 of 1650); by what is under way at each, hardly any are.
   FakeCluster Cluster(1);
-  Cluster.apply(TwoOrganisations);
+  Cluster.applyManifest(TwoOrganisations);
   Cluster.TargetOptions.ServiceTime = Millis(4);
   Cluster.startTarget("ledger-1", "bale-ledger-1");
   Cluster.startTarget("ledger-2", "bale-ledger-1");
--- a/Tests/Unit/AdmissionTest.cpp
+++ b/Tests/Unit/AdmissionTest.cpp
@@ -3,7 +3,7 @@
 
 #include "Admission/AdmissionController.h"
 #include "Admission/FairQueue.h"
-#include "Admission/FirstComeQueue.h"
+#include "Admission/FifoQueue.h"
 #include "Admission/RetryBudget.h"
 #include "Admission/StaticSplitQueue.h"
 
@@ -33,7 +33,7 @@
   const auto Next = Queue.pop(anyone);
   if (!Next)
     return "";
-  Queue.finished(*Next, Spent);
+  Queue.complete(*Next, Spent);
   return Next->Organisation;
 }
 
@@ -67,7 +67,7 @@
     const auto Next = Queue.pop(anyone);
     REQUIRE(Next);
     const bool IsMill = Next->Organisation == "mills";
-    Queue.finished(*Next, IsMill ? 5 : 50);
+    Queue.complete(*Next, IsMill ? 5 : 50);
     (IsMill ? Mills : Brokers) += IsMill ? 5 : 50;
   }
   CHECK(Mills / (Mills + Brokers) == Approx(0.75).margin(0.03));
@@ -98,16 +98,16 @@
   std::vector<Refusal> GivenUp;
   const Millis Now(1000);
   for (std::uint64_t Id = 1; Id <= 41; ++Id)
-    REQUIRE(Controller.arrive(request(Id, "mills"), Now).empty());
+    REQUIRE(Controller.admit(request(Id, "mills"), Now).empty());
   REQUIRE(Controller.next(anyone, Now, GivenUp));
   const auto Refused =
-      Controller.arrive(request(50, "mills", Millis(1100)), Now);
+      Controller.admit(request(50, "mills", Millis(1100)), Now);
   REQUIRE(Refused.size() == 1);
   CHECK(Refused[0].Reason == RefusalReason::DeadlineOutOfReach);
   CHECK(Refused[0].RetryAfter >= Millis(100));
-  CHECK(Controller.arrive(request(51, "mills", Millis(1300)), Now).empty());
+  CHECK(Controller.admit(request(51, "mills", Millis(1300)), Now).empty());
   // Another organisation isn't held up by the mills' queue.
-  CHECK(Controller.arrive(request(52, "brokers", Millis(1100)), Now).empty());
+  CHECK(Controller.admit(request(52, "brokers", Millis(1100)), Now).empty());
 }
 
 TEST_CASE("Refused callers are told to come back one by one", "[admission]") {
@@ -116,11 +116,11 @@
   AdmissionController Controller = fairController(1);
   std::vector<Refusal> GivenUp;
   const Millis Now(1000);
-  Controller.arrive(request(1, "mills"), Now);
+  Controller.admit(request(1, "mills"), Now);
   REQUIRE(Controller.next(anyone, Now, GivenUp));
   std::map<std::int64_t, int> Returning;
   for (std::uint64_t Id = 2; Id <= 300; ++Id)
-    for (const Refusal &Each : Controller.arrive(request(Id, "mills"), Now))
+    for (const Refusal &Each : Controller.admit(request(Id, "mills"), Now))
       ++Returning[Each.RetryAfter.count() / 20];
   for (const auto &[When, Number] : Returning)
     CHECK(Number <= 6);
@@ -130,15 +130,15 @@
 TEST_CASE("A full queue makes room for who uses less of it", "[admission]") {
   AdmissionController Controller = fairController(10);
   std::vector<Refusal> GivenUp;
-  Controller.arrive(request(1, "brokers"), Millis());
+  Controller.admit(request(1, "brokers"), Millis());
   REQUIRE(Controller.next(anyone, Millis(), GivenUp));
   for (std::uint64_t Id = 2; Id <= 11; ++Id)
-    REQUIRE(Controller.arrive(request(Id, "brokers"), Millis()).empty());
-  const auto Own = Controller.arrive(request(12, "brokers"), Millis());
+    REQUIRE(Controller.admit(request(Id, "brokers"), Millis()).empty());
+  const auto Own = Controller.admit(request(12, "brokers"), Millis());
   REQUIRE(Own.size() == 1);
   CHECK(Own[0].Request.Id == 12);
   CHECK(Own[0].Reason == RefusalReason::QueueFull);
-  const auto Others = Controller.arrive(request(13, "mills"), Millis());
+  const auto Others = Controller.admit(request(13, "mills"), Millis());
   REQUIRE(Others.size() == 1);
   CHECK(Others[0].Request.Id == 11);
   CHECK(Others[0].Reason == RefusalReason::Displaced);
@@ -152,16 +152,16 @@
   AdmissionController Controller = fairController(100);
   std::vector<Refusal> GivenUp;
   for (std::uint64_t Id = 1; Id <= 12; ++Id)
-    Controller.arrive(request(Id, "mills", Millis(2000)), Millis());
+    Controller.admit(request(Id, "mills", Millis(2000)), Millis());
   const auto First = Controller.next(anyone, Millis(), GivenUp);
   REQUIRE(First);
-  CHECK(Controller.giveUp(Millis(1)).empty());
-  Controller.finished(*First, 500);
+  CHECK(Controller.shedUnservable(Millis(1)).empty());
+  Controller.complete(*First, 500);
   const auto Second = Controller.next(anyone, Millis(500), GivenUp);
   REQUIRE(Second);
   CHECK(GivenUp.empty());
   // 1.5 s are left: the running one and two more fit in.
-  const auto Late = Controller.giveUp(Millis(500));
+  const auto Late = Controller.shedUnservable(Millis(500));
   CHECK(Late.size() == 7);
   for (const Refusal &Each : Late)
     CHECK(Each.Reason == RefusalReason::GivenUp);
@@ -172,17 +172,17 @@
   // and is let through: nothing runs that would say it's hopeless.
   AdmissionController Controller = fairController(10);
   std::vector<Refusal> GivenUp;
-  Controller.arrive(request(1, "mills"), Millis());
+  Controller.admit(request(1, "mills"), Millis());
   const auto Slow = Controller.next(anyone, Millis(), GivenUp);
   REQUIRE(Slow);
-  Controller.finished(*Slow, 5000);
-  CHECK(Controller.arrive(request(2, "mills", Millis(7000)), Millis(6000))
+  Controller.complete(*Slow, 5000);
+  CHECK(Controller.admit(request(2, "mills", Millis(7000)), Millis(6000))
             .empty());
   CHECK(Controller.next(anyone, Millis(6000), GivenUp));
 }
 
 TEST_CASE("The baselines do what they are measured for", "[admission]") {
-  FirstComeQueue Plain;
+  FifoQueue Plain;
   StaticSplitQueue Split([](const std::string &) { return 0.5; }, 2);
   for (QueueDiscipline *Each :
        std::initializer_list<QueueDiscipline *>{&Plain, &Split}) {
@@ -203,9 +203,9 @@
   RetryBudget Budget;
   std::uint64_t Retried = 0;
   for (int Turn = 0; Turn < 10000; ++Turn) {
-    Budget.noteFirstTry();
+    Budget.recordFirstAttempt();
     // Every statement fails, and its retry as well.
-    while (Budget.take())
+    while (Budget.tryTake())
       ++Retried;
   }
   // Ten of the burst, then one for ten of the 9999 after the first.
--- a/Tests/Unit/BrokerLinkTest.cpp
+++ b/Tests/Unit/BrokerLinkTest.cpp
@@ -19,7 +19,7 @@
   TargetCommand Out;
   Out.Id = Id;
   Out.Text = Text;
-  Out.MayWait = Millis(100);
+  Out.MaxQueueTime = Millis(100);
   return Out;
 }
 
@@ -59,7 +59,8 @@
   bool IsClosed = false;
   const auto Link = On.open(Answers, IsClosed);
   const auto Other = On.open(Others, IsClosed);
-  Link->send({{.What = TargetCommand::Kind::Begin, .MayWait = Millis(100)}});
+  Link->send(
+      {{.Operation = TargetCommand::Kind::Begin, .MaxQueueTime = Millis(100)}});
   On.Loop.runFor(Millis(50));
   REQUIRE(Answers.size() == 1);
   Link->send({run("end", "COMMIT")});
@@ -108,13 +109,13 @@
       TargetCommand Made;
       switch (Random() % 7) {
       case 0:
-        Made.What = TargetCommand::Kind::Begin;
+        Made.Operation = TargetCommand::Kind::Begin;
         break;
       case 1:
-        Made.What = TargetCommand::Kind::Rollback;
+        Made.Operation = TargetCommand::Kind::Rollback;
         break;
       case 2:
-        Made.What = TargetCommand::Kind::SetValue;
+        Made.Operation = TargetCommand::Kind::SetValue;
         Made.Name = "tenant";
         Made.Text = std::to_string(Random() % 3);
         break;
@@ -124,7 +125,7 @@
       default:
         Made = run("s" + std::to_string(NextId++), "STORE x 1");
       }
-      Made.MayWait = Millis(static_cast<std::int64_t>(Random() % 60));
+      Made.MaxQueueTime = Millis(static_cast<std::int64_t>(Random() % 60));
       Made.NeedsPrevious = !Commands.empty() && Random() % 2 == 0;
       Commands.push_back(Made);
     }
@@ -132,7 +133,7 @@
     Each.Link->send(Commands);
     FakeGroup::Server &Target = On.Group.Servers["a"];
     if (Random() % 25 == 0)
-      Target.CutAnswers = 1;
+      Target.AnswersToCut = 1;
     if (Random() % 25 == 0)
       Target.IsBusy = !Target.IsBusy;
     if (Random() % 60 == 0)
--- a/Tests/Unit/ClusterTest.cpp
+++ b/Tests/Unit/ClusterTest.cpp
@@ -9,11 +9,11 @@
 
 TEST_CASE("A session reads its write at another proxy", "[cluster]") {
   FakeCluster Cluster(1);
-  Cluster.bringUp(FakeCluster::Manifest1);
-  const CallerAnswer Written =
-      Cluster.askNow("entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
+  const CallerResponse Written =
+      Cluster.sendAndWait("entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
-  const CallerAnswer Read = Cluster.askNow(
+  const CallerResponse Read = Cluster.sendAndWait(
       "entry-2",
       {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
   CHECK(Read.Outcome == "done");
@@ -26,16 +26,16 @@
   const auto Seed = GENERATE(range(1, 6));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
-  Cluster.bringUp(FakeCluster::Manifest1);
-  const CallerAnswer Written =
-      Cluster.askNow("entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
+  const CallerResponse Written =
+      Cluster.sendAndWait("entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   Cluster.kill(Written.Target);
-  const CallerAnswer Next =
-      Cluster.askNow("entry-2", {.Key = "k2", .Body = "put next one"});
+  const CallerResponse Next =
+      Cluster.sendAndWait("entry-2", {.Key = "k2", .Body = "put next one"});
   CHECK(Next.Outcome == "done");
   CHECK(Next.Target != Written.Target);
-  const CallerAnswer Read = Cluster.askNow(
+  const CallerResponse Read = Cluster.sendAndWait(
       "entry-1",
       {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
   CHECK(Read.Body == "haulier");
--- a/Tests/Unit/ConsensusRunTest.cpp
+++ b/Tests/Unit/ConsensusRunTest.cpp
@@ -14,7 +14,7 @@
 class FaultyRun {
 public:
   FaultyRun(std::uint64_t Seed, std::size_t Hosts) : Group(Seed, Hosts) {
-    Group.Quality = {below(2) * 100, below(2) * 100, Millis(1 + below(120))};
+    Group.Faults = {below(2) * 100, below(2) * 100, Millis(1 + below(120))};
   }
 
   void run(int Faults) {
@@ -30,9 +30,9 @@
   bool settles() {
     Group.Cuts.clear();
     Group.Frozen.clear();
-    Group.Quality = {};
+    Group.Faults = {};
     for (const auto &[Name, Disk] : Group.Disks)
-      Disk->keepPower();
+      Disk->cancelPowerLoss();
     Group.run(Millis(1));
     for (const std::string &Name : Group.Names)
       if (Group.host(Name) == nullptr)
--- a/Tests/Unit/ConsensusTest.cpp
+++ b/Tests/Unit/ConsensusTest.cpp
@@ -132,7 +132,7 @@
   Three.Group.start(Repaired);
   Three.Group.run(Millis(5000));
   CHECK(Three.Group.leader() == nullptr);
-  CHECK_THAT(Three.Group.host(Other)->notLeading(Three.Group.Now),
+  CHECK_THAT(Three.Group.host(Other)->notLeaderReason(Three.Group.Now),
              Catch::Contains("2 of 3") && Catch::Contains(Leader));
   Three.Group.start(Leader);
   Three.settle();
@@ -204,7 +204,7 @@
   // could hold other first entries. The group forms, and the logs agree.
   const auto Seed = GENERATE(range(1, 101));
   FakeControlGroup Group(static_cast<std::uint64_t>(Seed), 3);
-  Group.Quality = {0, 0, Millis(300)};
+  Group.Faults = {0, 0, Millis(300)};
   Group.run(Millis(static_cast<std::int64_t>(Group.Random() % 600)));
   const std::string Name = Seed % 2 == 0 ? "control-2" : "control-3";
   Group.crash(Name);
@@ -214,7 +214,7 @@
     Group.run(Millis(10));
     REQUIRE_NOTHROW(Group.checkLogs());
   }
-  Group.Quality = {};
+  Group.Faults = {};
   CHECK(Group.runUntil([&] { return Group.isSettled(); }));
 }
 
@@ -451,10 +451,11 @@
   ThreeHosts Of;
   const std::string Name = Of.follower();
   const ElectionCounts Before = Of.Group.host(Name)->elections();
-  CHECK(Of.Group.leader()->elections().Begun > 0);
+  CHECK(Of.Group.leader()->elections().Started > 0);
   Of.cutOff(Name);
   REQUIRE(Of.Group.runUntil([&] {
-    return Of.Group.host(Name)->elections().Asked > Before.Asked + 2;
+    return Of.Group.host(Name)->elections().PreVoteRounds >
+           Before.PreVoteRounds + 2;
   }));
-  CHECK(Of.Group.host(Name)->elections().Begun == Before.Begun);
+  CHECK(Of.Group.host(Name)->elections().Started == Before.Started);
 }
--- a/Tests/Unit/ControlTrafficTest.cpp
+++ b/Tests/Unit/ControlTrafficTest.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Bytes of all messages between the processes so far.
-std::uint64_t bytesSent(const Fleet &On) {
+std::uint64_t bytesSent(const FakeFleet &On) {
   std::uint64_t Out = 0;
   for (const auto &[Kind, Seen] : On.Net.Traffic)
     Out += Seen.second;
@@ -22,16 +22,16 @@
 
 /// Bytes that a second with one change costs more than one without.
 ChangeTraffic changeTraffic(std::size_t Proxies, std::size_t Targets) {
-  Fleet On(7, Proxies);
+  FakeFleet On(7, Proxies);
   for (std::size_t Each = 0; Each < Targets; ++Each)
     On.Targets.Targets["t" + std::to_string(Each)].BornAt = 2000 + Each;
   REQUIRE(On.awaitLeader());
-  REQUIRE(On.accept(1));
-  On.runBeating(Millis(5000));
+  REQUIRE(On.acceptPlan(1));
+  On.runWithHeartbeats(Millis(5000));
   REQUIRE(On.allProxiesHave(1));
   const auto Second = [&On] {
     const std::uint64_t Before = bytesSent(On);
-    On.runBeating(Millis(1000));
+    On.runWithHeartbeats(Millis(1000));
     return bytesSent(On) - Before;
   };
   const std::uint64_t Quiet = Second();
--- a/Tests/Unit/DecoderTest.cpp
+++ b/Tests/Unit/DecoderTest.cpp
@@ -54,15 +54,16 @@
   // A caller that would wait for ever sends a span that no signed number
   // holds. It mustn't be refused as if its deadline had passed.
   const Manifest Current =
-      *parseManifest("manifest.toml", FakeCluster::Manifest1);
+      *parseManifest("manifest.toml", FakeCluster::BaseManifest);
   HttpRequest Request;
   Request.Headers = {{caller_header::Database, "bale-ledger-1"},
                      {caller_header::Organisation, "port-clerks"},
                      {caller_header::Kind, "lookup"},
                      {caller_header::DeadlineMs, "16397105843297332992"}};
-  const auto Read = parseStatement(Verb::Run, Request, Current, "key");
+  const auto Read =
+      parseStatement(StatementOperation::Run, Request, Current, "key");
   REQUIRE(Read);
-  CHECK(Read->Deadline == Current.kind("lookup")->Deadline);
+  CHECK(Read->Timeout == Current.kind("lookup")->Deadline);
 }
 
 TEST_CASE("Long messages are packed, and a false length is an error",
@@ -70,17 +71,18 @@
   std::string Long;
   for (int Each = 0; Each < 500; ++Each)
     Long += "route " + std::to_string(Each) + " of the same group\n";
-  const std::string Packed = pack(Long);
+  const std::string Packed = compressMessage(Long);
   CHECK(Packed.size() < Long.size() / 3);
-  CHECK(unpack(Packed, Long.size()) == Long);
-  CHECK(unpack(pack("short"), 100) == std::string("short"));
+  CHECK(decompressMessage(Packed, Long.size()) == Long);
+  CHECK(decompressMessage(compressMessage("short"), 100) ==
+        std::string("short"));
   // A length that would fill the memory, one that isn't the content's, and
   // bytes that are no packing at all.
-  CHECK_FALSE(unpack(Packed, Long.size() - 1));
+  CHECK_FALSE(decompressMessage(Packed, Long.size() - 1));
   std::string Other = Packed;
   Other[1] = static_cast<char>(Other[1] + 1);
-  CHECK_FALSE(unpack(Other, Long.size() * 2));
-  CHECK_FALSE(unpack("", 100));
-  CHECK_FALSE(unpack("?", 100));
-  CHECK_FALSE(unpack("z", 100));
+  CHECK_FALSE(decompressMessage(Other, Long.size() * 2));
+  CHECK_FALSE(decompressMessage("", 100));
+  CHECK_FALSE(decompressMessage("?", 100));
+  CHECK_FALSE(decompressMessage("z", 100));
 }
--- a/Tests/Unit/DirectoryTest.cpp
+++ b/Tests/Unit/DirectoryTest.cpp
@@ -3,10 +3,10 @@
 /// pools that rest on it.
 
 #include "Directory/TargetDirectory.h"
-#include "Logs/LineBudget.h"
 #include "Logs/LogEvents.h"
+#include "Logs/LogRateLimiter.h"
 #include "Pipeline/FloorTable.h"
-#include "Pipeline/LeaderOutage.h"
+#include "Pipeline/PrimaryOutage.h"
 
 #include <catch2/catch.hpp>
 
@@ -32,25 +32,25 @@
   // address. The dead one's heartbeat arrives only then; callers sent by it
   // would reach a server that isn't the one they mean.
   TargetDirectory Known;
-  CHECK(Known.hear(said("old", 5), Millis(0)));
-  CHECK(Known.hear(said("new", 1), Millis(10)));
-  CHECK_FALSE(Known.hear(said("old", 6), Millis(20)));
+  CHECK(Known.applyHeartbeat(said("old", 5), Millis(0)));
+  CHECK(Known.applyHeartbeat(said("new", 1), Millis(10)));
+  CHECK_FALSE(Known.applyHeartbeat(said("old", 6), Millis(20)));
   REQUIRE(Known.ofGroup("ledger").size() == 1);
   CHECK(Known.ofGroup("ledger")[0].Id == "new");
 }
 
 TEST_CASE("An older sequence is ignored", "[directory]") {
   TargetDirectory Known;
-  Known.hear(said("a", 5, true), Millis(0));
-  CHECK_FALSE(Known.hear(said("a", 4, false), Millis(10)));
+  Known.applyHeartbeat(said("a", 5, true), Millis(0));
+  CHECK_FALSE(Known.applyHeartbeat(said("a", 4, false), Millis(10)));
   CHECK(Known.primaryOf("ledger")->Id == "a");
 }
 
 TEST_CASE("The last to become primary is believed", "[directory]") {
   TargetDirectory Known;
-  Known.hear(said("a", 1, true, 1), Millis(0));
-  Known.hear(said("b", 1, false, 2), Millis(0));
-  Known.hear(said("b", 2, true, 2), Millis(10));
+  Known.applyHeartbeat(said("a", 1, true, 1), Millis(0));
+  Known.applyHeartbeat(said("b", 1, false, 2), Millis(0));
+  Known.applyHeartbeat(said("b", 2, true, 2), Millis(10));
   CHECK(Known.primaryOf("ledger")->Id == "b");
 }
 
@@ -62,13 +62,13 @@
   TargetDirectory Proxy;
   TargetDirectory First;
   First.beginTerm(1);
-  First.hear(said("dead", 1, true, 1), Millis(0));
-  First.hear(said("dead", 2, false, 1), Millis(1));
-  First.hear(said("dead", 3, true, 1), Millis(2));
+  First.applyHeartbeat(said("dead", 1, true, 1), Millis(0));
+  First.applyHeartbeat(said("dead", 2, false, 1), Millis(1));
+  First.applyHeartbeat(said("dead", 3, true, 1), Millis(2));
   Proxy.merge(First.all(), Millis(3));
   TargetDirectory Second;
   Second.beginTerm(2);
-  Second.hear(said("next", 1, true, 2), Millis(10));
+  Second.applyHeartbeat(said("next", 1, true, 2), Millis(10));
   Proxy.merge(Second.all(), Millis(11));
   CHECK(Proxy.primaryOf("ledger")->Id == "next");
 }
@@ -80,34 +80,34 @@
   // the former life it would never be used.
   TargetDirectory Known;
   TargetRecord First = said("a", 50, true);
-  First.BornAt = 1000;
+  First.Incarnation = 1000;
   First.IsLeaving = true;
-  Known.hear(First, Millis(0));
-  Known.leave("a", 1000, Millis(10));
+  Known.applyHeartbeat(First, Millis(0));
+  Known.deregister("a", 1000, Millis(10));
   TargetRecord Second = said("a", 1);
-  Second.BornAt = 2000;
-  CHECK(Known.hear(Second, Millis(20)));
+  Second.Incarnation = 2000;
+  CHECK(Known.applyHeartbeat(Second, Millis(20)));
   CHECK_FALSE(Known.find("a")->IsGone);
   CHECK_FALSE(Known.find("a")->IsLeaving);
   CHECK_FALSE(Known.find("a")->IsPrimary);
   CHECK(Known.find("a")->Sequence == 1);
   // Late word of the former life changes nothing, whatever its count is.
   First.Sequence = 51;
-  CHECK_FALSE(Known.hear(First, Millis(30)));
-  CHECK_FALSE(Known.leave("a", 1000, Millis(40)));
+  CHECK_FALSE(Known.applyHeartbeat(First, Millis(30)));
+  CHECK_FALSE(Known.deregister("a", 1000, Millis(40)));
   CHECK_FALSE(Known.find("a")->IsGone);
-  CHECK(Known.leave("a", 2000, Millis(50)));
+  CHECK(Known.deregister("a", 2000, Millis(50)));
 }
 
 TEST_CASE("Word of two lives arrives at proxies in any order", "[directory]") {
   // A proxy is told of the later life by one control host, and of the earlier
   // one by another that was cut off meanwhile.
   TargetRecord Old = said("a", 90, true);
-  Old.BornAt = 1000;
+  Old.Incarnation = 1000;
   Old.IsGone = true;
-  Old.PrimarySince = 7;
+  Old.PrimaryEpoch = 7;
   TargetRecord New = said("a", 2);
-  New.BornAt = 2000;
+  New.Incarnation = 2000;
   TargetDirectory NewFirst;
   NewFirst.merge({New}, Millis(0));
   NewFirst.merge({Old}, Millis(1));
@@ -124,11 +124,11 @@
   // its sender, which is dead; another target has its address by now.
   TargetDirectory Known;
   TargetRecord Present = said("present", 3);
-  Present.BornAt = 2000;
-  Known.hear(Present, Millis(0));
+  Present.Incarnation = 2000;
+  Known.applyHeartbeat(Present, Millis(0));
   TargetRecord Dead = said("dead", 8);
-  Dead.BornAt = 1000;
-  CHECK_FALSE(Known.hear(Dead, Millis(10)));
+  Dead.Incarnation = 1000;
+  CHECK_FALSE(Known.applyHeartbeat(Dead, Millis(10)));
   CHECK_FALSE(Known.find("present")->IsGone);
   CHECK(Known.find("dead") == nullptr);
 }
@@ -137,34 +137,34 @@
   TargetDirectory Known;
   TargetRecord Leaving = said("a", 2);
   Leaving.IsLeaving = true;
-  Known.hear(Leaving, Millis(0));
-  Known.hear(said("a", 3), Millis(10));
+  Known.applyHeartbeat(Leaving, Millis(0));
+  Known.applyHeartbeat(said("a", 3), Millis(10));
   CHECK(Known.find("a")->IsLeaving);
 }
 
 TEST_CASE("Only news raises the directory's revision", "[directory]") {
   TargetDirectory Known;
-  CHECK(Known.hear(said("a", 1), Millis(0)));
+  CHECK(Known.applyHeartbeat(said("a", 1), Millis(0)));
   const std::uint64_t Before = Known.revision();
-  CHECK_FALSE(Known.hear(said("a", 2), Millis(10)));
+  CHECK_FALSE(Known.applyHeartbeat(said("a", 2), Millis(10)));
   CHECK(Known.revision() == Before);
-  CHECK(Known.lastHeard("a") == Millis(10));
+  CHECK(Known.lastUpdate("a") == Millis(10));
 }
 
 TEST_CASE("A goodbye outlasts late heartbeats, then is forgotten",
           "[directory]") {
   TargetDirectory Known;
-  Known.hear(said("a", 1), Millis(0));
-  CHECK(Known.leave("a", 0, Millis(10)));
-  CHECK_FALSE(Known.hear(said("a", 2), Millis(20)));
-  Known.forgetGone(Millis(20) + TargetDirectory::GoneKept);
+  Known.applyHeartbeat(said("a", 1), Millis(0));
+  CHECK(Known.deregister("a", 0, Millis(10)));
+  CHECK_FALSE(Known.applyHeartbeat(said("a", 2), Millis(20)));
+  Known.purgeGone(Millis(20) + TargetDirectory::GoneRetention);
   CHECK(Known.find("a") == nullptr);
 }
 
 TEST_CASE("A floor counts from when its proof was sent", "[floor]") {
   FloorTable Floors;
-  Floors.note("ledger", {1, 10}, Millis(1000), Millis(1000));
-  Floors.note("ledger", {1, 20}, Millis(2000), Millis(2000));
+  Floors.record("ledger", {1, 10}, Millis(1000), Millis(1000));
+  Floors.record("ledger", {1, 20}, Millis(2000), Millis(2000));
   CHECK(Floors.floor("ledger", Millis(2400), Millis(1500)) ==
         LogPosition{1, 10});
   CHECK(Floors.floor("ledger", Millis(2500), Millis(1500)) ==
@@ -177,21 +177,21 @@
   // Position 20 had been shown when a question went out whose answer shows 3:
   // its target has lost its log. An answer that was overtaken is no sign.
   FloorTable Floors;
-  Floors.note("ledger", {1, 20}, Millis(1000), Millis(1010));
-  CHECK(Floors.hasShrunk("ledger", {1, 3}, Millis(1011)));
-  CHECK_FALSE(Floors.hasShrunk("ledger", {1, 3}, Millis(1005)));
-  CHECK_FALSE(Floors.hasShrunk("ledger", {1, 20}, Millis(1011)));
-  CHECK_FALSE(Floors.hasShrunk("ledger", {2, 3}, Millis(1011)));
-  CHECK_FALSE(Floors.hasShrunk("other", {1, 3}, Millis(1011)));
+  Floors.record("ledger", {1, 20}, Millis(1000), Millis(1010));
+  CHECK(Floors.isRegression("ledger", {1, 3}, Millis(1011)));
+  CHECK_FALSE(Floors.isRegression("ledger", {1, 3}, Millis(1005)));
+  CHECK_FALSE(Floors.isRegression("ledger", {1, 20}, Millis(1011)));
+  CHECK_FALSE(Floors.isRegression("ledger", {2, 3}, Millis(1011)));
+  CHECK_FALSE(Floors.isRegression("other", {1, 3}, Millis(1011)));
 }
 
 TEST_CASE("A newer term ends the floors of older ones", "[floor]") {
   FloorTable Floors;
-  Floors.note("ledger", {1, 99}, Millis(1000), Millis(1000));
-  Floors.note("ledger", {2, 50}, Millis(1100), Millis(1100));
+  Floors.record("ledger", {1, 99}, Millis(1000), Millis(1000));
+  Floors.record("ledger", {2, 50}, Millis(1100), Millis(1100));
   CHECK(Floors.floor("ledger", Millis(1200), Millis(1500)) ==
         LogPosition{2, 50});
-  Floors.note("ledger", {1, 100}, Millis(1200), Millis(1200));
+  Floors.record("ledger", {1, 100}, Millis(1200), Millis(1200));
   CHECK(Floors.floor("ledger", Millis(1200), Millis(1500)) ==
         LogPosition{2, 50});
 }
@@ -199,36 +199,36 @@
 TEST_CASE("Waiting for a leader is worth it only where it helps", "[outage]") {
   // The primary is lost. Short blips are waited out; after them only those
   // wait whose time reaches past the usual end of such a gap.
-  LeaderOutage Outage;
+  PrimaryOutage Outage;
   CHECK(Outage.isWorthWaiting(Millis(0), Millis(300)));
-  Outage.noteMissing(Millis(0));
+  Outage.recordNoPrimary(Millis(0));
   CHECK(Outage.isWorthWaiting(Millis(100), Millis(400)));
   CHECK_FALSE(Outage.isWorthWaiting(Millis(200), Millis(500)));
   CHECK(Outage.isWorthWaiting(Millis(1300), Millis(1620)));
-  CHECK(Outage.comeBackAfter(Millis(500)) == Millis(1000));
+  CHECK(Outage.retryAfter(Millis(500)) == Millis(1000));
   CHECK_FALSE(Outage.isWorthWaiting(Millis(1600), Millis(1920)));
-  Outage.noteLeading(Millis(700));
-  Outage.noteMissing(Millis(10000));
+  Outage.recordPrimary(Millis(700));
+  Outage.recordNoPrimary(Millis(10000));
   // The last gap was shorter, so the next is expected to be.
-  CHECK(Outage.comeBackAfter(Millis(10000)) == Millis(1100));
+  CHECK(Outage.retryAfter(Millis(10000)) == Millis(1100));
 }
 
 TEST_CASE("A log line takes any bytes", "[logs]") {
   // A caller names a database in bytes that aren't UTF-8. The line about its
   // refusal must not end the process.
-  setUpLogs(true, Severity::Info);
+  configureLogging(true, Severity::Info);
   CHECK_NOTHROW(logEvent(EventId::StatementRefused,
                          {{"database", std::string("\xff\xfe\x00", 3)}}));
-  setUpLogs(false, Severity::Error);
+  configureLogging(false, Severity::Error);
 }
 
 TEST_CASE("Lines beyond the budget are counted, not written", "[logs]") {
-  LineBudget Budget(2);
+  LogRateLimiter Budget(2);
   CHECK(Budget.allow(Millis(0)));
   CHECK(Budget.allow(Millis(1)));
   CHECK_FALSE(Budget.allow(Millis(2)));
   CHECK_FALSE(Budget.allow(Millis(999)));
   CHECK(Budget.allow(Millis(1000)));
-  CHECK(Budget.takeLeftOut() == 2);
-  CHECK(Budget.takeLeftOut() == 0);
+  CHECK(Budget.takeDroppedCount() == 2);
+  CHECK(Budget.takeDroppedCount() == 0);
 }
--- a/Tests/Unit/EventLoopTest.cpp
+++ b/Tests/Unit/EventLoopTest.cpp
@@ -62,7 +62,7 @@
   });
   Loop.after(Millis(5), [&Loop] { Loop.stop(); });
   Loop.run();
-  const DurationHistogram &Delays = Loop.timerDelays();
+  const DurationHistogram &Delays = Loop.timerLatency();
   CHECK(Delays.total() == 2);
   CHECK(Delays.sum() >= Millis(100));
 }
--- a/Tests/Unit/FailoverDetectionTest.cpp
+++ b/Tests/Unit/FailoverDetectionTest.cpp
@@ -14,7 +14,7 @@
 
 std::size_t fencesIn(FakeCluster &Cluster) {
   std::size_t Out = 0;
-  for (const AuditRecord &Each : Cluster.leader()->applied().audit())
+  for (const AuditRecord &Each : Cluster.leader()->appliedState().audit())
     Out += Each.Action == "primary-fenced" ? 1U : 0U;
   return Out;
 }
@@ -37,9 +37,9 @@
   const auto Seed = GENERATE(range(1, 6));
   CAPTURE(Fault, Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed), 3, 3);
-  Cluster.bringUp(FakeCluster::Manifest1);
-  const CallerAnswer Written =
-      askAgain(Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
+  const CallerResponse Written = sendWithRetries(
+      Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   const std::string Primary = Written.Target;
   Cluster.Loop.runFor(Millis(13) * Seed);
@@ -54,17 +54,17 @@
       Cluster.Net.cut(Primary, Each);
   }
   const auto Stuck =
-      Cluster.ask("entry-2", {.Key = "k2", .Body = "put stuck yes"});
+      Cluster.send("entry-2", {.Key = "k2", .Body = "put stuck yes"});
   if (Fault == "cut-replicas")
-    for (const std::string &Each : othersThan(Cluster, Primary))
+    for (const std::string &Each : targetsExcept(Cluster, Primary))
       Cluster.Net.cutBoth(Primary, Each);
-  REQUIRE(awaitOther(Cluster, Primary, Millis(8000)));
+  REQUIRE(awaitNewPrimary(Cluster, Primary, Millis(8000)));
   for (const std::string &Each : Entries) {
-    const CallerAnswer Next =
-        askAgain(Cluster, Each, {.Key = Each, .Body = "put next one"});
+    const CallerResponse Next =
+        sendWithRetries(Cluster, Each, {.Key = Each, .Body = "put next one"});
     CHECK(Next.Outcome == "done");
     CHECK(Next.Target != Primary);
-    const CallerAnswer Read = askAgain(
+    const CallerResponse Read = sendWithRetries(
         Cluster, Each,
         {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
     CHECK(Read.Body == "haulier");
@@ -81,12 +81,12 @@
   FakeCluster Cluster(1, 3, 3);
   if (Trouble == "lagging")
     Cluster.TargetOptions.Lag = Millis(1500);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
   if (Trouble == "one-proxy")
     Cluster.Net.cutBoth(Primary, "entry-3");
   for (int Round = 0; Round < 60; ++Round) {
-    const auto Answer = Cluster.ask(
+    const auto Answer = Cluster.send(
         "entry-1", {.Key = std::to_string(Round), .Body = "put bale a"});
     if (Trouble == "halting")
       freezeFor(Cluster, Primary, Millis(300));
@@ -102,7 +102,7 @@
   // turn looks dead. Each change of primary costs callers a gap and helps
   // nobody, so the changes have to become rare.
   FakeCluster Cluster(1, 3, 3);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   for (int Round = 0; Round < 60; ++Round) {
     const std::string Primary = primaryOf(Cluster);
     if (!Primary.empty())
@@ -110,7 +110,7 @@
     Cluster.Loop.runFor(Millis(300));
   }
   CHECK(fencesIn(Cluster) <= 6);
-  CHECK(askAgain(Cluster, "entry-1", {.Key = "k", .Body = "put bale a"})
+  CHECK(sendWithRetries(Cluster, "entry-1", {.Key = "k", .Body = "put bale a"})
             .Outcome == "done");
 }
 
@@ -118,7 +118,7 @@
   // Only the primary comes and goes. Another takes over, and the flapping one
   // isn't chosen again and again.
   FakeCluster Cluster(2, 3, 3);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
   for (int Round = 0; Round < 30; ++Round) {
     freezeFor(Cluster, Primary, Millis(700));
--- a/Tests/Unit/FailoverFenceTest.cpp
+++ b/Tests/Unit/FailoverFenceTest.cpp
@@ -12,7 +12,7 @@
 
 /// The manifest with a kind of read that accepts no age, and a lease.
 std::string manifestWithLease(int LeaseMs, int DriftPpm = 1000) {
-  return std::string(FakeCluster::Manifest1) +
+  return std::string(FakeCluster::BaseManifest) +
          "[[kind]]\nname = \"owner-check\"\naccess = \"read\"\n"
          "[failover]\nlease_duration_ms = " +
          std::to_string(LeaseMs) +
@@ -41,9 +41,9 @@
 SplitRun runSplit(FakeCluster &Cluster, const std::string &Primary,
                   Millis Span) {
   SplitRun Out;
-  std::vector<std::shared_ptr<CallerAnswer>> Reads;
-  std::vector<std::shared_ptr<CallerAnswer>> Writes;
-  std::shared_ptr<CallerAnswer> Change;
+  std::vector<std::shared_ptr<CallerResponse>> Reads;
+  std::vector<std::shared_ptr<CallerResponse>> Writes;
+  std::shared_ptr<CallerResponse> Change;
   constexpr Millis Step(5);
   const Millis End = Cluster.Loop.now() + Span;
   const auto Collect = [&] {
@@ -59,14 +59,14 @@
   };
   for (int Index = 0; Cluster.Loop.now() < End; ++Index) {
     Reads.push_back(
-        Cluster.ask("entry-1", {.Kind = "owner-check", .Body = "get bale"}));
+        Cluster.send("entry-1", {.Kind = "owner-check", .Body = "get bale"}));
     Writes.push_back(
-        Cluster.ask("entry-1", {.Key = "old-" + std::to_string(Index),
-                                .Body = "put other side"}));
+        Cluster.send("entry-1", {.Key = "old-" + std::to_string(Index),
+                                 .Body = "put other side"}));
     if (!Change && primaryOf(Cluster) != Primary &&
         Cluster.isWritable("bale-ledger-1"))
       Change =
-          Cluster.ask("entry-2", {.Key = "new", .Body = "put bale haulier"});
+          Cluster.send("entry-2", {.Key = "new", .Body = "put bale haulier"});
     Cluster.Loop.runFor(Step);
     if (Reads.size() > 1 && Change && Change->Outcome == "done" &&
         !Out.NewSideDone) {
@@ -105,9 +105,10 @@
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
   for (const auto &[Name, Host] : Cluster.Hosts)
     Host->DriftPpm = Name == "entry-1" ? -Each.DriftPpm : Each.DriftPpm;
-  Cluster.bringUp(manifestWithLease(Each.LeaseMs, Each.DriftPpm));
-  REQUIRE(Cluster.askNow("entry-1", {.Key = "first", .Body = "put bale mill"})
-              .Outcome == "done");
+  Cluster.startAndAwaitWritable(manifestWithLease(Each.LeaseMs, Each.DriftPpm));
+  REQUIRE(
+      Cluster.sendAndWait("entry-1", {.Key = "first", .Body = "put bale mill"})
+          .Outcome == "done");
   const std::string Primary = primaryOf(Cluster);
   Cluster.Loop.runFor(Millis(17) * Seed);
   cutOffWithEntry1(Cluster, Primary);
@@ -130,16 +131,16 @@
   const auto Seed = GENERATE(range(1, 11));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
-  Cluster.bringUp(manifestWithLease(600));
+  Cluster.startAndAwaitWritable(manifestWithLease(600));
   const std::string Primary = primaryOf(Cluster);
   const auto Late =
-      Cluster.ask("entry-1", {.Key = "k1", .Body = "put bale haulier"});
+      Cluster.send("entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Cluster.Loop.runUntilTrue(
       [&] { return Cluster.Targets[Primary]->position() == 1; }, Millis(1000)));
   Cluster.Hosts["entry-1"]->freeze();
   Cluster.Loop.runFor(Millis(50));
   Cluster.kill(Primary);
-  REQUIRE(awaitOther(Cluster, Primary));
+  REQUIRE(awaitNewPrimary(Cluster, Primary));
   Cluster.Hosts["entry-1"]->thaw();
   Cluster.Loop.runFor(Millis(6000));
   CHECK(Late->Arrived);
@@ -169,9 +170,9 @@
   LeaseRegistry Registry;
   const LeaseGrant Grant{Id, Holder.nextSequence(), Slow.now(),
                          Millis(Duration), 0};
-  Registry.noteRequest({Id, {}, 1, Slow.now(), 0, {}}, {}, Fast.now());
-  Registry.noteGrant(Grant, Fast.now(), static_cast<std::uint32_t>(Ppm));
-  Holder.grant(Grant);
+  Registry.recordRequest({Id, {}, 1, Slow.now(), 0, {}}, {}, Fast.now());
+  Registry.recordGrant(Grant, Fast.now(), static_cast<std::uint32_t>(Ppm));
+  Holder.applyGrant(Grant);
   bool BothAtOnce = false;
   while (!Registry.isInForce(View, 1, Fast.now())) {
     Loop.runFor(Millis(1));
--- a/Tests/Unit/FailoverReplicaTest.cpp
+++ b/Tests/Unit/FailoverReplicaTest.cpp
@@ -14,12 +14,12 @@
   // reports the new term with its old tail. A write at the new primary that
   // reaches no other target must not be confirmed on the strength of it.
   FakeCluster Cluster(1);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Old = primaryOf(Cluster);
-  for (const std::string &Each : othersThan(Cluster, Old))
+  for (const std::string &Each : targetsExcept(Cluster, Old))
     Cluster.Net.cutBoth(Old, Each);
   const auto Tail =
-      Cluster.ask("entry-1", {.Key = "k1", .Body = "put bale tail"});
+      Cluster.send("entry-1", {.Key = "k1", .Body = "put bale tail"});
   Cluster.Loop.runFor(Millis(50));
   REQUIRE(Cluster.Targets[Old]->position() == 1);
   for (const char *Proxy : {"entry-1", "entry-2"})
@@ -33,13 +33,13 @@
   REQUIRE(Cluster.Loop.runUntilTrue(
       [&] { return Cluster.isWritable("bale-ledger-1"); }, Millis(5000)));
   const std::string New = primaryOf(Cluster);
-  for (const std::string &Each : othersThan(Cluster, New))
+  for (const std::string &Each : targetsExcept(Cluster, New))
     Cluster.Net.cutBoth(New, Each);
   for (const char *Proxy : {"entry-1", "entry-2"})
     Cluster.Net.heal(Proxy, Old);
   Cluster.Loop.runFor(Millis(2500));
-  const CallerAnswer Second =
-      Cluster.askNow("entry-2", {.Key = "k2", .Body = "put bale new"});
+  const CallerResponse Second =
+      Cluster.sendAndWait("entry-2", {.Key = "k2", .Body = "put bale new"});
   CHECK(Tail->Outcome != "done");
   CHECK(Second.Outcome == "unknown");
 }
@@ -52,9 +52,9 @@
   const auto Seed = GENERATE(range(1, 9));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed), 3, 3);
-  Cluster.bringUp(FakeCluster::Manifest1);
-  const CallerAnswer Written =
-      Cluster.askNow("entry-3", {.Key = "k1", .Body = "put bale haulier"});
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
+  const CallerResponse Written =
+      Cluster.sendAndWait("entry-3", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   for (const auto &[Name, Node] : Cluster.Controls) {
     Cluster.Net.cutBoth(Name, "entry-1");
@@ -64,11 +64,11 @@
   Cluster.Loop.runFor(Millis(5) * Seed);
   Cluster.startTarget(Written.Target, "bale-ledger-1");
   Cluster.Loop.runFor(Millis(300));
-  const CallerAnswer Next =
-      Cluster.askNow("entry-3", {.Key = "k2", .Body = "put next one"});
+  const CallerResponse Next =
+      Cluster.sendAndWait("entry-3", {.Key = "k2", .Body = "put next one"});
   CHECK(Next.Outcome == "done");
   CHECK(Next.Target != Written.Target);
-  const CallerAnswer Read = Cluster.askNow(
+  const CallerResponse Read = Cluster.sendAndWait(
       "entry-3",
       {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
   CHECK(Read.Body == "haulier");
@@ -83,13 +83,13 @@
   const auto Seed = GENERATE(range(1, 9));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
-  const std::string Lost = othersThan(Cluster, Primary)[0];
-  const std::string Behind = othersThan(Cluster, Primary)[1];
+  const std::string Lost = targetsExcept(Cluster, Primary)[0];
+  const std::string Behind = targetsExcept(Cluster, Primary)[1];
   Cluster.Net.cutBoth(Primary, Behind);
-  const CallerAnswer Written =
-      askAgain(Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  const CallerResponse Written = sendWithRetries(
+      Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   Cluster.Net.cutBoth(Primary, Lost);
   Cluster.kill(Lost);
@@ -98,17 +98,16 @@
   Cluster.Hosts[Primary]->freeze();
   Cluster.Loop.runFor(Millis(8000));
   CHECK_FALSE(Cluster.isWritable("bale-ledger-1"));
-  CHECK(auditOf(Cluster, "failover-waiting") ==
+  CHECK(lastAuditReason(Cluster, "failover-waiting") ==
         "1 of 3 targets told their position, 2 are needed");
   Cluster.Net.heal();
   Cluster.Hosts[Primary]->thaw();
-  const CallerAnswer Read = askAgain(
+  const CallerResponse Read = sendWithRetries(
       Cluster, "entry-2",
       {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
   CHECK(Read.Body == "haulier");
-  CHECK(
-      askAgain(Cluster, "entry-1", {.Key = "k2", .Body = "put a b"}).Outcome ==
-      "done");
+  CHECK(sendWithRetries(Cluster, "entry-1", {.Key = "k2", .Body = "put a b"})
+            .Outcome == "done");
 }
 
 TEST_CASE("A target that came back empty counts once it caught up",
@@ -116,21 +115,21 @@
   // As before, but the replica has the time to follow. Then it may be the one
   // that saves the handover.
   FakeCluster Cluster(1);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
-  const std::string Lost = othersThan(Cluster, Primary)[0];
-  const std::string Behind = othersThan(Cluster, Primary)[1];
+  const std::string Lost = targetsExcept(Cluster, Primary)[0];
+  const std::string Behind = targetsExcept(Cluster, Primary)[1];
   Cluster.Net.cutBoth(Primary, Behind);
-  const CallerAnswer Written =
-      askAgain(Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  const CallerResponse Written = sendWithRetries(
+      Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   Cluster.kill(Lost);
   Cluster.startTarget(Lost, "bale-ledger-1");
   REQUIRE(Cluster.Loop.runUntilTrue(
-      [&] { return !auditOf(Cluster, "target-settled").empty(); },
+      [&] { return !lastAuditReason(Cluster, "target-settled").empty(); },
       Millis(5000)));
   Cluster.kill(Primary);
-  const CallerAnswer Read = askAgain(
+  const CallerResponse Read = sendWithRetries(
       Cluster, "entry-2",
       {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
   CHECK(Read.Body == "haulier");
@@ -145,27 +144,27 @@
   const auto Seed = GENERATE(range(1, 6));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   std::string Session;
   for (int Round = 0; Round < 3; ++Round) {
     CAPTURE(Round);
     const std::string Primary = primaryOf(Cluster);
-    for (const std::string &Each : othersThan(Cluster, Primary))
+    for (const std::string &Each : targetsExcept(Cluster, Primary))
       Cluster.Net.cutBoth(Primary, Each);
-    std::array<std::shared_ptr<CallerAnswer>, 5> Tails;
+    std::array<std::shared_ptr<CallerResponse>, 5> Tails;
     for (std::size_t Index = 0; Index < Tails.size(); ++Index)
       Tails[Index] =
-          Cluster.ask("entry-1", {.Key = "tail-" + std::to_string(Round) +
-                                         std::to_string(Index),
-                                  .Body = "put bale tail"});
+          Cluster.send("entry-1", {.Key = "tail-" + std::to_string(Round) +
+                                          std::to_string(Index),
+                                   .Body = "put bale tail"});
     Cluster.Loop.runFor(Millis(60));
     Cluster.Hosts[Primary]->freeze();
-    REQUIRE(awaitOther(Cluster, Primary));
-    const CallerAnswer Written =
-        askAgain(Cluster, "entry-2",
-                 {.Key = "good-" + std::to_string(Round),
-                  .Body = "put bale good-" + std::to_string(Round),
-                  .Session = Session});
+    REQUIRE(awaitNewPrimary(Cluster, Primary));
+    const CallerResponse Written =
+        sendWithRetries(Cluster, "entry-2",
+                        {.Key = "good-" + std::to_string(Round),
+                         .Body = "put bale good-" + std::to_string(Round),
+                         .Session = Session});
     REQUIRE(Written.Outcome == "done");
     Session = Written.Session;
     for (const auto &Each : Tails)
@@ -173,11 +172,11 @@
     Cluster.Hosts[Written.Target]->freeze();
     Cluster.Net.heal();
     Cluster.Hosts[Primary]->thaw();
-    REQUIRE(awaitOther(Cluster, Written.Target));
+    REQUIRE(awaitNewPrimary(Cluster, Written.Target));
     for (const char *Proxy : {"entry-1", "entry-2"}) {
-      const CallerAnswer Read =
-          askAgain(Cluster, Proxy,
-                   {.Kind = "lookup", .Body = "get bale", .Session = Session});
+      const CallerResponse Read = sendWithRetries(
+          Cluster, Proxy,
+          {.Kind = "lookup", .Body = "get bale", .Session = Session});
       CHECK(Read.Body == "good-" + std::to_string(Round));
     }
     Cluster.Hosts[Written.Target]->thaw();
@@ -194,17 +193,17 @@
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
   Cluster.TargetOptions.Lag = Millis(20) * (Seed % 7);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
   const std::string Slow =
-      othersThan(Cluster, Primary)[static_cast<std::size_t>(Seed % 2)];
+      targetsExcept(Cluster, Primary)[static_cast<std::size_t>(Seed % 2)];
   Cluster.Net.cutBoth(Primary, Slow);
-  const CallerAnswer Written =
-      askAgain(Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  const CallerResponse Written = sendWithRetries(
+      Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   Cluster.kill(Written.Target);
   for (const char *Proxy : {"entry-1", "entry-2"}) {
-    const CallerAnswer Read = askAgain(
+    const CallerResponse Read = sendWithRetries(
         Cluster, Proxy,
         {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
     CHECK(Read.Body == "haulier");
@@ -220,35 +219,34 @@
   const bool Lossy = GENERATE(false, true);
   CAPTURE(Lossy);
   FakeCluster Cluster(3);
-  std::string Text = FakeCluster::Manifest1;
+  std::string Text = FakeCluster::BaseManifest;
   if (Lossy)
     Text.insert(Text.find("[[kind]]"),
                 "too_few_targets = \"promote-with-loss\"\n");
-  Cluster.bringUp(Text);
+  Cluster.startAndAwaitWritable(Text);
   const std::string First = primaryOf(Cluster);
-  const CallerAnswer Written =
-      askAgain(Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  const CallerResponse Written = sendWithRetries(
+      Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   Cluster.Hosts[First]->freeze();
-  REQUIRE(awaitOther(Cluster, First));
-  const CallerAnswer Second =
-      askAgain(Cluster, "entry-1", {.Key = "k2", .Body = "put next one"});
+  REQUIRE(awaitNewPrimary(Cluster, First));
+  const CallerResponse Second = sendWithRetries(
+      Cluster, "entry-1", {.Key = "k2", .Body = "put next one"});
   REQUIRE(Second.Outcome == "done");
   Cluster.Hosts[Second.Target]->freeze();
   Cluster.Loop.runFor(Millis(7000));
   CHECK(Cluster.isWritable("bale-ledger-1") == Lossy);
   const std::string Said =
-      auditOf(Cluster, Lossy ? "target-promoted" : "failover-waiting");
+      lastAuditReason(Cluster, Lossy ? "target-promoted" : "failover-waiting");
   CHECK(Said == std::string("1 of 3 targets told their position, 2 are "
                             "needed") +
                     (Lossy ? "; acknowledged writes may be lost" : ""));
   Cluster.Hosts[Second.Target]->thaw();
-  CHECK(
-      askAgain(Cluster, "entry-2", {.Key = "k3", .Body = "put a b"}).Outcome ==
-      "done");
+  CHECK(sendWithRetries(Cluster, "entry-2", {.Key = "k3", .Body = "put a b"})
+            .Outcome == "done");
   if (Lossy)
     return;
-  const CallerAnswer Read = askAgain(
+  const CallerResponse Read = sendWithRetries(
       Cluster, "entry-2",
       {.Kind = "lookup", .Body = "get next", .Session = Second.Session});
   CHECK(Read.Body == "one");
@@ -262,14 +260,14 @@
   // has no entry of the new term yet must count, or the caller would be told
   // "unknown" until somebody else writes.
   FakeCluster Cluster(1);
-  Cluster.bringUp(FakeCluster::Manifest1);
-  const CallerQuestion Question{.Key = "k1", .Body = "add scans 1"};
-  const CallerAnswer Written = Cluster.askNow("entry-1", Question);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
+  const CallerRequest Question{.Key = "k1", .Body = "add scans 1"};
+  const CallerResponse Written = Cluster.sendAndWait("entry-1", Question);
   REQUIRE(Written.Outcome == "done");
   Cluster.kill(Written.Target);
-  const CallerAnswer Again = askAgain(Cluster, "entry-2", Question);
+  const CallerResponse Again = sendWithRetries(Cluster, "entry-2", Question);
   CHECK(Again.Outcome == "done");
-  const CallerAnswer Read = Cluster.askNow(
+  const CallerResponse Read = Cluster.sendAndWait(
       "entry-1",
       {.Kind = "lookup", .Body = "get scans", .Session = Again.Session});
   CHECK(Read.Body == "1");
--- a/Tests/Unit/GroupSettlingTest.cpp
+++ b/Tests/Unit/GroupSettlingTest.cpp
@@ -14,7 +14,7 @@
 
 /// A group that has started with two of its three targets.
 void startWithTwo(FakeCluster &Cluster) {
-  Cluster.apply(FakeCluster::Manifest1);
+  Cluster.applyManifest(FakeCluster::BaseManifest);
   Cluster.startTarget("ledger-1", Database);
   Cluster.startTarget("ledger-2", Database);
   REQUIRE(Cluster.Loop.runUntilTrue(
@@ -30,8 +30,8 @@
   // that may never come back: the two that are left have all between them.
   FakeCluster Cluster(1);
   startWithTwo(Cluster);
-  const CallerAnswer Written =
-      askAgain(Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  const CallerResponse Written = sendWithRetries(
+      Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   Cluster.Net.cutBoth(Written.Target, "ledger-3");
   Cluster.startTarget("ledger-3", Database);
@@ -39,13 +39,12 @@
       [&] { return Cluster.group(Database)->Targets.size() == 3; },
       Millis(2000)));
   Cluster.kill(Written.Target);
-  const CallerAnswer Read = askAgain(
+  const CallerResponse Read = sendWithRetries(
       Cluster, "entry-2",
       {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
   CHECK(Read.Body == "haulier");
-  CHECK(
-      askAgain(Cluster, "entry-2", {.Key = "k2", .Body = "put a b"}).Outcome ==
-      "done");
+  CHECK(sendWithRetries(Cluster, "entry-2", {.Key = "k2", .Body = "put a b"})
+            .Outcome == "done");
 }
 
 TEST_CASE("A first target that came back empty proves nothing", "[failover]") {
@@ -54,10 +53,10 @@
   // The two that answer have nothing: writes must wait for the primary.
   FakeCluster Cluster(1);
   startWithTwo(Cluster);
-  const CallerAnswer Written =
-      askAgain(Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  const CallerResponse Written = sendWithRetries(
+      Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
-  const std::string Replica = othersThan(Cluster, Written.Target)[0];
+  const std::string Replica = targetsExcept(Cluster, Written.Target)[0];
   Cluster.Net.cutBoth(Written.Target, Replica);
   Cluster.Net.cutBoth(Written.Target, "ledger-3");
   Cluster.kill(Replica);
@@ -76,39 +75,39 @@
   // the primary dies before the others have the handover. Writes must wait for
   // it instead of starting without the handover. While they wait, the numbers
   // can't be changed again.
-  std::string Text = FakeCluster::Manifest1;
+  std::string Text = FakeCluster::BaseManifest;
   Text.insert(Text.find("[[kind]]"), "copies = 1\n");
   FakeCluster Cluster(1);
-  Cluster.bringUp(Text);
+  Cluster.startAndAwaitWritable(Text);
   const std::string Primary = primaryOf(Cluster);
-  for (const std::string &Each : othersThan(Cluster, Primary))
+  for (const std::string &Each : targetsExcept(Cluster, Primary))
     Cluster.Net.cutBoth(Primary, Each);
-  const CallerAnswer Written =
-      Cluster.askNow("entry-1", {.Key = "k1", .Body = "put bale haulier"});
+  const CallerResponse Written =
+      Cluster.sendAndWait("entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   Text.replace(Text.find("copies = 1"), 10, "copies = 2");
   Text.replace(Text.find("version = 1"), 11, "version = 2");
-  Cluster.apply(Text);
+  Cluster.applyManifest(Text);
   Cluster.Hosts[Primary]->freeze();
   Cluster.Loop.runFor(Millis(8000));
   CHECK_FALSE(Cluster.isWritable(Database));
   Text.replace(Text.find("copies = 2"), 10, "copies = 1");
   Text.replace(Text.find("version = 2"), 11, "version = 3");
-  CHECK_FALSE(Cluster.leader()->applied().check(*parseManifest("test", Text)));
+  CHECK_FALSE(
+      Cluster.leader()->appliedState().check(*parseManifest("test", Text)));
   Cluster.Net.heal();
   Cluster.Hosts[Primary]->thaw();
-  const CallerAnswer Read = askAgain(
+  const CallerResponse Read = sendWithRetries(
       Cluster, "entry-2",
       {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
   CHECK(Read.Body ==
         "haulier"); // Once all have caught up, the new numbers alone count.
   CHECK(Cluster.Loop.runUntilTrue(
-      [&] { return Cluster.group(Database)->LeastReadings == 0; },
+      [&] { return Cluster.group(Database)->MinFailoverQuorum == 0; },
       Millis(5000)));
   const std::string Second = primaryOf(Cluster);
   Cluster.kill(Second);
-  REQUIRE(awaitOther(Cluster, Second));
-  CHECK(
-      askAgain(Cluster, "entry-2", {.Key = "k2", .Body = "put a b"}).Outcome ==
-      "done");
+  REQUIRE(awaitNewPrimary(Cluster, Second));
+  CHECK(sendWithRetries(Cluster, "entry-2", {.Key = "k2", .Body = "put a b"})
+            .Outcome == "done");
 }
--- a/Tests/Unit/HttpFactsTest.cpp
+++ b/Tests/Unit/HttpFactsTest.cpp
@@ -138,10 +138,10 @@
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpExchange> Exchange) override {
     Bodies.push_back(Request.Body);
-    Exchange->onHangUp([this] { ++HangUps; });
+    Exchange->onDisconnect([this] { ++HangUps; });
     Exchanges.push_back(std::move(Exchange));
   }
-  void disconnected(const std::string &) override { ++Disconnects; }
+  void handleDisconnect(const std::string &) override { ++Disconnects; }
 
   std::vector<std::string> Bodies;
   std::vector<std::shared_ptr<HttpExchange>> Exchanges;
@@ -315,7 +315,7 @@
   SECTION("no HTTP at all") { Sent = "\x16\x03\x01 hello\r\n\r\n"; }
   SECTION("half a request, then silence") {
     Sent = "POST /x HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf";
-    Limits.Silence = Millis(100);
+    Limits.IdleTimeout = Millis(100);
   }
   const auto Server =
       EventHttpServer::listen(Loop, {"127.0.0.1", 0}, Service, Limits);
--- a/Tests/Unit/JournalTest.cpp
+++ b/Tests/Unit/JournalTest.cpp
@@ -37,7 +37,7 @@
           Log.votedFor(),
           Log.snapshotIndex(),
           Log.snapshotState(),
-          Log.from(Log.snapshotIndex() + 1, std::string::npos)};
+          Log.entriesFrom(Log.snapshotIndex() + 1, std::string::npos)};
 }
 
 Entry entry(std::uint64_t Index, std::uint64_t Term) {
@@ -269,9 +269,9 @@
     auto Disk = FileDisk::open(Folder);
     REQUIRE(Disk);
     REQUIRE(Disk->append("log", "bytes"));
-    const std::uint64_t Before = Disk->syncs().total();
+    const std::uint64_t Before = Disk->syncDurations().total();
     REQUIRE(Disk->sync("log"));
-    CHECK(Disk->syncs().total() == Before + 1);
+    CHECK(Disk->syncDurations().total() == Before + 1);
   }
   std::filesystem::remove_all(Folder);
 }
--- a/Tests/Unit/LineProtocolTest.cpp
+++ b/Tests/Unit/LineProtocolTest.cpp
@@ -34,13 +34,13 @@
 std::vector<StatementAnswer> answersOf(const std::string &Bytes,
                                        std::size_t Piece) {
   BufferPtr In(evbuffer_new(), evbuffer_free);
-  AnswerReader Reader;
+  AnswerParser Reader;
   std::vector<StatementAnswer> Out;
   for (std::size_t At = 0; At < Bytes.size(); At += Piece) {
     const std::string Part = Bytes.substr(At, Piece);
     evbuffer_add(In.get(), Part.data(), Part.size());
     while (true) {
-      const auto Line = takeLine(In.get());
+      const auto Line = extractLine(In.get());
       REQUIRE(Line);
       if (!*Line)
         break;
@@ -74,7 +74,7 @@
           "[line-protocol]") {
   // The target ran the statement; of its answer only the state arrived. It
   // must not pass for a success without rows.
-  AnswerReader Reader;
+  AnswerParser Reader;
   const auto Opened = Reader.feed("READY I 1.1");
   REQUIRE(Opened);
   CHECK(*Opened);
@@ -135,7 +135,7 @@
   const auto Answers = answersOf(Bytes, static_cast<std::size_t>(Piece));
   REQUIRE(Answers.size() == 3);
   CHECK(Answers[0].Rows == std::vector<std::string>{"one two", "three"});
-  CHECK(Answers[0].Proof == "7.1f3");
+  CHECK(Answers[0].Signature == "7.1f3");
   CHECK(Answers[0].Position == LogPosition{3, 1209});
   CHECK(Answers[1].Refusal == StatementRefusal{RefusalCode::ReadOnly, "i-7f"});
   CHECK(Answers[1].Phase == SessionPhase::Failed);
@@ -145,7 +145,7 @@
 
 TEST_CASE("An answer that lacks its end is none", "[platform]") {
   CHECK(answersOf("ROW one\r\nCOMPLETE 7.1\r\n", 5).empty());
-  AnswerReader Reader;
+  AnswerParser Reader;
   CHECK(Reader.feed("COMPLETE 7.1"));
   CHECK_FALSE(Reader.feed("ROW late"));
 }
@@ -158,36 +158,36 @@
 
 TEST_CASE("A line that never ends is an error", "[platform]") {
   const BufferPtr In = bufferOf(std::string(MaxMessageBytes + 1, 'x'));
-  CHECK_FALSE(takeLine(In.get()));
+  CHECK_FALSE(extractLine(In.get()));
   const BufferPtr Short = bufferOf("no end yet");
-  REQUIRE(takeLine(Short.get()));
-  CHECK_FALSE(*takeLine(Short.get()));
+  REQUIRE(extractLine(Short.get()));
+  CHECK_FALSE(*extractLine(Short.get()));
 }
 
 TEST_CASE("Commands to targets keep the caller's words", "[platform]") {
   using Kind = TargetCommand::Kind;
-  CHECK(encodeCommand({.What = Kind::Run,
+  CHECK(encodeCommand({.Operation = Kind::Run,
                        .Id = "1f",
                        .Text = "FETCH 1a4",
-                       .After = LogPosition{3, 1207}}) ==
+                       .MinPosition = LogPosition{3, 1207}}) ==
         "QUERY 1f AFTER 3.1207 FETCH 1a4\r\n");
-  CHECK(encodeCommand({.What = Kind::Execute,
+  CHECK(encodeCommand({.Operation = Kind::Execute,
                        .Id = "1f",
                        .Text = "1a4 xk",
                        .Name = "p1"}) == "QUERY 1f EXECUTE p1 1a4 xk\r\n");
-  CHECK(encodeCommand({.What = Kind::Begin}) == "QUERY - BEGIN\r\n");
-  CHECK(encodeCommand({.What = Kind::StepDown, .Term = 4}) ==
+  CHECK(encodeCommand({.Operation = Kind::Begin}) == "QUERY - BEGIN\r\n");
+  CHECK(encodeCommand({.Operation = Kind::StepDown, .Term = 4}) ==
         "QUERY - STEPDOWN 4\r\n");
-  CHECK(encodeOpening({"huvo", "i-7f", {"10.0.0.1", 1}}, "me") ==
+  CHECK(encodeStartup({"huvo", "i-7f", {"10.0.0.1", 1}}, "me") ==
         "STARTUP huvo me i-7f\r\n");
-  CHECK(encodeOpening({"huvo", "i-7f", {"10.0.0.1", 1}, "mills"}, "me") ==
+  CHECK(encodeStartup({"huvo", "i-7f", {"10.0.0.1", 1}, "mills"}, "me") ==
         "STARTUP huvo mills i-7f\r\n");
 }
 
 TEST_CASE("Answers to callers are as the protocol has them", "[platform]") {
   StatementAnswer Answer;
   Answer.Rows = {"one"};
-  Answer.Proof = "7.1f3";
+  Answer.Signature = "7.1f3";
   Answer.Position = LogPosition{3, 9};
   CHECK(encodeAnswer(Answer) == "ROW one\r\nCOMPLETE 7.1f3\r\nREADY I 3.9\r\n");
   StatementAnswer Refused;
@@ -211,12 +211,12 @@
   REQUIRE(Plan);
   CHECK(Plan->Version == 7);
   CHECK(Plan->Document == PlanText);
-  CHECK(Plan->TransactionIdle == Millis(4000));
+  CHECK(Plan->TransactionIdleTimeout == Millis(4000));
   PlanIndex Found;
   Found.set(*Plan);
   REQUIRE(Found.route("lepu") != nullptr);
   CHECK(Found.route("lepu")->Reads == Freshness::ReadYourWrites);
-  CHECK(Found.route("lepu")->AcceptedAge == Millis(2500));
+  CHECK(Found.route("lepu")->MaxStaleness == Millis(2500));
   CHECK(Found.group("huvo")->SyncReplicas == 1);
 }
 
--- a/Tests/Unit/LoadPatternTest.cpp
+++ b/Tests/Unit/LoadPatternTest.cpp
@@ -32,13 +32,14 @@
     // Quiet at first: one statement at a time tells what the work takes.
     for (int Each = 0; Each < 200; ++Each)
       for (StatementWindow &One : Windows)
-        One.note(Millis(static_cast<std::int64_t>(Work(Random))), Millis(0));
+        One.recordAnswerTime(Millis(static_cast<std::int64_t>(Work(Random))),
+                             Millis(0));
     for (Millis Now = Millis(0); Now < Span; Now = Now + Millis(1)) {
       while (!Answers.empty() && Answers.begin()->first <= Now) {
         const auto [Proxy, SentAt] = Answers.begin()->second;
         Answers.erase(Answers.begin());
         --UnderWay[Proxy];
-        Windows[Proxy].note(Now - SentAt, Now);
+        Windows[Proxy].recordAnswerTime(Now - SentAt, Now);
         if (Now > Span / 2) {
           Sum += static_cast<double>((Now - SentAt).count());
           ++Count;
@@ -102,14 +103,14 @@
 TEST_CASE("A window opens again when the crowd has gone", "[load]") {
   StatementWindow Window;
   for (int Each = 0; Each < 100; ++Each)
-    Window.note(Millis(20), Millis(20) * Each);
+    Window.recordAnswerTime(Millis(20), Millis(20) * Each);
   for (int Each = 0; Each < 200; ++Each)
-    Window.note(Millis(150), Millis(2000) + Millis(20) * Each);
-  CHECK(Window.isCrowded());
+    Window.recordAnswerTime(Millis(150), Millis(2000) + Millis(20) * Each);
+  CHECK(Window.isCongested());
   CHECK_FALSE(Window.mayBegin(1));
   for (int Each = 0; Each < 60; ++Each)
-    Window.note(Millis(20), Millis(6000) + Millis(20) * Each);
-  CHECK_FALSE(Window.isCrowded());
+    Window.recordAnswerTime(Millis(20), Millis(6000) + Millis(20) * Each);
+  CHECK_FALSE(Window.isCongested());
   CHECK(Window.mayBegin(3));
 }
 
@@ -118,16 +119,16 @@
   // 100 ms; a target that has stopped isn't taken for a fast one.
   WaitForecast Forecast;
   for (int Each = 0; Each < 100; ++Each)
-    Forecast.noteLeft(5, Millis(10) * Each);
+    Forecast.recordDeparture(5, Millis(10) * Each);
   const Millis Now(990);
-  CHECK(Forecast.expected(0, Now) == Millis(0));
-  CHECK(Forecast.expected(10, Now) >= Millis(90));
-  CHECK(Forecast.expected(10, Now) <= Millis(110));
-  CHECK(Forecast.expected(10, Now + Millis(2000)) >= Millis(1500));
+  CHECK(Forecast.expectedWait(0, Now) == Millis(0));
+  CHECK(Forecast.expectedWait(10, Now) >= Millis(90));
+  CHECK(Forecast.expectedWait(10, Now) <= Millis(110));
+  CHECK(Forecast.expectedWait(10, Now + Millis(2000)) >= Millis(1500));
   // A pause without anybody waiting says nothing of the pace.
-  Forecast.noteLeft(0, Now);
-  Forecast.noteLeft(3, Now + Millis(60000));
-  CHECK(Forecast.expected(10, Now + Millis(60000)) <= Millis(110));
+  Forecast.recordDeparture(0, Now);
+  Forecast.recordDeparture(3, Now + Millis(60000));
+  CHECK(Forecast.expectedWait(10, Now + Millis(60000)) <= Millis(110));
 }
 
 TEST_CASE("Who can't be served in time is told so at once", "[load]") {
@@ -136,7 +137,7 @@
   // back; nobody who is refused had run, and the first are served.
   FakeLoop Loop;
   FakeGroup Group(Loop, {"a"});
-  Group.Work = Millis(20);
+  Group.ExecutionTime = Millis(20);
   FakePipeline Proxy(Loop, Group);
   const auto Opener = Proxy.connect("primary");
   REQUIRE_FALSE(Proxy.ask(Opener, Kind::Write, "w0", "STORE x 0").Refusal);
@@ -163,8 +164,9 @@
       }
       CHECK(Answer.Refusal->Code == RefusalCode::Busy);
       CHECK(Group.runs(Id) == 0);
-      CHECK(Answer.Refusal->Why.find("come back after") != std::string::npos);
-      if (Answer.Refusal->Why.find("too many wait") == 0)
+      CHECK(Answer.Refusal->Reason.find("come back after") !=
+            std::string::npos);
+      if (Answer.Refusal->Reason.find("too many wait") == 0)
         ++Told;
     }
     CHECK(Loop.now() - Began <= Millis(400));
@@ -180,10 +182,10 @@
   // within an objective. Refused after a quarter of that, as under lasting
   // load, callers use up their three tries before there is anything to be had.
   StartedProxy On;
-  On.Group.Work = Millis(10);
+  On.Group.ExecutionTime = Millis(10);
   std::vector<std::shared_ptr<FakeCaller>> Callers;
   On.Pipeline.adopt(planOfThreeRoutes());
-  On.Pipeline.update(On.Group.directory());
+  On.Pipeline.updateTargets(On.Group.directory());
   for (int Each = 0; Each < 40; ++Each) {
     Callers.push_back(std::make_shared<FakeCaller>());
     Statement What;
@@ -228,7 +230,7 @@
   On.Loop.runFor(Millis(1200));
   REQUIRE(Caller->Rejected);
   CHECK(Caller->Rejected->Code == RefusalCode::Busy);
-  CHECK(Caller->Rejected->Why.find("come back after") != std::string::npos);
+  CHECK(Caller->Rejected->Reason.find("come back after") != std::string::npos);
   CHECK(On.Pipeline.sessions() == 0);
 }
 
@@ -244,7 +246,7 @@
     REQUIRE_FALSE(
         Proxy.ask(Writer, Kind::Write, "w" + std::to_string(Each), "STORE x 1")
             .Refusal);
-  Group.Work = Millis(40);
+  Group.ExecutionTime = Millis(40);
   for (int Each = 0; Each < 40; ++Each)
     REQUIRE_FALSE(
         Proxy.ask(Writer, Kind::Write, "v" + std::to_string(Each), "STORE x 1")
@@ -261,7 +263,7 @@
     Loop.runFor(Millis(300));
   }
   std::size_t AtReplicas = 0;
-  for (const FakeRun &Each : Group.Runs) {
+  for (const FakeExecution &Each : Group.Runs) {
     if (Each.IsWrite)
       continue;
     CHECK(Each.Target != "a");
@@ -282,7 +284,7 @@
     Each.FailureDomain = Each.IsPrimary ? "here" : "elsewhere";
   TargetDirectory Known;
   Known.merge(All, Loop.now());
-  Proxy.Pipeline.update(Known);
+  Proxy.Pipeline.updateTargets(Known);
   const auto Writer = Proxy.connect("primary");
   REQUIRE_FALSE(Proxy.ask(Writer, Kind::Write, "w", "STORE x 1").Refusal);
   Loop.runFor(Millis(50));
@@ -291,7 +293,7 @@
     REQUIRE_FALSE(
         Proxy.ask(Reader, Kind::Read, "r" + std::to_string(Each), "FETCH x")
             .Refusal);
-  for (const FakeRun &Each : Group.Runs)
+  for (const FakeExecution &Each : Group.Runs)
     CHECK((Each.IsWrite || Each.Target != "a"));
 }
 
--- a/Tests/Unit/ManifestFileTest.cpp
+++ b/Tests/Unit/ManifestFileTest.cpp
@@ -67,10 +67,10 @@
 TEST_CASE("A difference is told by item", "[manifest]") {
   const std::string Before = Short;
   const std::string After = Before + "[[database]]\nname = \"new\"\ncopies=3\n";
-  const auto Found = manifestDifferences(Before, After);
+  const auto Found = diffManifests(Before, After);
   REQUIRE(Found.size() == 6);
   CHECK(Found[1] == ItemDifference{"database new.copies", "", "3"});
-  CHECK(manifestDifferences(Before, Before).empty());
+  CHECK(diffManifests(Before, Before).empty());
 }
 
 TEST_CASE("A fault of a manifest is found with its place", "[manifest]") {
@@ -90,5 +90,5 @@
   }));
   const auto Read = parseManifest("f", Short + Added);
   REQUIRE_FALSE(Read);
-  CHECK(text(Read.error()) == Finding);
+  CHECK(refusalText(Read.error()) == Finding);
 }
--- a/Tests/Unit/ManifestTruthTest.cpp
+++ b/Tests/Unit/ManifestTruthTest.cpp
@@ -19,14 +19,14 @@
     if (!Answer)
       Answer = std::move(Response);
   }
-  void onHangUp(std::function<void()>) override {}
+  void onDisconnect(std::function<void()>) override {}
 
   std::optional<HttpResponse> Answer;
 };
 
 /// The manifest of the cluster with another version and queue limit.
 std::string manifestText(std::uint64_t Version, int Queue = 200) {
-  std::string Text = FakeCluster::Manifest1;
+  std::string Text = FakeCluster::BaseManifest;
   Text.replace(Text.find("version = 1"), 11,
                "version = " + std::to_string(Version));
   return Text + "[limits]\nqueue_per_database = " + std::to_string(Queue) +
@@ -42,7 +42,7 @@
 class Operators {
 public:
   explicit Operators(std::uint64_t Seed = 1) : Cluster(Seed) {
-    Cluster.bringUp(manifestText(1));
+    Cluster.startAndAwaitWritable(manifestText(1));
   }
 
   /// Sends a request to the operators' port of a control host.
@@ -87,7 +87,7 @@
   }
 
   std::uint64_t versionAt(const std::string &Proxy) {
-    const auto &Current = Cluster.Proxies.at(Proxy)->view().Current;
+    const auto &Current = Cluster.Proxies.at(Proxy)->view().CurrentManifest;
     return Current ? Current->Version : 0;
   }
 
@@ -135,9 +135,9 @@
   const HttpResponse First = Ops.apply(manifestText(2));
   REQUIRE(First.Status == 200);
   const std::uint64_t Revision =
-      Ops.Cluster.leader()->applied().view().Revision;
+      Ops.Cluster.leader()->appliedState().view().Revision;
   CHECK(Ops.apply(manifestText(2)) == First);
-  CHECK(Ops.Cluster.leader()->applied().view().Revision == Revision);
+  CHECK(Ops.Cluster.leader()->appliedState().view().Revision == Revision);
   REQUIRE(Ops.apply(manifestText(3)).Status == 200);
   const HttpResponse Late = Ops.apply(manifestText(2));
   CHECK(Late.Status == 409);
@@ -188,11 +188,11 @@
   }));
   REQUIRE(Ops.apply(withoutLookups(2)).Status == 200);
   const std::uint64_t Revision =
-      Ops.Cluster.leader()->applied().view().Revision;
+      Ops.Cluster.leader()->appliedState().view().Revision;
   REQUIRE(Ops.waitFor([&] { return Ops.Cluster.leader()->isInForce(Revision); },
                       Millis(6000)));
-  const CallerQuestion Lookup{.Kind = "lookup", .Body = "get bale"};
-  CHECK(Ops.Cluster.askNow("entry-1", Lookup).Outcome == "not-run");
+  const CallerRequest Lookup{.Kind = "lookup", .Body = "get bale"};
+  CHECK(Ops.Cluster.sendAndWait("entry-1", Lookup).Outcome == "not-run");
   const auto Asked = Ops.send(Old, HttpMethod::Get);
   Ops.Cluster.Loop.runFor(Millis(600000));
   REQUIRE(Asked->Answer);
@@ -201,7 +201,7 @@
   CHECK(Early->Answer->Status == 421);
   Ops.Cluster.Net.heal();
   REQUIRE(Ops.waitFor([&] { return Ops.isEverywhere(2); }));
-  CHECK(Ops.Cluster.askNow("entry-1", Lookup).Outcome == "not-run");
+  CHECK(Ops.Cluster.sendAndWait("entry-1", Lookup).Outcome == "not-run");
 }
 
 TEST_CASE("In force means that no proxy acts on the older manifest",
@@ -220,7 +220,7 @@
   }));
   REQUIRE(Ops.apply(withoutLookups(2)).Status == 200);
   const std::uint64_t Revision =
-      Ops.Cluster.leader()->applied().view().Revision;
+      Ops.Cluster.leader()->appliedState().view().Revision;
   REQUIRE(Ops.waitFor([&] { return Ops.Cluster.leader()->isInForce(Revision); },
                       Millis(6000)));
   CHECK_FALSE(Ops.Cluster.Proxies.at("entry-1")->isReady());
@@ -297,7 +297,7 @@
   REQUIRE(Ops.waitFor([&] { return Removed.has_value(); }));
   REQUIRE(*Removed);
   const std::vector<AuditRecord> &Trail =
-      Ops.Cluster.leader()->applied().audit();
+      Ops.Cluster.leader()->appliedState().audit();
   const auto Line =
       std::find_if(Trail.begin(), Trail.end(), [&](const AuditRecord &Each) {
         return Each.Revision == (*Removed)->Revision;
--- a/Tests/Unit/MembershipTest.cpp
+++ b/Tests/Unit/MembershipTest.cpp
@@ -14,20 +14,21 @@
 void announceAs(FakeCluster &Cluster, const TargetAnnouncement &Said) {
   struct Silent final : HttpExchange {
     void respond(HttpResponse) override {}
-    void onHangUp(std::function<void()>) override {}
+    void onDisconnect(std::function<void()>) override {}
   };
   HttpRequest Request;
   Request.Method = HttpMethod::Post;
   Request.Path = "/announce";
-  Request.Headers = {{"Target-Key", "a key for the cluster in memory"},
-                     {"Target-Name", Said.Name},
-                     {"Target-Database", Said.Database},
-                     {"Target-Region", Said.Where.Region},
-                     {"Target-Failure-Domain", Said.Where.FailureDomain},
-                     {"Target-Host", Said.Where.Host},
-                     {"Target-Address", Said.Address.text()},
-                     {"Target-Sequence", std::to_string(Said.Sequence)},
-                     {"Target-Leaving", Said.Leaving ? "true" : "false"}};
+  Request.Headers = {
+      {"Target-Key", "a key for the cluster in memory"},
+      {"Target-Name", Said.Name},
+      {"Target-Database", Said.Database},
+      {"Target-Region", Said.TargetLocality.Region},
+      {"Target-Failure-Domain", Said.TargetLocality.FailureDomain},
+      {"Target-Host", Said.TargetLocality.Host},
+      {"Target-Address", Said.Address.text()},
+      {"Target-Sequence", std::to_string(Said.Sequence)},
+      {"Target-Leaving", Said.Leaving ? "true" : "false"}};
   Cluster.Proxies["entry-1"]->handle(Request, std::make_shared<Silent>());
 }
 
@@ -46,12 +47,12 @@
   CAPTURE(IsPrimary, ProxyCutOff, Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed), 3, 3);
   Cluster.TargetOptions.ServiceTime = Millis(20);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
   const std::string Leaving =
-      IsPrimary ? Primary : othersThan(Cluster, Primary)[0];
-  std::vector<std::shared_ptr<CallerAnswer>> Answers;
-  std::vector<std::shared_ptr<CallerAnswer>> Late;
+      IsPrimary ? Primary : targetsExcept(Cluster, Primary)[0];
+  std::vector<std::shared_ptr<CallerResponse>> Answers;
+  std::vector<std::shared_ptr<CallerResponse>> Late;
   for (int Round = 0; Round < 200; ++Round) {
     if (Round == 20) {
       Cluster.Targets[Leaving]->leave();
@@ -61,11 +62,11 @@
     }
     for (const char *Proxy : {"entry-1", "entry-2", "entry-3"}) {
       const bool Write = Round % 2 == 0;
-      CallerQuestion Question{.Kind = Write ? "handover" : "lookup",
-                              .Body = Write ? "add moves 1" : "get moves"};
+      CallerRequest Question{.Kind = Write ? "handover" : "lookup",
+                             .Body = Write ? "add moves 1" : "get moves"};
       if (Write)
         Question.Key = Proxy + std::to_string(Round);
-      const auto Answer = Cluster.ask(Proxy, Question);
+      const auto Answer = Cluster.send(Proxy, Question);
       if (Round >= 120)
         Late.push_back(Answer);
       else if (!ProxyCutOff || std::string(Proxy) != "entry-3")
@@ -84,7 +85,8 @@
   }
   CHECK(Served >= (ProxyCutOff ? 150U : 230U));
   if (IsPrimary)
-    CHECK(auditOf(Cluster, "primary-draining") == Leaving + " is leaving");
+    CHECK(lastAuditReason(Cluster, "primary-draining") ==
+          Leaving + " is leaving");
 }
 
 TEST_CASE("A leaving primary stays while nobody could follow it",
@@ -93,17 +95,16 @@
   // Handing over would leave callers without a primary; the audit trail says
   // what it waits for, and strict reads are still answered.
   FakeCluster Cluster(1);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
-  for (const std::string &Each : othersThan(Cluster, Primary))
+  for (const std::string &Each : targetsExcept(Cluster, Primary))
     Cluster.kill(Each);
   Cluster.Loop.runFor(Millis(1000));
   Cluster.Targets[Primary]->leave();
   Cluster.Loop.runFor(Millis(3000));
-  CHECK(
-      Cluster.askNow("entry-1", {.Kind = "lookup", .Body = "get a"}).Outcome ==
-      "done");
-  CHECK(auditOf(Cluster, "hand-over-waiting") ==
+  CHECK(Cluster.sendAndWait("entry-1", {.Kind = "lookup", .Body = "get a"})
+            .Outcome == "done");
+  CHECK(lastAuditReason(Cluster, "hand-over-waiting") ==
         Primary + " is leaving; 0 other targets can take over, 2 are needed");
 }
 
@@ -112,10 +113,10 @@
   // a fourth member, or for a database that nobody declared. Callers go on as
   // before, and the audit trail names each refusal once.
   FakeCluster Cluster(1);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
   const TargetAnnouncement Live =
-      *Cluster.leader()->applied().view().target(Primary);
+      *Cluster.leader()->appliedState().view().target(Primary);
   TargetAnnouncement Wrong = Live;
   Wrong.Sequence += 1000;
   Wrong.Address.Port = 99;
@@ -129,12 +130,12 @@
       announceAs(Cluster, Each);
     Cluster.Loop.runFor(Millis(200));
   }
-  const CallerAnswer Written =
-      Cluster.askNow("entry-1", {.Key = "k", .Body = "put a b"});
+  const CallerResponse Written =
+      Cluster.sendAndWait("entry-1", {.Key = "k", .Body = "put a b"});
   CHECK(Written.Outcome == "done");
   CHECK(Written.Target == Primary);
   std::vector<std::string> Refused;
-  for (const AuditRecord &Each : Cluster.leader()->applied().audit())
+  for (const AuditRecord &Each : Cluster.leader()->appliedState().audit())
     if (Each.Action == "target-refused")
       Refused.push_back(Each.Subject);
   CHECK(Refused == std::vector<std::string>{Primary, "fourth", "nowhere"});
@@ -145,24 +146,24 @@
   // a new name. Its place is kept at first, as its log may be needed; then the
   // new one joins, catches up, and can save the confirmed writes.
   FakeCluster Cluster(1);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
-  const std::string Gone = othersThan(Cluster, Primary)[0];
-  const std::string Other = othersThan(Cluster, Primary)[1];
+  const std::string Gone = targetsExcept(Cluster, Primary)[0];
+  const std::string Other = targetsExcept(Cluster, Primary)[1];
   Cluster.kill(Gone);
   Cluster.startTarget("replacement", "bale-ledger-1");
   Cluster.Loop.runFor(Millis(50000));
-  CHECK(auditOf(Cluster, "target-removed").empty());
+  CHECK(lastAuditReason(Cluster, "target-removed").empty());
   REQUIRE(Cluster.Loop.runUntilTrue(
-      [&] { return !auditOf(Cluster, "target-settled").empty(); },
+      [&] { return !lastAuditReason(Cluster, "target-settled").empty(); },
       Millis(30000)));
-  CHECK(!auditOf(Cluster, "target-removed").empty());
+  CHECK(!lastAuditReason(Cluster, "target-removed").empty());
   Cluster.Net.cutBoth(Primary, Other);
-  const CallerAnswer Written =
-      askAgain(Cluster, "entry-1", {.Key = "k", .Body = "put bale haulier"});
+  const CallerResponse Written = sendWithRetries(
+      Cluster, "entry-1", {.Key = "k", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
   Cluster.kill(Primary);
-  const CallerAnswer Read = askAgain(
+  const CallerResponse Read = sendWithRetries(
       Cluster, "entry-2",
       {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
   CHECK(Read.Body == "haulier");
--- a/Tests/Unit/OpenGroupTest.cpp
+++ b/Tests/Unit/OpenGroupTest.cpp
@@ -15,7 +15,7 @@
 
 FakeControlGroup openGroup(int Seed, std::size_t Hosts = 5) {
   return FakeControlGroup(static_cast<std::uint64_t>(Seed), Hosts,
-                          GroupPolicyKind::Open);
+                          MembershipMode::Open);
 }
 
 bool hasVoters(FakeControlGroup &Group, std::size_t Count) {
@@ -24,8 +24,9 @@
 
 bool isHeld(FakeControlGroup &Group, std::uint64_t Index,
             const std::string &Text) {
-  const Entry *Found =
-      Group.leader() == nullptr ? nullptr : Group.leader()->log().at(Index);
+  const Entry *Found = Group.leader() == nullptr
+                           ? nullptr
+                           : Group.leader()->log().entryAt(Index);
   return Found != nullptr && Found->Bytes == Text;
 }
 
@@ -72,7 +73,7 @@
   // of the first is left.
   auto Group = openGroup(3);
   REQUIRE(Group.runUntil([&] { return hasVoters(Group, 5); }));
-  const auto First = Group.acknowledge("kept", LostDisks);
+  const auto First = Group.proposeDurably("kept", LostDisks);
   REQUIRE(First != 0);
   for (int Each = 1; Each <= 5; ++Each) {
     Group.replace("control-" + std::to_string(Each),
@@ -105,7 +106,7 @@
   CAPTURE(Seed, OthersToo);
   auto Group = openGroup(Seed);
   Group.run(Millis(50) * (Seed % 30));
-  const auto Index = Group.acknowledge("kept", LostDisks);
+  const auto Index = Group.proposeDurably("kept", LostDisks);
   REQUIRE(Index != 0);
   std::vector<std::string> Victims = Group.Names;
   std::shuffle(Victims.begin(), Victims.end(), Group.Random);
@@ -161,7 +162,7 @@
     const std::string &Name = Group.Names[Group.Random() % 5];
     Group.Disks[Name]->FailSyncs = true;
     const std::string Text = "change " + std::to_string(Round);
-    if (const auto Index = Group.acknowledge(Text, LostDisks))
+    if (const auto Index = Group.proposeDurably(Text, LostDisks))
       Kept.emplace_back(Index, Text);
     Group.run(Millis(static_cast<std::int64_t>(Group.Random() % 1500)));
     Group.Disks[Name]->FailSyncs = false;
@@ -181,7 +182,7 @@
   const auto Seed = GENERATE(range(1, 61));
   CAPTURE(Seed);
   auto Group = openGroup(Seed);
-  Group.Quality = {static_cast<int>(Seed % 3) * 50, 50, Millis(20)};
+  Group.Faults = {static_cast<int>(Seed % 3) * 50, 50, Millis(20)};
   REQUIRE(Group.runUntil([&] { return hasVoters(Group, 5); }));
   int Spares = 0;
   for (int Round = 0; Round < 25; ++Round) {
@@ -227,7 +228,7 @@
     Group.checkLogs();
   }
   Group.Cuts.clear();
-  Group.Quality = {};
+  Group.Faults = {};
   for (const std::string &Each : Group.Names) {
     if (Group.Disks[Each])
       Group.Disks[Each]->FailSyncs = false;
--- a/Tests/Unit/OrganisationTest.cpp
+++ b/Tests/Unit/OrganisationTest.cpp
@@ -21,8 +21,8 @@
   }
 
   void adopt(const RoutePlan &Plan) {
-    Proxy.Pipeline.adopt(withoutKeys(Plan, ""));
-    Proxy.learn();
+    Proxy.Pipeline.adopt(replaceKeysByDigests(Plan, ""));
+    Proxy.updateDirectory();
   }
 
   FakeLoop Loop;
@@ -61,7 +61,7 @@
       REQUIRE_FALSE(
           On.Proxy.ask(Session, Kind::Read, Id + "r", "FETCH x").Refusal);
       CHECK(On.Group.run(Id + "r")->Organisation == Name);
-      On.Proxy.Pipeline.disconnected(Session.Id);
+      On.Proxy.Pipeline.handleDisconnect(Session.Id);
     }
 }
 
@@ -71,7 +71,7 @@
   // come through many proxies, with transactions that callers leave.
   RelaySetup On(12, 10);
   const std::vector<std::string> All = names(30);
-  On.System.adopt(planOfOrganisations(2, All));
+  On.System.applyPlan(planOfOrganisations(2, All));
   std::vector<FakeRelaySystem::Session> Sessions;
   std::map<std::string, std::string> Expected; // Organisation by id.
   for (std::size_t Each = 0; Each < 90; ++Each) {
@@ -86,14 +86,14 @@
     Sessions.push_back(Session);
     On.Loop.runFor(Millis(5));
     if (Each % 6 == 0)
-      Session.At->Pipeline.disconnected(Session.Id);
+      Session.At->Pipeline.handleDisconnect(Session.Id);
     else if (Each % 3 == 0)
       On.System.send(Session, Kind::Commit, Id + "c");
     Expected[Id + "c"] = Name;
   }
   On.Loop.runFor(Millis(2000));
   REQUIRE(On.Group.Runs.size() > 60);
-  for (const FakeRun &Each : On.Group.Runs) {
+  for (const FakeExecution &Each : On.Group.Runs) {
     CAPTURE(Each.Id);
     CHECK(Each.Organisation == Expected.at(Each.Id));
   }
@@ -105,7 +105,7 @@
   // from ever having one.
   RelaySetup On(12, 10);
   const std::vector<std::string> All = names(60);
-  On.System.adopt(planOfOrganisations(2, All));
+  On.System.applyPlan(planOfOrganisations(2, All));
   std::size_t Served = 0;
   for (std::size_t Each = 0; Each < All.size(); ++Each) {
     const auto Session =
@@ -132,7 +132,7 @@
   SessionPipeline Pipeline(
       {Host, Host, Group, Floors, [&IsCurrent] { return IsCurrent; }, ""},
       {"region", "here", "proxy"});
-  Pipeline.adopt(withoutKeys(planOfOrganisations(1, {"mills"}), ""));
+  Pipeline.adopt(replaceKeysByDigests(planOfOrganisations(1, {"mills"}), ""));
   const auto Open = [&](const std::string &Key) {
     auto Caller = std::make_shared<FakeCaller>();
     Pipeline.open("primary", Key, Caller);
@@ -150,7 +150,8 @@
   Loop.runFor(Millis(300));
   CHECK_FALSE(Unsure->IsOpen);
   CHECK_FALSE(Unsure->Rejected);
-  Pipeline.adopt(withoutKeys(planOfOrganisations(2, {"mills", "clerks"}), ""));
+  Pipeline.adopt(
+      replaceKeysByDigests(planOfOrganisations(2, {"mills", "clerks"}), ""));
   CHECK(Unsure->IsOpen);
   Loop.runFor(Millis(2000));
   REQUIRE(Never->Rejected);
@@ -244,13 +245,13 @@
   RelaySetup On(12, 10);
   RoutePlan Plan = planOfOrganisations(2, {"mills"});
   Plan.Routes.front().IsPublic = true;
-  On.System.adopt(Plan);
+  On.System.applyPlan(Plan);
   const auto Known = On.System.connect(0, "own", "mills-key");
   REQUIRE_FALSE(On.System.ask(Known, Kind::Write, "w", "STORE x 1").Refusal);
   const auto Anyone = On.System.connect(0, "primary");
   REQUIRE_FALSE(On.System.ask(Anyone, Kind::Write, "p", "STORE x 1").Refusal);
   CHECK(On.Group.run("w")->Organisation == "mills");
-  CHECK(On.Group.run("p")->Organisation == PublicCallers);
+  CHECK(On.Group.run("p")->Organisation == PublicOrganisation);
 }
 
 TEST_CASE("Proxies are told no key", "[organisations]") {
@@ -258,7 +259,7 @@
   RoutePlan Plan = planOfOrganisations(1, {"mills"});
   Plan.Document = R"({"api_keys": ["mills-key"]})";
   REQUIRE(encode(Plan).find("mills-key") != std::string::npos);
-  CHECK(encode(withoutKeys(Plan, "secret")).find("mills-key") ==
+  CHECK(encode(replaceKeysByDigests(Plan, "secret")).find("mills-key") ==
         std::string::npos);
 }
 
@@ -266,11 +267,11 @@
   RoutePlan Plan = planOfOrganisations(1, {"mills", "mills", "clerks", ""});
   Plan.Organisations[2].Keys = {"mills-key", "two words"};
   Plan.Organisations[2].Limit = Quota{-1, 5};
-  const auto Faults = faultsOf(Plan);
+  const auto Faults = validationErrors(Plan);
   CHECK(Faults.size() == 5);
   for (const std::string &Each : Faults)
     CHECK(Each.find("mills-key") == std::string::npos);
-  CHECK(faultsOf(planOfOrganisations(1, {"mills", "clerks"})).empty());
+  CHECK(validationErrors(planOfOrganisations(1, {"mills", "clerks"})).empty());
 }
 
 TEST_CASE("The operators' document names organisations and their quotas",
--- a/Tests/Unit/PassingTimeTest.cpp
+++ b/Tests/Unit/PassingTimeTest.cpp
@@ -24,18 +24,18 @@
   const auto Writer = Proxy.connect("primary");
   const auto First = Proxy.connect("bounded");
   const auto Second = Proxy.connect("bounded");
-  Group.Servers["c"].Receives = false;
+  Group.Servers["c"].IsReplicating = false;
   Proxy.ask(Writer, Kind::Write, "w1", "STORE x 1");
   Proxy.ask(Writer, Kind::Write, "w2", "STORE x 2");
   // One at each replica; "c" refuses its own.
   Proxy.send(First, Kind::Read, "r1", "FETCH x");
   Proxy.send(Second, Kind::Read, "r2", "FETCH x");
   Loop.runFor(Age);
-  Group.Work = Millis(200);
+  Group.ExecutionTime = Millis(200);
   Proxy.send(First, Kind::Read, "r3", "FETCH x");
-  Proxy.Host.AtReading = [] { return Millis(1); };
+  Proxy.Host.OnClockRead = [] { return Millis(1); };
   Proxy.send(Second, Kind::Read, "r4", "FETCH x");
-  Proxy.Host.AtReading = nullptr;
+  Proxy.Host.OnClockRead = nullptr;
   Loop.runFor(Millis(1000));
   const std::size_t Out = Second.Caller->Answers.size();
   Loop.clear();
@@ -58,26 +58,26 @@
   // that read the clock more than once.
   const auto Seed = GENERATE(range(1, 9));
   CAPTURE(Seed);
-  ReadySetup Setup(static_cast<std::uint64_t>(Seed));
-  Fleet &On = Setup.On;
-  const auto AtReading = interruptions(static_cast<std::uint64_t>(Seed), 400);
+  ReadyFleet Setup(static_cast<std::uint64_t>(Seed));
+  FakeFleet &On = Setup.Fleet;
+  const auto AtReading = randomPauses(static_cast<std::uint64_t>(Seed), 400);
   for (auto &[Name, Each] : On.Controls)
-    Each.Host->AtReading = AtReading;
+    Each.Host->OnClockRead = AtReading;
   for (auto &[Name, Each] : On.Proxies)
-    Each.Host->AtReading = AtReading;
-  On.runBeating(Millis(1000));
+    Each.Host->OnClockRead = AtReading;
+  On.runWithHeartbeats(Millis(1000));
   REQUIRE(On.awaitLeader());
-  REQUIRE(On.accept(2));
+  REQUIRE(On.acceptPlan(2));
   On.Targets.Targets["a"].IsUp = false;
   for (int Round = 0; Round < 10; ++Round) {
-    On.report("a", On.Proxies.size());
-    On.runBeating(Millis(400));
+    On.reportFailure("a", On.Proxies.size());
+    On.runWithHeartbeats(Millis(400));
   }
   CHECK_FALSE(On.Targets.Targets["a"].IsPrimary);
   On.killControl(On.leader()->leader());
   CHECK(On.Loop.runUntilTrue([&] { return On.leader() != nullptr; },
                              Millis(10000)));
-  REQUIRE(On.accept(3));
-  On.runBeating(Millis(2000));
+  REQUIRE(On.acceptPlan(3));
+  On.runWithHeartbeats(Millis(2000));
   CHECK(On.allProxiesHave(3));
 }
--- a/Tests/Unit/PipelineRandomTest.cpp
+++ b/Tests/Unit/PipelineRandomTest.cpp
@@ -24,7 +24,7 @@
 void checkRandomFaults(int Seed, std::function<Millis()> AtReading) {
   CAPTURE(Seed);
   Setup On;
-  On.Proxy.Host.AtReading = std::move(AtReading);
+  On.Proxy.Host.OnClockRead = std::move(AtReading);
   std::mt19937 Random(static_cast<unsigned>(Seed));
   const auto Chance = [&Random](unsigned Percent) {
     return Random() % 100 < Percent;
@@ -40,20 +40,20 @@
   for (int Round = 0; Round < 300; ++Round) {
     FakeGroup::Server &Any = On.Group.Servers[Names[Random() % 3]];
     if (Chance(4))
-      Any.LoseAnswers = 1;
+      Any.ConnectionsToMute = 1;
     if (Chance(4))
-      Any.CutAnswers = 1;
+      Any.AnswersToCut = 1;
     if (Chance(5))
       Any.IsBusy = !Any.IsBusy;
     if (Chance(5))
-      Any.Receives = !Any.Receives;
+      Any.IsReplicating = !Any.IsReplicating;
     if (Chance(2)) {
       On.Group.promote(Names[Random() % 3]);
       if (Chance(60))
-        On.Proxy.learn();
+        On.Proxy.updateDirectory();
     }
     if (Chance(10))
-      On.Proxy.learn();
+      On.Proxy.updateDirectory();
     const auto &Session = Sessions[Random() % Sessions.size()];
     const std::string Id = "s" + std::to_string(Round);
     const bool Writes = Chance(40);
@@ -61,7 +61,7 @@
                                      Id, Writes ? "STORE x " + Id : "FETCH x");
     if (!Answer.Refusal) {
       Done.insert(Id);
-      CHECK(Answer.Proof == "proof of " + Id);
+      CHECK(Answer.Signature == "proof of " + Id);
     } else if (Answer.Refusal->Code == RefusalCode::Busy ||
                Answer.Refusal->Code == RefusalCode::ReadOnly ||
                Answer.Refusal->Code == RefusalCode::Aborted) {
@@ -72,7 +72,7 @@
   On.Loop.runFor(Millis(3000));
   for (const std::string &Id : Promised)
     CHECK(On.Group.Committed.count(Id) == 0);
-  for (const FakeRun &Each : On.Group.Runs)
+  for (const FakeExecution &Each : On.Group.Runs)
     if (Each.IsWrite)
       CHECK(On.Group.runs(Each.Id) == 1);
   // Busy spans of the primary leave few in some runs.
@@ -88,5 +88,5 @@
 TEST_CASE("A proxy that loses the processor never makes a success untrue",
           "[pipeline][time]") {
   // Guards against truths that hold only while no time passes in a decision.
-  checkRandomFaults(GENERATE(range(41, 61)), interruptions(1, 200));
+  checkRandomFaults(GENERATE(range(41, 61)), randomPauses(1, 200));
 }
--- a/Tests/Unit/PipelineTruthTest.cpp
+++ b/Tests/Unit/PipelineTruthTest.cpp
@@ -61,7 +61,7 @@
   Setup On;
   const auto Session = On.Proxy.connect("primary");
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Read, "r1", "FETCH x").Refusal);
-  On.Group.Servers["a"].Receives = false;
+  On.Group.Servers["a"].IsReplicating = false;
   On.Group.promote("b");
   const auto Answer = On.Proxy.ask(Session, Kind::Read, "r2", "FETCH x");
   // The proxy finds the new primary by itself.
@@ -70,10 +70,10 @@
   CHECK(On.Group.run("r2")->Target == "b");
   CHECK(On.Group.run("r2")->InTransaction);
   // Control's late word of the former primary isn't believed again.
-  On.Proxy.learnFrom("a");
+  On.Proxy.updateDirectoryWithStalePrimary("a");
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Read, "r4", "FETCH x").Refusal);
   CHECK(On.Group.run("r4")->Target == "b");
-  On.Proxy.learn();
+  On.Proxy.updateDirectory();
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Read, "r3", "FETCH x").Refusal);
   CHECK(On.Group.run("r3")->Target == "b");
 }
@@ -102,14 +102,14 @@
   Setup On;
   const auto Session = On.Proxy.connect("primary");
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Read, "r0", "FETCH x").Refusal);
-  On.Group.Servers["a"].IsSilent = true;
+  On.Group.Servers["a"].IsUnresponsive = true;
   On.Proxy.send(Session, Kind::Read, "r1", "FETCH x");
   On.Loop.runFor(Millis(20));
   const std::size_t Before = Session.Caller->Answers.size();
-  On.Group.Servers["a"].IsSilent = false;
+  On.Group.Servers["a"].IsUnresponsive = false;
   On.Group.Servers["a"].BornAt = 2000;
   const Millis Began = On.Loop.now();
-  On.Proxy.learn();
+  On.Proxy.updateDirectory();
   REQUIRE(On.Loop.runUntilTrue(
       [&] { return Session.Caller->Answers.size() > Before; }, Millis(1000)));
   CHECK_FALSE(Session.Caller->last().Refusal);
@@ -122,8 +122,8 @@
   Setup On;
   const auto Writer = On.Proxy.connect("primary");
   const auto Reader = On.Proxy.connect("bounded");
-  On.Group.Servers["b"].Receives = false;
-  On.Group.Servers["c"].Receives = false;
+  On.Group.Servers["b"].IsReplicating = false;
+  On.Group.Servers["c"].IsReplicating = false;
   REQUIRE_FALSE(On.Proxy.ask(Writer, Kind::Write, "w1", "STORE x 1").Refusal);
   On.Loop.runFor(Millis(1600));
   REQUIRE_FALSE(On.Proxy.ask(Writer, Kind::Read, "r0", "FETCH x").Refusal);
@@ -139,8 +139,8 @@
   Setup On;
   const auto Writer = On.Proxy.connect("primary");
   const auto Reader = On.Proxy.connect("bounded");
-  On.Group.Servers["b"].Receives = false;
-  On.Group.Servers["c"].Receives = false;
+  On.Group.Servers["b"].IsReplicating = false;
+  On.Group.Servers["c"].IsReplicating = false;
   std::size_t AtOnce = 0;
   for (int Round = 0; Round < 200; ++Round) {
     const std::string Number = std::to_string(Round);
@@ -156,7 +156,7 @@
   }
   CHECK(AtOnce >= 95);
   // They are used again soon after they have caught up.
-  On.Group.Servers["b"].Receives = true;
+  On.Group.Servers["b"].IsReplicating = true;
   REQUIRE_FALSE(On.Proxy.ask(Writer, Kind::Write, "w", "STORE x 1").Refusal);
   std::size_t AtReplica = 0;
   for (int Round = 0; Round < 100; ++Round) {
@@ -177,12 +177,12 @@
   const auto Session = On.Proxy.connect("primary");
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Read, "r0", "FETCH x").Refusal);
   for (int Round = 0; Round < 5; ++Round) {
-    On.Group.Servers["a"].SkipAnswers = 1;
+    On.Group.Servers["a"].AnswersToDrop = 1;
     const std::string Id = "r" + std::to_string(Round + 1);
     const auto Answer = On.Proxy.ask(Session, Kind::Read, Id, "FETCH x");
     if (!Answer.Refusal)
       CHECK(Answer.Rows == std::vector<std::string>{"row of " + Id});
-    On.Group.Servers["a"].SkipAnswers = 0;
+    On.Group.Servers["a"].AnswersToDrop = 0;
     const auto Next = On.Proxy.ask(Session, Kind::Read, "n" + Id, "FETCH x");
     if (!Next.Refusal)
       CHECK(Next.Rows == std::vector<std::string>{"row of n" + Id});
@@ -218,7 +218,7 @@
   const auto Reader = On.Proxy.connect("bounded");
   REQUIRE_FALSE(On.Proxy.ask(Writer, Kind::Read, "r0", "FETCH x").Refusal);
   for (auto &[Name, Each] : On.Group.Servers)
-    Each.Receives = false;
+    Each.IsReplicating = false;
   FakePipeline Other(On.Loop, On.Group);
   REQUIRE_FALSE(
       Other.ask(Other.connect("primary"), Kind::Write, "w1", "STORE x 1")
@@ -240,12 +240,12 @@
   // every replica for as long as it counts.
   Setup On;
   const auto Session = On.Proxy.connect("own");
-  On.Group.Servers["b"].Receives = false;
-  On.Group.Servers["c"].Receives = false;
+  On.Group.Servers["b"].IsReplicating = false;
+  On.Group.Servers["c"].IsReplicating = false;
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
   On.Group.Servers["a"].IsUp = false;
   On.Group.promote("b");
-  On.Proxy.learn();
+  On.Proxy.updateDirectory();
   const auto Reader = On.Proxy.connect("bounded");
   CHECK_FALSE(On.Proxy.ask(Reader, Kind::Read, "r1", "FETCH x").Refusal);
   CHECK_FALSE(On.Proxy.ask(Session, Kind::Read, "r2", "FETCH x").Refusal);
@@ -255,8 +255,8 @@
   Setup On;
   const auto Session = On.Proxy.connect("own");
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Read, "r0", "FETCH x").Refusal);
-  On.Group.Servers["b"].Receives = false;
-  On.Group.Servers["c"].Receives = false;
+  On.Group.Servers["b"].IsReplicating = false;
+  On.Group.Servers["c"].IsReplicating = false;
   for (int Round = 0; Round < 10; ++Round) {
     const std::string Number = std::to_string(Round);
     REQUIRE_FALSE(
@@ -277,8 +277,8 @@
   CAPTURE(IsCut);
   Setup On;
   const auto Session = On.Proxy.connect("primary");
-  (IsCut ? On.Group.Servers["a"].CutAnswers
-         : On.Group.Servers["a"].LoseAnswers) = 1;
+  (IsCut ? On.Group.Servers["a"].AnswersToCut
+         : On.Group.Servers["a"].ConnectionsToMute) = 1;
   const auto Answer = On.Proxy.ask(Session, Kind::Write, "w1", "STORE x 1");
   CHECK(codeOf(Answer) == RefusalCode::Unknown);
   CHECK(Answer.Phase == SessionPhase::Idle);
@@ -292,7 +292,7 @@
   const auto Session = On.Proxy.connect("primary");
   On.Proxy.ask(Session, Kind::Begin);
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
-  On.Group.Servers["a"].CutAnswers = 1;
+  On.Group.Servers["a"].AnswersToCut = 1;
   const auto Answer = On.Proxy.ask(Session, Kind::Commit, "c1");
   CHECK(codeOf(Answer) == RefusalCode::Unknown);
   CHECK(Answer.Phase == SessionPhase::Idle);
@@ -306,7 +306,7 @@
   const auto Session = On.Proxy.connect("primary");
   On.Proxy.ask(Session, Kind::Begin);
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
-  On.Group.Servers["a"].CutAnswers = 1;
+  On.Group.Servers["a"].AnswersToCut = 1;
   const auto Answer = On.Proxy.ask(Session, Kind::Write, "w2", "STORE x 2");
   CHECK(codeOf(Answer) == RefusalCode::Aborted);
   CHECK(Answer.Phase == SessionPhase::Failed);
@@ -320,7 +320,7 @@
   Setup On;
   const auto Session = On.Proxy.connect("bounded");
   for (auto &[Name, Each] : On.Group.Servers)
-    Each.LoseAnswers = 1;
+    Each.ConnectionsToMute = 1;
   const auto Answer = On.Proxy.ask(Session, Kind::Read, "r1", "FETCH x");
   // Each target loses one answer; what the caller gets is true in any case.
   if (!Answer.Refusal)
@@ -335,23 +335,23 @@
   // and nobody could write for a second or more.
   Setup On;
   std::size_t Troubles = 0;
-  On.Proxy.Pipeline.signalTrouble().connect(
-      [&](const TargetTrouble &) { ++Troubles; });
+  On.Proxy.Pipeline.signalTargetFailure().connect(
+      [&](const TargetFailure &) { ++Troubles; });
   std::vector<FakePipeline::Session> Sessions;
   Sessions.reserve(6);
   for (int Each = 0; Each < 4; ++Each)
     Sessions.push_back(On.Proxy.connect("primary"));
   for (int Round = 0; Round < 200; ++Round) {
     if (Round % 10 == 0)
-      On.Group.Servers["a"].LoseAnswers = 1;
+      On.Group.Servers["a"].ConnectionsToMute = 1;
     if (Round % 10 == 5)
-      On.Group.Servers["a"].CutAnswers = 1;
+      On.Group.Servers["a"].AnswersToCut = 1;
     On.Proxy.send(Sessions[Round % 4], Kind::Read, "r" + std::to_string(Round),
                   "FETCH x");
     On.Loop.runFor(Millis(30));
   }
   CHECK(Troubles == 0);
-  On.Group.Servers["a"].IsSilent = true;
+  On.Group.Servers["a"].IsUnresponsive = true;
   On.Proxy.send(Sessions[0], Kind::Read, "last", "FETCH x");
   On.Loop.runFor(Millis(1500));
   CHECK(Troubles > 0);
@@ -421,7 +421,7 @@
     CHECK(On.Group.run("second" + Number)->Connection == Own);
     CHECK(On.Group.run("commit" + Number)->Connection == Own);
   }
-  for (const FakeRun &Each : On.Group.Runs)
+  for (const FakeExecution &Each : On.Group.Runs)
     if (Each.Id.rfind("single", 0) == 0)
       CHECK_FALSE(Each.InTransaction);
 }
@@ -432,7 +432,7 @@
   On.Proxy.ask(Gone, Kind::Begin);
   On.Proxy.ask(Gone, Kind::Write, "w1", "STORE x 1");
   On.Proxy.send(Gone, Kind::Write, "w2", "STORE x 2");
-  On.Proxy.Pipeline.disconnected(Gone.Id);
+  On.Proxy.Pipeline.handleDisconnect(Gone.Id);
   On.Loop.runFor(Millis(500));
   const auto Next = On.Proxy.connect("primary");
   REQUIRE_FALSE(On.Proxy.ask(Next, Kind::Write, "w3", "STORE x 3").Refusal);
@@ -448,7 +448,7 @@
   Setup On;
   const auto Session = On.Proxy.connect("primary");
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Read, "r0", "FETCH x").Refusal);
-  On.Group.Servers["a"].RefuseOpenings = 1;
+  On.Group.Servers["a"].BeginsToRefuse = 1;
   On.Proxy.ask(Session, Kind::Begin);
   REQUIRE_FALSE(On.Proxy.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
   CHECK(On.Group.run("w1")->InTransaction);
@@ -520,7 +520,7 @@
   const auto Urgent = Proxy.connect("primary");
   REQUIRE_FALSE(Proxy.ask(Ahead, Kind::Write, "w", "STORE x 0").Refusal);
   // The target stands still with all that it takes at a time, and some wait.
-  Group.Work = Millis(400);
+  Group.ExecutionTime = Millis(400);
   for (std::size_t Each = 0; Each < Others.size(); ++Each)
     Proxy.send(Others[Each], Kind::Write, "o" + std::to_string(Each),
                "STORE x 1");
--- a/Tests/Unit/PlatformSocketTest.cpp
+++ b/Tests/Unit/PlatformSocketTest.cpp
@@ -3,17 +3,17 @@
 /// pipeline to stand-ins of the platform's targets, heartbeats and plans over
 /// HTTP. Each test waits for a condition; the bound only ends a hopeless one.
 
-#include "CallerPort.h"
 #include "Common/SystemClock.h"
 #include "DirectoryService.h"
 #include "FakeDisk.h"
 #include "FakeGroup.h"
 #include "Http/EventHttpConnector.h"
 #include "Http/EventHttpServer.h"
+#include "HttpPromotionClient.h"
+#include "LineCallerListener.h"
 #include "LineProtocol.h"
 #include "LineTarget.h"
-#include "PromotionCalls.h"
-#include "TargetPort.h"
+#include "LineTargetConnector.h"
 #include "Transport/SocketOptions.h"
 #include "Transport/SocketPeerStreams.h"
 #include "Transport/SocketTransport.h"
@@ -125,8 +125,8 @@
     Said.FailureDomain = "here";
     Said.Sequence = ++Sequence;
     Said.IsPrimary = IsPrimary;
-    Known.hear(Said, Time.now());
-    Pipeline.update(Known);
+    Known.applyHeartbeat(Said, Time.now());
+    Pipeline.updateTargets(Known);
   }
 
   SystemClock Time;
@@ -165,7 +165,7 @@
   Caller.send("QUERY t3 COMMIT\r\n");
   CHECK(Caller.receive("READY I 1.3\r\n").find("COMPLETE proof") == 0);
   Caller.send("TERMINATE\r\n");
-  CHECK(runUntil(On.Loop, [&] { return On.Pipeline.isQuiet(); }));
+  CHECK(runUntil(On.Loop, [&] { return On.Pipeline.hasNoSessions(); }));
 }
 
 TEST_CASE("Garbage costs its own connection alone", "[platform-socket]") {
@@ -232,12 +232,12 @@
 TEST_CASE("Targets are asked and ordered over their own connections",
           "[platform-socket]") {
   SocketSetup On;
-  LineTargetOrders Orders(On.Loop, On.Targets);
+  LineTargetCommandPort Orders(On.Loop, On.Targets);
   std::optional<Expected<TargetStatus>> Answer;
   const auto Ask = [&](const std::string &Id, TargetCommand::Kind What) {
     Answer.reset();
-    Orders.ask({"ledger", Id, On.First.endpoint()}, What, 2, Millis(2000),
-               [&](const Expected<TargetStatus> &Got) { Answer = Got; });
+    Orders.send({"ledger", Id, On.First.endpoint()}, What, 2, Millis(2000),
+                [&](const Expected<TargetStatus> &Got) { Answer = Got; });
     REQUIRE(runUntil(On.Loop, [&] { return Answer.has_value(); }));
   };
   Ask("i-1", TargetCommand::Kind::Status);
@@ -324,7 +324,7 @@
   const Endpoint Own = freePort();
   auto First = SocketTransport::listen(Loop, Own, "one", Key);
   REQUIRE(First);
-  (*First)->send(Peer, Delivery::Stream, FollowElsewhere{"waits"});
+  (*First)->send(Peer, Delivery::Stream, SubscribeRedirect{"waits"});
   runUntil(Loop, [&, Until = Time.now() + Millis(150)] {
     return Time.now() >= Until;
   });
@@ -335,11 +335,11 @@
   REQUIRE(Second);
   bool Arrived = false;
   (*Second)->signalReceived().connect([&Arrived](const Envelope &Got) {
-    const auto *Body = std::get_if<FollowElsewhere>(&Got.Body);
+    const auto *Body = std::get_if<SubscribeRedirect>(&Got.Body);
     Arrived = Arrived || (Body != nullptr && Body->Leader == "waits");
   });
   const Millis Began = Time.now();
-  (*Second)->send(Own, Delivery::Datagram, FollowElsewhere{"back"});
+  (*Second)->send(Own, Delivery::Datagram, SubscribeRedirect{"back"});
   CHECK(runUntil(Loop, [&Arrived] { return Arrived; }));
   CHECK(Time.now() - Began < Millis(400));
 }
@@ -356,16 +356,16 @@
   auto Peers = SocketTransport::listen(Loop, PeerAt, "control", "a key for it");
   REQUIRE(Peers);
   LineTargetConnector Targets(Loop);
-  LineTargetOrders Orders(Loop, Targets);
+  LineTargetCommandPort Orders(Loop, Targets);
   EventHttpConnector Connector(Loop);
-  PromotionCalls Promotions(Loop, Connector, {freePort(), "control"});
+  HttpPromotionClient Promotions(Loop, Connector, {freePort(), "control"});
   SteeringOptions Options;
   Options.Name = PeerAt.Address;
-  Options.Process = "control";
+  Options.ProcessName = "control";
   Options.PeerPort = PeerAt.Port;
   Options.Seeds = {PeerAt.Address};
-  Options.MayFound = true;
-  Options.LostDisksBorne = 0;
+  Options.MayBootstrap = true;
+  Options.ToleratedDiskLosses = 0;
   SteeringNode Node(Options, {Time, Loop, **Peers, Orders, Promotions}, Log, 1);
   Node.start();
   const Endpoint At = freePort();
@@ -402,7 +402,7 @@
              R"("state":"ready","db_role":"primary","sequence":4,"born":900})")
             .Status == 200);
   CHECK(Node.directory().primaryOf("ledger")->Id == "i-1");
-  CHECK(Node.directory().find("i-1")->BornAt == 900);
+  CHECK(Node.directory().find("i-1")->Incarnation == 900);
   // Other writers' heartbeats, for the same id: they name no target and leave
   // the one that's known alone.
   const auto Whole = nlohmann::json::parse(
@@ -447,9 +447,9 @@
              std::string("\xff\x00{", 3))
             .Status == 400);
   CHECK(Node.directory().primaryOf("ledger")->Id == "i-1");
-  CHECK(Node.directory().find("i-1")->BornAt == 900);
+  CHECK(Node.directory().find("i-1")->Incarnation == 900);
   CHECK(Tell(Whole) == 200);
-  CHECK(Node.directory().find("i-1")->BornAt == 901);
+  CHECK(Node.directory().find("i-1")->Incarnation == 901);
   CHECK(Call(HttpMethod::Post, "/-/Instances.Heartbeat/i-2", "{}").Status ==
         400);
   CHECK(Call(HttpMethod::Post, "/-/Instances.Deregister/i-1", "[]").Status ==
@@ -471,7 +471,7 @@
   auto Host = SocketPeerStreams::listen(Loop, At, Key);
   REQUIRE(Host);
   std::vector<std::shared_ptr<PeerStream>> Taken;
-  (*Host)->accept([&](std::shared_ptr<PeerStream> Stream) {
+  (*Host)->setAcceptHandler([&](std::shared_ptr<PeerStream> Stream) {
     Taken.push_back(Stream);
     return PeerStreamEvents{
         [Weak = std::weak_ptr(Stream)](const std::string &Frame) {
@@ -507,7 +507,7 @@
   std::vector<std::shared_ptr<PeerStream>> Taken;
   std::size_t Frames = 0;
   std::size_t Closed = 0;
-  (*Host)->accept([&](std::shared_ptr<PeerStream> Stream) {
+  (*Host)->setAcceptHandler([&](std::shared_ptr<PeerStream> Stream) {
     Taken.push_back(Stream);
     return PeerStreamEvents{[&](const std::string &) { ++Frames; },
                             [&] {
--- a/Tests/Unit/ProxyListTest.cpp
+++ b/Tests/Unit/ProxyListTest.cpp
@@ -22,15 +22,15 @@
   // Each list that it told meanwhile would move every target's connections.
   ProxyList List;
   Millis Now(1000);
-  List.begin({}, Now);
+  List.startTerm({}, Now);
   for (int Each = 0; Each < 10; ++Each) {
-    CHECK_FALSE(List.isSettled(Now));
-    List.hear(proxy(Each), false, Now);
+    CHECK_FALSE(List.isReady(Now));
+    List.update(proxy(Each), false, Now);
     Now += Millis(50);
   }
-  CHECK_FALSE(List.isSettled(Now));
+  CHECK_FALSE(List.isReady(Now));
   Now += Millis(400);
-  CHECK(List.isSettled(Now));
+  CHECK(List.isReady(Now));
   CHECK(List.all().size() == 10);
 }
 
@@ -40,31 +40,32 @@
   std::map<std::string, ProxyRecord> Noted;
   for (int Each = 0; Each < 10; ++Each)
     Noted[proxy(Each).Name] = proxy(Each);
-  List.begin(Noted, Millis(1000));
-  CHECK(List.isSettled(Millis(1000)));
+  List.startTerm(Noted, Millis(1000));
+  CHECK(List.isReady(Millis(1000)));
   CHECK(List.all().size() == 10);
-  CHECK(List.news(Noted).Present.empty());
-  CHECK(List.news(Noted).Gone.empty());
+  CHECK(List.unrecordedChanges(Noted).Present.empty());
+  CHECK(List.unrecordedChanges(Noted).Removed.empty());
   // Those that don't come back are dropped, the others are kept.
   for (int Each = 0; Each < 9; ++Each)
-    List.hear(proxy(Each), false, Millis(3000));
-  List.dropSilent(Millis(4500), Millis(3000));
+    List.update(proxy(Each), false, Millis(3000));
+  List.removeExpired(Millis(4500), Millis(3000));
   CHECK(List.all().size() == 9);
-  CHECK(List.news(Noted).Gone == std::vector<std::string>{proxy(9).Name});
+  CHECK(List.unrecordedChanges(Noted).Removed ==
+        std::vector<std::string>{proxy(9).Name});
 }
 
 TEST_CASE("A proxy that leaves is off the list at once and back when it starts",
           "[proxies]") {
   ProxyList List;
-  List.begin({}, Millis(1000));
-  List.hear(proxy(1), false, Millis(1000));
-  List.hear(proxy(2), false, Millis(1000));
+  List.startTerm({}, Millis(1000));
+  List.update(proxy(1), false, Millis(1000));
+  List.update(proxy(2), false, Millis(1000));
   const std::uint64_t Before = List.revision();
-  List.hear(proxy(1), false, Millis(1500));
+  List.update(proxy(1), false, Millis(1500));
   CHECK(List.revision() == Before);
-  List.hear(proxy(1), true, Millis(2000));
+  List.update(proxy(1), true, Millis(2000));
   CHECK(List.all() == std::vector<ProxyRecord>{proxy(2)});
   CHECK(List.revision() > Before);
-  List.hear(proxy(1), false, Millis(4000));
+  List.update(proxy(1), false, Millis(4000));
   CHECK(List.all().size() == 2);
 }
--- a/Tests/Unit/QuotaTest.cpp
+++ b/Tests/Unit/QuotaTest.cpp
@@ -43,7 +43,7 @@
   }
 
   /// A new leader that knows nothing but what the group has noted.
-  void lead() { Ledger.begin(++Term, Noted, Now); }
+  void lead() { Ledger.startTerm(++Term, Noted, Now); }
 
   void restart(std::size_t Proxy) {
     Seats[Proxy] = QuotaSeats(ProcessId{name(Proxy), ++Incarnations[Proxy]});
@@ -58,7 +58,7 @@
 
   /// Takes what permits there are.
   void drain(std::size_t Proxy) {
-    const PermitReply Taken = Seats[Proxy].take(Mills, 1000, Now);
+    const PermitReply Taken = Seats[Proxy].takePermits(Mills, 1000, Now);
     for (std::uint32_t Each = 0; Each < Taken.Granted; ++Each)
       Given.push_back(Now);
   }
@@ -81,10 +81,10 @@
   void answer(std::size_t Proxy, const ProcessId &Id,
               const SeatRequest &Request) {
     auto Grant = Ledger.answer(Id, Request, Now);
-    const NotedSeats News = Ledger.takeNews();
+    const SeatAssignments News = Ledger.takeProposedAssignments();
     for (const auto &[Which, Name] : News)
       Noted[Which] = Name;
-    Ledger.noted(News, Now);
+    Ledger.applyCommitted(News, Now);
     if (Grant && !chance(5))
       Late.push_back({Proxy, *Grant, Now + Millis(chance(20) ? 700 : 2)});
   }
@@ -155,7 +155,7 @@
   Millis Now{1000};
   std::uint64_t Term = 0;
   SeatLedger Ledger;
-  NotedSeats Noted;
+  SeatAssignments Noted;
   std::vector<QuotaSeats> Seats;
   std::vector<std::uint64_t> Incarnations;
   std::vector<Millis> AskedAt;
@@ -191,11 +191,11 @@
       Each->Permits.adopt(planWith(1, PerSecond, Burst));
       Each->Permits.setProxies(Records);
     }
-    Ledger.begin(1, {}, Loop.now());
+    Ledger.startTerm(1, {}, Loop.now());
     for (int Round = 0; Round < 4; ++Round) {
       for (auto &Each : Proxies)
         renew(*Each);
-      Ledger.noted(Ledger.takeNews(), Loop.now());
+      Ledger.applyCommitted(Ledger.takeProposedAssignments(), Loop.now());
     }
   }
 
@@ -210,10 +210,10 @@
   /// Asks for a permit at a proxy; counts what comes of it.
   void ask(std::size_t At, Millis Within) {
     ++Asked;
-    Proxies[At]->Permits.ask(Mills, Loop.now() + Within,
-                             [this](std::optional<Millis> ComeBack) {
-                               ++(ComeBack ? Refused : Given);
-                             });
+    Proxies[At]->Permits.requestPermit(Mills, Loop.now() + Within,
+                                       [this](std::optional<Millis> ComeBack) {
+                                         ++(ComeBack ? Refused : Given);
+                                       });
   }
 
   std::size_t holder() const {
@@ -275,7 +275,7 @@
 TEST_CASE("A seat whose grant is under way goes to nobody else", "[quota]") {
   // Guards against a late grant that gives a proxy what another one has.
   SeatLedger Ledger;
-  Ledger.begin(1, {}, Millis(0));
+  Ledger.startTerm(1, {}, Millis(0));
   const ProcessId First{"a", 7};
   const ProcessId Second{"b", 8};
   const auto Meet = [&Ledger](const ProcessId &Who) {
@@ -286,17 +286,17 @@
   const std::uint64_t BySecond = Meet(Second);
   const std::vector<SeatDemand> All = {{Mills, SeatsPerOrganisation}};
   Ledger.answer(First, {2, Millis(1), 1, ByFirst, 0, {}, All}, Millis(1));
-  Ledger.noted(Ledger.takeNews(), Millis(2));
+  Ledger.applyCommitted(Ledger.takeProposedAssignments(), Millis(2));
   const auto Late =
       Ledger.answer(First, {3, Millis(3), 1, ByFirst, 0, {}, All}, Millis(3));
   REQUIRE(Late->Seats.size() == SeatsPerOrganisation);
   Ledger.answer(First, {4, Millis(4), 1, ByFirst, 0, {}, {}}, Millis(4));
   Ledger.answer(Second, {2, Millis(5), 1, BySecond, 0, {}, All}, Millis(5));
-  CHECK(Ledger.takeNews().empty());
+  CHECK(Ledger.takeProposedAssignments().empty());
   // It has applied the later grant, which has no seats.
   Ledger.answer(First, {5, Millis(6), 1, ByFirst, 4, {}, {}}, Millis(6));
   Ledger.answer(Second, {3, Millis(7), 1, BySecond, 0, {}, All}, Millis(7));
-  CHECK(Ledger.takeNews().size() == SeatsPerOrganisation);
+  CHECK(Ledger.takeProposedAssignments().size() == SeatsPerOrganisation);
 }
 
 TEST_CASE("A lowered limit binds with the plan that lowers it", "[quota]") {
@@ -434,7 +434,8 @@
   class Few final : public PermitSource {
   public:
     bool isLimited(const std::string &) const override { return true; }
-    std::uint64_t ask(const std::string &, Millis, Handler OnAnswer) override {
+    std::uint64_t requestPermit(const std::string &, Millis,
+                                Handler OnAnswer) override {
       OnAnswer(Left-- > 0 ? std::nullopt : std::optional(Millis(70)));
       return 1;
     }
@@ -448,8 +449,8 @@
   Few Permits;
   SessionPipeline Pipeline({Host, Host, Group, Floors, nullptr, "", &Permits},
                            {"region", "here", "proxy"});
-  Pipeline.adopt(withoutKeys(planWith(1, 10, 2), ""));
-  Pipeline.update(Group.directory());
+  Pipeline.adopt(replaceKeysByDigests(planWith(1, 10, 2), ""));
+  Pipeline.updateTargets(Group.directory());
   const auto Caller = std::make_shared<FakeCaller>();
   const std::uint64_t Session = Pipeline.open("primary", "mills-key", Caller);
   const auto Ask = [&](StatementKind Kind, const std::string &Id,
@@ -470,7 +471,8 @@
   const StatementAnswer Over = Ask(StatementKind::Write, "over", "STORE x 1");
   REQUIRE(Over.Refusal);
   CHECK(Over.Refusal->Code == RefusalCode::Busy);
-  CHECK(Over.Refusal->Why.find("come back after 70 ms") != std::string::npos);
+  CHECK(Over.Refusal->Reason.find("come back after 70 ms") !=
+        std::string::npos);
   CHECK(Group.runs("over") == 0);
   CHECK(Pipeline.counts().OverQuota == 1);
 }
--- a/Tests/Unit/RelayFramesTest.cpp
+++ b/Tests/Unit/RelayCodecTest.cpp
@@ -2,7 +2,7 @@
 /// The frames in which proxies carry each other's statements: what they weigh,
 /// and that whatever isn't one of them is refused.
 
-#include "Relay/RelayFrames.h"
+#include "Relay/RelayCodec.h"
 #include "Common/Codec.h"
 #include "FakeLoop.h"
 
@@ -17,15 +17,15 @@
 /// A read at the leader as a proxy sends it through a gateway.
 std::vector<RelayMessage> leaderRead() {
   TargetCommand Begin;
-  Begin.What = TargetCommand::Kind::Begin;
+  Begin.Operation = TargetCommand::Kind::Begin;
   Begin.Priority = 1;
-  Begin.MayWait = Millis(47);
+  Begin.MaxQueueTime = Millis(47);
   TargetCommand Read;
   Read.Id = "5c0e7a21d94b36f8";
   Read.Text = "FETCH 1a4";
   Read.NeedsPrevious = true;
   TargetCommand End;
-  End.What = TargetCommand::Kind::Rollback;
+  End.Operation = TargetCommand::Kind::Rollback;
   return {RelayCommands{77, {Begin, Read, End}}};
 }
 
@@ -35,7 +35,7 @@
   Opened.Position = LogPosition{3, 1209};
   StatementAnswer Result = Opened;
   Result.Rows = {std::move(Row)};
-  Result.Proof = "7.1f3.c.2b.90e1c4d2a7b3f655";
+  Result.Signature = "7.1f3.c.2b.90e1c4d2a7b3f655";
   StatementAnswer Ended = Opened;
   Ended.Phase = SessionPhase::Idle;
   return {RelayAnswer{77, 12, Opened, RelayFloor{{3, 1209}, Millis(4)}},
@@ -65,7 +65,7 @@
   // Plain, a question and its answers around a row of 1,000 letters are 1,400
   // bytes on each of two more links: 11 ms in which nothing runs, and more
   // than the gateway's link carries.
-  RelayFrames Frames;
+  RelayCodec Frames;
   const auto Question = leaderRead();
   const auto Answers = answersTo(letters(1000));
   const std::size_t Plain = encode(Question).size() + encode(Answers).size();
@@ -80,11 +80,11 @@
 }
 
 TEST_CASE("Each frame can be read without those before it", "[relay]") {
-  RelayFrames Writer;
+  RelayCodec Writer;
   Writer.write(answersTo(letters(3000)));
   const auto Question = leaderRead();
   const std::string Frame = Writer.write(Question);
-  RelayFrames Reader;
+  RelayCodec Reader;
   REQUIRE(Reader.read(Frame).has_value());
   CHECK(*Reader.read(Frame) == Question);
 }
@@ -92,11 +92,11 @@
 TEST_CASE("What isn't a whole frame of this format is refused", "[relay]") {
   // A build with another sample would unpack to something that nobody said: an
   // answer for another statement, a write that no caller sent.
-  RelayFrames Frames;
+  RelayCodec Frames;
   const std::string Good = Frames.write(answersTo(letters(200)));
   CHECK_FALSE(Frames.read("").has_value());
   std::string Other = Good;
-  Other.front() = static_cast<char>(RelayFrames::Format - 1);
+  Other.front() = static_cast<char>(RelayCodec::FormatVersion - 1);
   CHECK_FALSE(Frames.read(Other).has_value());
   CHECK_FALSE(Frames.read(encode(leaderRead())).has_value());
   CHECK_FALSE(Frames.read(Good + "x").has_value());
@@ -107,8 +107,8 @@
 TEST_CASE("The sample is the one of its format", "[relay]") {
   // Where this fails, messages or the sample have changed: raise the format,
   // so that builds before and after refuse each other's frames.
-  const std::string Sample = RelayFrames::sample();
-  REQUIRE(RelayFrames::Format == 3);
+  const std::string Sample = RelayCodec::compressionDictionary();
+  REQUIRE(RelayCodec::FormatVersion == 3);
   CHECK(XXH64(Sample.data(), Sample.size(), 0) == 0x8b0d47f98bfaa1bb);
 }
 
@@ -118,7 +118,7 @@
   // leader has three answers.
   FakeLoop Loop;
   FakeHost Host(Loop, "proxy");
-  RelayFrames Frames;
+  RelayCodec Frames;
   const auto Stream = std::make_shared<CountingStream>();
   RelayOutbox Outbox(Host, Frames);
   Outbox.reset(Stream);
--- a/Tests/Unit/RelayLoadTest.cpp
+++ b/Tests/Unit/RelayLoadTest.cpp
@@ -29,7 +29,7 @@
     };
     return std::make_shared<Stream>(Sent);
   }
-  void accept(OnAccept) override {}
+  void setAcceptHandler(OnAccept) override {}
 
   std::vector<std::string> Sent;
 };
@@ -44,13 +44,13 @@
   FakeLoop Loop;
   FakeHost Host(Loop, "p");
   SilentStreams Streams;
-  RelayFrames Frames;
+  RelayCodec Frames;
   FloorTable Floors;
-  RelayPeer Peer(Host, Host, Streams, Frames, Floors, {"g", 7000});
+  RelayClient Peer(Host, Host, Streams, Frames, Floors, {"g", 7000});
   const auto Link = Peer.open({"group", "a", {"a", 5000}},
                               {[] {}, [](const StatementAnswer &) {},
                                [](const std::optional<StatementRefusal> &) {}});
-  Link->send({{.What = TargetCommand::Kind::Run, .Text = "FETCH x"}});
+  Link->send({{.Operation = TargetCommand::Kind::Run, .Text = "FETCH x"}});
   Loop.runFor(Millis(380));
   std::size_t Pings = 0;
   for (const std::string &Frame : Streams.Sent) {
@@ -60,7 +60,7 @@
       Pings += std::holds_alternative<RelayPing>(Each) ? 1 : 0;
   }
   CHECK(Pings == 1);
-  CHECK_FALSE(Peer.takesWork());
+  CHECK_FALSE(Peer.isAvailable());
 }
 
 TEST_CASE("A frozen gateway costs a read less than its patience twice",
@@ -71,7 +71,7 @@
   for (const std::size_t Each : On.System.gateways("a"))
     if (Each != On.System.gateways("a").back())
       On.System.proxy(Each).Host.freeze();
-  const std::size_t Proxy = On.System.outsider("a");
+  const std::size_t Proxy = On.System.nonGateway("a");
   const Millis Began = On.Loop.now();
   const auto Session = On.System.connect(Proxy, "primary");
   const auto Answer = On.System.ask(Session, Kind::Read, "r1", "FETCH x");
@@ -100,7 +100,8 @@
   On.Loop.runFor(Millis(300));
   for (const auto &Each : Sessions) {
     REQUIRE(Each.Caller->Answers.size() == 1);
-    INFO((Each.Caller->last().Refusal ? Each.Caller->last().Refusal->Why : ""));
+    INFO((Each.Caller->last().Refusal ? Each.Caller->last().Refusal->Reason
+                                      : ""));
     CHECK_FALSE(Each.Caller->last().Refusal);
   }
 }
@@ -160,7 +161,7 @@
   };
   for (int Round = 0; Round < 40; ++Round)
     SendAll(Millis(50));
-  On.Group.Work = On.Group.Work * 5;
+  On.Group.ExecutionTime = On.Group.ExecutionTime * 5;
   for (int Round = 0; Round < 40; ++Round)
     SendAll(Millis(50));
   for (std::size_t Proxy = 0; Proxy < 60; Proxy += 2)
@@ -182,7 +183,7 @@
   // it. A quarter of a second later, before its silence is long enough to end
   // what it holds, more come: each that still went there would wait as long.
   Setup On;
-  const std::size_t Proxy = On.System.outsider("a");
+  const std::size_t Proxy = On.System.nonGateway("a");
   const auto Early = On.System.connect(Proxy, "primary");
   const auto Other = On.System.connect(Proxy, "primary");
   On.System.ask(Early, Kind::Read, "e1", "FETCH x");
@@ -219,8 +220,8 @@
                    "STORE x 1");
   }
   On.Loop.runFor(Millis(300));
-  REQUIRE(On.Group.Servers["a"].Open == 4);
-  const auto Late = On.System.connect(On.System.outsider("a"), "primary");
+  REQUIRE(On.Group.Servers["a"].OpenConnections == 4);
+  const auto Late = On.System.connect(On.System.nonGateway("a"), "primary");
   const Millis Began = On.Loop.now();
   const auto Answer = On.System.ask(Late, Kind::Write, "w1", "STORE x 1");
   REQUIRE(Answer.Refusal);
@@ -238,7 +239,7 @@
   // to the end of their times, all of them would be late or lost; refused
   // after their objective, callers can still try elsewhere.
   Setup On(12, 4);
-  On.Group.Work = Millis(40);
+  On.Group.ExecutionTime = Millis(40);
   const auto Sessions = On.sendWrites(60);
   On.Loop.runFor(Millis(200));
   std::size_t Answered = 0;
@@ -257,12 +258,12 @@
   // connection takes a slot for as long as several statements do, and with the
   // slots taken it has nothing to carry: callers would wait for it in vain.
   Setup On(60, 40);
-  On.Group.Work = Millis(40);
+  On.Group.ExecutionTime = Millis(40);
   const auto Sessions = On.sendWrites(180);
-  const std::size_t Before = On.Group.Servers["a"].Openings;
+  const std::size_t Before = On.Group.Servers["a"].ConnectionAttempts;
   On.Loop.runFor(Millis(200));
   const std::size_t Gateways = On.System.gateways("a").size();
-  CHECK(On.Group.Servers["a"].Openings - Before <= Gateways);
+  CHECK(On.Group.Servers["a"].ConnectionAttempts - Before <= Gateways);
   // Transactions that rest hold connections without keeping the target busy:
   // then others are opened.
   for (const auto &Each : Sessions) {
@@ -270,7 +271,7 @@
     On.System.send(Each, Kind::Write, "t", "STORE x 1");
   }
   On.Loop.runFor(Millis(1000));
-  CHECK(On.Group.Servers["a"].Open > Gateways * 3);
+  CHECK(On.Group.Servers["a"].OpenConnections > Gateways * 3);
 }
 
 TEST_CASE("Many refused at once at a gateway get one answer each", "[relay]") {
--- a/Tests/Unit/RelayStressTest.cpp
+++ b/Tests/Unit/RelayStressTest.cpp
@@ -25,9 +25,9 @@
   explicit RandomDay(std::uint64_t Seed, DayKind Kind = {})
       : How(Kind), Random(Seed), System(Loop, Group, ProxyCount, 12) {
     if (How.LosesProcessor) {
-      const auto AtReading = interruptions(1, 200);
+      const auto AtReading = randomPauses(1, 200);
       for (std::size_t Each = 0; Each < ProxyCount; ++Each)
-        System.proxy(Each).Host.AtReading = AtReading;
+        System.proxy(Each).Host.OnClockRead = AtReading;
     }
     Loop.runFor(Millis(100));
     for (std::size_t Each = 0; Each < SessionCount; ++Each)
@@ -95,7 +95,7 @@
   }
 
   void leave(Caller &Who) {
-    Who.On.At->Pipeline.disconnected(Who.On.Id);
+    Who.On.At->Pipeline.handleDisconnect(Who.On.Id);
     Who = {connect(), 0, 0};
   }
 
@@ -107,7 +107,7 @@
       Target.IsUp = false;
       break;
     case 1:
-      Target.IsSilent = true;
+      Target.IsUnresponsive = true;
       break;
     case 2:
       Target.IsBusy = true;
@@ -116,20 +116,20 @@
       System.proxy(below(ProxyCount)).Access.Cut = {"a", "b"};
       break;
     default:
-      System.proxy(below(ProxyCount)).Relay.beginStop();
+      System.proxy(below(ProxyCount)).Relay.announceStop();
     }
-    System.learn();
+    System.updateDirectories();
   }
 
   void mendAll() {
     for (auto &[Name, Each] : Group.Servers) {
       Each.IsUp = true;
-      Each.IsSilent = false;
+      Each.IsUnresponsive = false;
       Each.IsBusy = false;
     }
     for (std::size_t Each = 0; Each < ProxyCount; ++Each)
       System.proxy(Each).Access.Cut.clear();
-    System.learn();
+    System.updateDirectories();
   }
 
   static constexpr std::size_t ProxyCount = 10;
--- a/Tests/Unit/RelayTest.cpp
+++ b/Tests/Unit/RelayTest.cpp
@@ -42,7 +42,7 @@
   const GatewayTable Table(All, targets(24), {{"group", 3}});
   std::map<std::string, std::size_t> Load;
   for (const TargetRecord &Target : targets(24)) {
-    const auto &Known = Table.of(Target.Id);
+    const auto &Known = Table.gatewaysOf(Target.Id);
     REQUIRE(Known.size() > 3);
     for (std::size_t Each = 0; Each < 3; ++Each) {
       CHECK(Known[Each].FailureDomain == Target.FailureDomain);
@@ -65,8 +65,8 @@
     const GatewayTable After(Rest, targets(24), {{"group", 3}});
     for (const TargetRecord &Target : targets(24))
       for (std::size_t Each = 0; Each < 3; ++Each) {
-        const ProxyRecord &Was = Before.of(Target.Id)[Each];
-        const auto &Now = After.of(Target.Id);
+        const ProxyRecord &Was = Before.gatewaysOf(Target.Id)[Each];
+        const auto &Now = After.gatewaysOf(Target.Id);
         if (Was != All[Gone] &&
             std::find(Now.begin(), Now.begin() + 3, Was) == Now.begin() + 3)
           ++Moved;
@@ -96,7 +96,7 @@
     }
     On.Loop.runFor(Millis(100));
     for (const auto &[Name, Each] : On.Group.Servers)
-      CHECK(Each.Open <= 10);
+      CHECK(Each.OpenConnections <= 10);
   }
   for (const auto &Each : Sessions)
     for (const StatementAnswer &Answer : Each.Caller->Answers)
@@ -113,15 +113,15 @@
   FakeRelaySystem System(Loop, Group, 60, 10, false);
   Loop.runFor(Millis(400));
   for (const auto &[Name, Each] : Group.Servers)
-    CHECK(Each.Openings == 0);
-  System.listAll();
-  System.learn();
+    CHECK(Each.ConnectionAttempts == 0);
+  System.resetProxyList();
+  System.updateDirectories();
   Loop.runFor(Millis(400));
   for (const auto &[Name, Each] : Group.Servers) {
-    CHECK(Each.Openings > 0);
-    CHECK(Each.Openings <= 10);
+    CHECK(Each.ConnectionAttempts > 0);
+    CHECK(Each.ConnectionAttempts <= 10);
   }
-  const auto Session = System.connect(System.outsider("a"), "primary");
+  const auto Session = System.connect(System.nonGateway("a"), "primary");
   CHECK_FALSE(System.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
 }
 
@@ -151,7 +151,7 @@
                    "FETCH x");
   On.Loop.runFor(Millis(300));
   std::size_t AtLeader = 0;
-  for (const FakeRun &Run : On.Group.Runs)
+  for (const FakeExecution &Run : On.Group.Runs)
     AtLeader += Run.InTransaction ? 1 : 0;
   CHECK(On.Group.Runs.size() == Sessions.size());
   CHECK(AtLeader == 0);
@@ -163,9 +163,9 @@
   // accepted age: its floor came by way of a gateway, and must hold the write
   // though the replicas have stopped receiving.
   Setup On;
-  const auto Writer = On.System.connect(On.System.outsider("a"), "primary");
-  On.Group.Servers["b"].Receives = false;
-  On.Group.Servers["c"].Receives = false;
+  const auto Writer = On.System.connect(On.System.nonGateway("a"), "primary");
+  On.Group.Servers["b"].IsReplicating = false;
+  On.Group.Servers["c"].IsReplicating = false;
   REQUIRE_FALSE(On.System.ask(Writer, Kind::Write, "w1", "STORE x 1").Refusal);
   On.Loop.runFor(Millis(1600));
   for (std::size_t Proxy = 0; Proxy < 12; ++Proxy) {
@@ -180,8 +180,8 @@
 TEST_CASE("A session's values and prepared names go along to any gateway",
           "[relay]") {
   Setup On;
-  const auto One = On.System.connect(On.System.outsider("a"), "primary");
-  const auto Other = On.System.connect(On.System.outsider("a"), "primary");
+  const auto One = On.System.connect(On.System.nonGateway("a"), "primary");
+  const auto Other = On.System.connect(On.System.nonGateway("a"), "primary");
   Statement Set;
   Set.Kind = Kind::Set;
   Set.Name = "tenant";
@@ -215,7 +215,7 @@
       for (std::size_t Each = 0; Each < 12; ++Each)
         if (Each != Gateways.front())
           Rest.push_back(Each);
-      On.System.list(Rest);
+      On.System.setProxyList(Rest);
     }
   }
 }
@@ -236,7 +236,7 @@
   }
   On.Loop.runFor(Millis(3000));
   std::map<std::uint64_t, std::string> Open;
-  for (const FakeRun &Run : On.Group.Runs) {
+  for (const FakeExecution &Run : On.Group.Runs) {
     const std::string Of = Run.Id.substr(1, Run.Id.find('-') - 1);
     auto &Inside = Open[Run.Connection];
     CHECK((Inside.empty() || Inside == Of));
@@ -250,8 +250,8 @@
   // The gateway is killed while it holds a write. Nobody can tell whether the
   // target ran it; a second try could make one bale have two owners.
   Setup On;
-  On.Group.Work = Millis(50);
-  const std::size_t Proxy = On.System.outsider("a");
+  On.Group.ExecutionTime = Millis(50);
+  const std::size_t Proxy = On.System.nonGateway("a");
   const auto Session = On.System.connect(Proxy, "primary");
   On.System.send(Session, Kind::Write, "w1", "STORE x 1");
   REQUIRE(On.Loop.runUntilTrue([&] { return On.Group.runs("w1") == 1; },
@@ -267,8 +267,8 @@
 
 TEST_CASE("A read whose gateway dies is served through another", "[relay]") {
   Setup On;
-  On.Group.Work = Millis(30);
-  const std::size_t Proxy = On.System.outsider("a");
+  On.Group.ExecutionTime = Millis(30);
+  const std::size_t Proxy = On.System.nonGateway("a");
   const auto Session = On.System.connect(Proxy, "primary");
   REQUIRE_FALSE(On.System.ask(Session, Kind::Read, "r0", "FETCH x").Refusal);
   On.System.send(Session, Kind::Read, "r1", "FETCH x");
@@ -285,12 +285,13 @@
           "[relay]") {
   Setup On(12, 4);
   for (int Round = 0; Round < 20; ++Round) {
-    const auto Session = On.System.connect(On.System.outsider("a"), "primary");
+    const auto Session =
+        On.System.connect(On.System.nonGateway("a"), "primary");
     On.System.ask(Session, Kind::Begin);
     const auto Answer = On.System.ask(Session, Kind::Write,
                                       "w" + std::to_string(Round), "STORE x 1");
     CHECK_FALSE(Answer.Refusal);
-    Session.At->Pipeline.disconnected(Session.Id);
+    Session.At->Pipeline.handleDisconnect(Session.Id);
     On.Loop.runFor(Millis(20));
   }
   CHECK(On.Group.Committed.empty());
@@ -299,7 +300,7 @@
 TEST_CASE("A proxy that dies inside transactions frees their connections",
           "[relay]") {
   Setup On(12, 4);
-  const std::size_t Dying = On.System.outsider("a");
+  const std::size_t Dying = On.System.nonGateway("a");
   for (int Each = 0; Each < 4; ++Each) {
     const auto Session = On.System.connect(Dying, "primary");
     On.System.send(Session, Kind::Begin);
@@ -313,8 +314,8 @@
   for (std::size_t Each = 0; Each < 12; ++Each)
     if (Each != Dying)
       Rest.push_back(Each);
-  On.System.list(Rest);
-  const auto Session = On.System.connect(On.System.outsider("a"), "primary");
+  On.System.setProxyList(Rest);
+  const auto Session = On.System.connect(On.System.nonGateway("a"), "primary");
   CHECK_FALSE(On.System.ask(Session, Kind::Write, "w", "STORE x 1").Refusal);
   CHECK(On.Group.Committed.size() == 1);
 }
@@ -341,7 +342,7 @@
 TEST_CASE("A stopping gateway ends what it has and gets nothing new",
           "[relay]") {
   Setup On;
-  const std::size_t Proxy = On.System.outsider("a");
+  const std::size_t Proxy = On.System.nonGateway("a");
   const auto Session = On.System.connect(Proxy, "primary");
   On.System.ask(Session, Kind::Begin);
   REQUIRE_FALSE(On.System.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
@@ -349,7 +350,7 @@
   for (const std::size_t Each : On.System.gateways("a"))
     if (On.System.proxy(Each).Broker.isBusy())
       Gateway = Each;
-  On.System.proxy(Gateway).Relay.beginStop();
+  On.System.proxy(Gateway).Relay.announceStop();
   On.Loop.runFor(Millis(10));
   const auto Other = On.System.connect(Proxy, "primary");
   for (int Round = 0; Round < 6; ++Round)
--- a/Tests/Unit/RightsTest.cpp
+++ b/Tests/Unit/RightsTest.cpp
@@ -1,9 +1,9 @@
 /// \file
 /// Connection rights: how they're divided, and that they never pass a limit.
 
+#include "Rights/ConnectionDivision.h"
 #include "Rights/ConnectionLedger.h"
 #include "Rights/ConnectionRights.h"
-#include "Rights/Division.h"
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -21,7 +21,7 @@
   ClusterView Out;
   Manifest Current;
   Current.Databases.push_back({.Name = "ledger-1"});
-  Out.Current = Current;
+  Out.CurrentManifest = Current;
   Out.Targets[Target] = {Target, "ledger-1", {}, {}, 1, false, {}};
   for (std::uint64_t Index = 1; Index <= Proxies; ++Index)
     Out.Proxies[{"entry-" + std::to_string(Index), 1}] = {};
@@ -124,7 +124,7 @@
   }
 
   void elect() {
-    Leader.begin(++Term, View, Now);
+    Leader.startTerm(++Term, View, Now);
     LeadsSince = Now;
   }
 
@@ -140,7 +140,7 @@
       if (Each.Grant && !Of->Dead)
         Of->Rights.apply(*Each.Grant);
       if (Each.Request)
-        if (const auto Grant = Leader.answer(*Each.Request, View, Now)) {
+        if (const auto Grant = Leader.handleRequest(*Each.Request, View, Now)) {
           Mail.insert({arrival(), {{}, Grant}});
           if (chance(10))
             Mail.insert({arrival(), {{}, Grant}});
@@ -162,7 +162,7 @@
 void exchange(Life &Of, ConnectionLedger &With, const ClusterView &View,
               Millis Now, std::uint32_t Wanted) {
   for (int Turn = 0; Turn < 2; ++Turn) {
-    const auto Grant = With.answer(
+    const auto Grant = With.handleRequest(
         Of.Rights.request({{Target, {Of.Open, Wanted}}}, Of.clock(Now)), View,
         Now);
     if (!Grant || !Of.Rights.apply(*Grant))
@@ -212,7 +212,7 @@
   // the lease has ended by any clock, not before, and not much later.
   const ClusterView View = viewOf(2);
   ConnectionLedger Ledger;
-  Ledger.begin(1, View, Millis(-20000));
+  Ledger.startTerm(1, View, Millis(-20000));
   Life Dead({"entry-1", 1});
   Life Other({"entry-2", 1});
   exchange(Dead, Ledger, View, Millis(1000), 40);
@@ -233,13 +233,13 @@
   // keeps its own meanwhile: a change of the leader costs no caller anything.
   const ClusterView View = viewOf(2);
   ConnectionLedger Former;
-  Former.begin(1, View, Millis(-20000));
+  Former.startTerm(1, View, Millis(-20000));
   Life One({"entry-1", 1});
   Life Two({"entry-2", 1});
   exchange(One, Former, View, Millis(1000), 4);
   exchange(Two, Former, View, Millis(1000), 4);
   ConnectionLedger Next;
-  Next.begin(2, View, Millis(1500));
+  Next.startTerm(2, View, Millis(1500));
   exchange(One, Next, View, Millis(1600), 9);
   CHECK(One.Rights.limit(Target, Millis(1600)) == 4);
   exchange(Two, Next, View, Millis(1700), 4);
@@ -258,14 +258,14 @@
   };
   const ClusterView View = viewOf(2);
   ConnectionLedger Ledger;
-  Ledger.begin(1, View, Millis(-20000));
+  Ledger.startTerm(1, View, Millis(-20000));
   Life Cut({"entry-1", 1});
   Life Other({"entry-2", 1});
   Cut.Ppm = -static_cast<std::int64_t>(DriftPpm);
   exchange(Cut, Ledger, View, Millis(1000), 40);
   REQUIRE(Cut.Rights.limit(Target, Cut.clock(Millis(1000))) == Limit);
   if (LeaderChanges)
-    Ledger.begin(2, View, Fast(Millis(1001)));
+    Ledger.startTerm(2, View, Fast(Millis(1001)));
   for (Millis Now(10900); Now < Millis(11100); Now += Millis(1)) {
     exchange(Other, Ledger, View, Fast(Now), 40);
     REQUIRE(Cut.Rights.limit(Target, Cut.clock(Now)) +
@@ -281,29 +281,30 @@
   // the proxy holds, and the proxy must not add the old grant afterwards.
   const ClusterView View = viewOf(2);
   ConnectionLedger Former;
-  Former.begin(1, View, Millis(-20000));
+  Former.startTerm(1, View, Millis(-20000));
   Life One({"entry-1", 1});
   Life Two({"entry-2", 1});
   exchange(One, Former, View, Millis(1000), 1);
   exchange(Two, Former, View, Millis(1000), 1);
   const auto Delayed = One.Rights.request({{Target, {0, 1}}}, Millis(1100));
-  const auto Granted =
-      Former.answer(One.Rights.request({{Target, {0, 12}}}, Millis(1200)), View,
-                    Millis(1200));
+  const auto Granted = Former.handleRequest(
+      One.Rights.request({{Target, {0, 12}}}, Millis(1200)), View,
+      Millis(1200));
   REQUIRE(Granted);
   ConnectionLedger Next;
-  Next.begin(2, View, Millis(1300));
+  Next.startTerm(2, View, Millis(1300));
   SECTION("an old report") {
     One.Rights.apply(*Granted);
-    if (const auto Answer = Next.answer(Delayed, View, Millis(1400)))
+    if (const auto Answer = Next.handleRequest(Delayed, View, Millis(1400)))
       CHECK(Answer->Duration == Millis());
     exchange(Two, Next, View, Millis(1400), 40);
     exchange(Two, Next, View, Millis(1500), 40);
   }
   SECTION("an old grant") {
     const auto Ask = [&] {
-      return Next.answer(One.Rights.request({{Target, {0, 1}}}, Millis(1400)),
-                         View, Millis(1400));
+      return Next.handleRequest(
+          One.Rights.request({{Target, {0, 1}}}, Millis(1400)), View,
+          Millis(1400));
     };
     CHECK(One.Rights.apply(*Ask()));
     CHECK(Ask()); // This answer is lost.
