--- a/Tests/Unit/SessionRoamingTest.cpp
+++ b/Tests/Unit/SessionRoamingTest.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t Seeds = 15;
 
-CallerQuestion lookUp(const std::string &Session) {
+CallerRequest lookUp(const std::string &Session) {
   return {.Kind = "lookup", .Body = "get bales", .Session = Session};
 }
 
@@ -25,11 +25,11 @@
   std::string proxy() { return "entry-" + std::to_string(1 + Random() % 3); }
   /// Scans until it's done.
   void scan() {
-    const CallerQuestion Scan{.Key = "k" + std::to_string(++Written),
-                              .Body = "put bales " + std::to_string(Written),
-                              .Session = Session};
+    const CallerRequest Scan{.Key = "k" + std::to_string(++Written),
+                             .Body = "put bales " + std::to_string(Written),
+                             .Session = Session};
     for (int Try = 0; Try < 400; ++Try) {
-      const CallerAnswer Got = Cluster.askNow(proxy(), Scan);
+      const CallerResponse Got = Cluster.sendAndWait(proxy(), Scan);
       if (Got.Outcome == "done") {
         Session = Got.Session;
         return;
@@ -40,7 +40,7 @@
   }
   /// What it reads, if it's answered.
   void checkOwnScan() {
-    const CallerAnswer Got = Cluster.askNow(proxy(), lookUp(Session));
+    const CallerResponse Got = Cluster.sendAndWait(proxy(), lookUp(Session));
     if (Got.Outcome == "done")
       CHECK(Got.Body == std::to_string(Written));
   }
@@ -55,7 +55,7 @@
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     CAPTURE(Seed);
     FakeCluster Cluster(Seed, 3, 3);
-    Cluster.bringUp(FakeCluster::Manifest1);
+    Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
     // One replica has the scan at once, the other not for long.
     Cluster.Targets["bale-ledger-1-" + std::to_string(1 + Seed % 3)]->setLag(
         Millis(static_cast<std::int64_t>(Seed * 100)));
@@ -73,20 +73,21 @@
   // With a token taken for a new session, the caller would read old rows and
   // never know.
   FakeCluster Cluster(1);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Token =
-      Cluster.askNow("entry-1", {.Key = "k1", .Body = "put bales 1"}).Session;
+      Cluster.sendAndWait("entry-1", {.Key = "k1", .Body = "put bales 1"})
+          .Session;
   REQUIRE_FALSE(Token.empty());
   for (std::size_t Index = 0; Index < Token.size(); ++Index) {
     std::string Altered = Token;
     Altered[Index] = Altered[Index] == 'A' ? 'B' : 'A';
-    CHECK_FALSE(openToken(Altered, FakeCluster::AnyKey).has_value());
+    CHECK_FALSE(verifyToken(Altered, FakeCluster::SharedKey).has_value());
     if (Index > 0)
-      CHECK_FALSE(
-          openToken(Token.substr(0, Index), FakeCluster::AnyKey).has_value());
+      CHECK_FALSE(verifyToken(Token.substr(0, Index), FakeCluster::SharedKey)
+                      .has_value());
   }
-  const CallerAnswer Cut =
-      Cluster.askNow("entry-2", lookUp(Token.substr(0, Token.size() - 2)));
+  const CallerResponse Cut =
+      Cluster.sendAndWait("entry-2", lookUp(Token.substr(0, Token.size() - 2)));
   CHECK(Cut.Outcome == "not-run");
   CHECK(Cut.Status == 400);
 }
@@ -96,7 +97,7 @@
   std::size_t Longest = 0;
   for (std::uint64_t Number = 0; Number < 100; ++Number) {
     Token = Token.withWrite("ledger-" + std::to_string(Number), 1, Number + 1);
-    Longest = std::max(Longest, sealToken(Token, "key").size());
+    Longest = std::max(Longest, signToken(Token, "key").size());
   }
   CHECK(Longest < 400);
   CHECK(Token.floor("ledger-99")->Position == 100);
@@ -135,17 +136,17 @@
   // which it was whole.
   Table.observe("one", {2, 2, 12, true}, Millis(300), Millis(310));
   CHECK(Age(400) == Millis(200));
-  CHECK(Table.copies(Group, 12) == 1);
+  CHECK(Table.countCopies(Group, 12) == 1);
   // The former primary: fenced into the new term with a tail of its own that
   // reaches beyond, whether it says so or not.
   Table.observe("three", {2, 1, 15, false, true}, Millis(300), Millis(310));
-  CHECK(Table.copies(Group, 12) == 1);
+  CHECK(Table.countCopies(Group, 12) == 1);
   CHECK_FALSE(Table.age("three", Group, Millis(310)).has_value());
   Table.observe("three", {2, 1, 15, false, false}, Millis(320), Millis(330));
-  CHECK(Table.copies(Group, 12) == 1);
+  CHECK(Table.countCopies(Group, 12) == 1);
   CHECK_FALSE(Table.age("three", Group, Millis(330)).has_value());
   // A replayed write of the former term counts where the log is the group's.
-  CHECK(Table.copies(Group, 10) == 2);
+  CHECK(Table.countCopies(Group, 10) == 2);
 }
 
 TEST_CASE("A read is never older than its kind accepts", "[session]") {
@@ -157,7 +158,7 @@
     FakeCluster Cluster(Seed, 3, 2);
     Cluster.TargetOptions.Lag =
         Millis(60 + static_cast<std::int64_t>(Seed * 10));
-    Cluster.bringUp(R"(
+    Cluster.startAndAwaitWritable(R"(
 version = 1
 [[organisation]]
 name = "port-clerks"
@@ -176,11 +177,11 @@
     std::mt19937_64 Random(Seed);
     std::map<Millis, std::uint64_t> Written;
     for (int Turn = 1; Turn <= 150; ++Turn) {
-      Cluster.ask("entry-1", {.Body = "put bales " + std::to_string(Turn)});
+      Cluster.send("entry-1", {.Body = "put bales " + std::to_string(Turn)});
       Cluster.Loop.runFor(Millis(static_cast<std::int64_t>(Random() % 40)));
       Written[Cluster.Loop.now()] = Primary.position();
       const Millis Asked = Cluster.Loop.now();
-      const CallerAnswer Got = Cluster.askNow("entry-2", lookUp(""));
+      const CallerResponse Got = Cluster.sendAndWait("entry-2", lookUp(""));
       const auto Later = Written.upper_bound(Asked - Millis(150));
       if (Got.Outcome == "done" && Later != Written.begin())
         CHECK(numberOr(Got.Body, 0) >= std::prev(Later)->second);
--- a/Tests/Unit/SettingsTest.cpp
+++ b/Tests/Unit/SettingsTest.cpp
@@ -44,10 +44,10 @@
   const Settings Plain;
   Expected.JsonLogs = Plain.JsonLogs;
   Expected.Level = Plain.Level;
-  Expected.StopNotice = Plain.StopNotice;
-  Expected.StopBound = Plain.StopBound;
+  Expected.DrainDelay = Plain.DrainDelay;
+  Expected.StopTimeout = Plain.StopTimeout;
   CHECK(*Read == Expected);
-  CHECK(Read->Where == Place{"default", "kundzinsala", "control-1"});
+  CHECK(Read->OwnLocality == Locality{"default", "kundzinsala", "control-1"});
 }
 
 TEST_CASE("Each contradiction is one finding with its place", "[settings]") {
@@ -76,7 +76,7 @@
       }));
   const auto Read = parseSettings("f", replaced(good(), From, To));
   REQUIRE_FALSE(Read);
-  CHECK(text(Read.error()) == Finding);
+  CHECK(refusalText(Read.error()) == Finding);
 }
 
 TEST_CASE("A reload tells apart what takes effect", "[settings]") {
@@ -84,7 +84,7 @@
       replaced(good(), "[listen]", "log_level = \"error\"\n[listen]");
   const std::vector<ItemDifference> Expected = {
       {"process.log_level", "info", "error"}};
-  CHECK(differences(settingKeys(), good(), After) == Expected);
-  CHECK(settingKeys().find("[process]", "log_level")->Reloads);
-  CHECK_FALSE(settingKeys().find("[listen]", "peers")->Reloads);
+  CHECK(diffDocuments(settingKeys(), good(), After) == Expected);
+  CHECK(settingKeys().find("[process]", "log_level")->IsReloadable);
+  CHECK_FALSE(settingKeys().find("[listen]", "peers")->IsReloadable);
 }
--- a/Tests/Unit/StatementDrainTest.cpp
+++ b/Tests/Unit/StatementDrainTest.cpp
@@ -25,7 +25,7 @@
 )";
 
 struct Stopping {
-  Stopping() : Cluster(3) { Cluster.bringUp(Manifest); }
+  Stopping() : Cluster(3) { Cluster.startAndAwaitWritable(Manifest); }
 
   void drain() {
     Cluster.Proxies["entry-1"]->drain([this] { Done = true; });
@@ -46,11 +46,11 @@
   // balancer has noticed. Each is done; after that a scan is refused as not
   // run, at once.
   Stopping At;
-  std::vector<std::shared_ptr<CallerAnswer>> Answers;
+  std::vector<std::shared_ptr<CallerResponse>> Answers;
   const auto Send = [&] {
     Answers.push_back(
-        At.Cluster.ask("entry-1", {.Key = "k" + std::to_string(Answers.size()),
-                                   .Body = "add bales 1"}));
+        At.Cluster.send("entry-1", {.Key = "k" + std::to_string(Answers.size()),
+                                    .Body = "add bales 1"}));
   };
   for (int Count = 0; Count < 10; ++Count)
     Send();
@@ -64,8 +64,8 @@
   REQUIRE(At.runUntilDone(Millis(3000)));
   for (const auto &Each : Answers)
     CHECK(Each->Outcome == "done");
-  const CallerAnswer Late =
-      At.Cluster.askNow("entry-1", {.Key = "late", .Body = "add bales 1"});
+  const CallerResponse Late =
+      At.Cluster.sendAndWait("entry-1", {.Key = "late", .Body = "add bales 1"});
   CHECK(Late.Outcome == "not-run");
 }
 
@@ -75,29 +75,29 @@
   // proxy isn't kept from stopping.
   Stopping At;
   const auto Caller = At.Cluster.connectTo("entry-1");
-  CallerQuestion Ask{.Path = "/transaction/begin"};
-  Ask.Transaction = At.Cluster.askNowOver(*Caller, Ask).Transaction;
+  CallerRequest Ask{.Path = "/transaction/begin"};
+  Ask.Transaction = At.Cluster.sendOverAndWait(*Caller, Ask).Transaction;
   Ask.Path = "/statement";
   Ask.Body = "put bale haulier";
-  REQUIRE(At.Cluster.askNowOver(*Caller, Ask).Outcome == "done");
+  REQUIRE(At.Cluster.sendOverAndWait(*Caller, Ask).Outcome == "done");
   At.drain();
-  CallerQuestion Other{.Path = "/transaction/begin"};
-  CHECK(At.Cluster.askNow("entry-1", Other).Outcome == "not-run");
+  CallerRequest Other{.Path = "/transaction/begin"};
+  CHECK(At.Cluster.sendAndWait("entry-1", Other).Outcome == "not-run");
   SECTION("committed in time") {
     At.Cluster.Loop.runFor(Millis(2500));
     CHECK_FALSE(At.Done);
     Ask.Path = "/transaction/commit";
     Ask.Key = "k1";
-    CHECK(At.Cluster.askNowOver(*Caller, Ask).Outcome == "done");
+    CHECK(At.Cluster.sendOverAndWait(*Caller, Ask).Outcome == "done");
   }
   SECTION("kept busy beyond the bound") {
     const Millis Last = At.Cluster.Loop.now() + Millis(3500);
     while (At.Cluster.Loop.now() < Last) {
-      At.Cluster.askNowOver(*Caller, Ask);
+      At.Cluster.sendOverAndWait(*Caller, Ask);
       At.Cluster.Loop.runFor(Millis(100));
     }
     CHECK(At.Done);
-    CHECK(At.Cluster.askNowOver(*Caller, Ask).Outcome == "not-run");
+    CHECK(At.Cluster.sendOverAndWait(*Caller, Ask).Outcome == "not-run");
   }
   CHECK(At.runUntilDone(Millis(1000)));
 }
--- a/Tests/Unit/StatementOutcomeTest.cpp
+++ b/Tests/Unit/StatementOutcomeTest.cpp
@@ -30,14 +30,14 @@
 
 constexpr std::uint64_t Seeds = 40;
 
-CallerQuestion handover(const std::string &Body, const std::string &Key = "k1",
-                        std::int64_t DeadlineMs = 0) {
+CallerRequest handover(const std::string &Body, const std::string &Key = "k1",
+                       std::int64_t DeadlineMs = 0) {
   return {.Key = Key, .Body = Body, .DeadlineMs = DeadlineMs};
 }
 
 struct Ledger {
   explicit Ledger(std::uint64_t Seed = 1) : Cluster(Seed), Random(Seed) {
-    Cluster.bringUp(Manifest);
+    Cluster.startAndAwaitWritable(Manifest);
   }
 
   std::string primary() { return Cluster.group("bale-ledger-1")->Primary; }
@@ -51,17 +51,17 @@
   /// What the primary shows in the end; asked until it answers.
   std::string lookUp(const std::string &Name) {
     for (;;) {
-      const CallerAnswer Got =
-          Cluster.askNow("entry-2", {.Kind = "lookup", .Body = "get " + Name});
+      const CallerResponse Got = Cluster.sendAndWait(
+          "entry-2", {.Kind = "lookup", .Body = "get " + Name});
       if (Got.Outcome == "done")
         return Got.Body;
       Cluster.Loop.runFor(Millis(50));
     }
   }
   /// Sends until it's done, as a caller with patience does.
-  void untilDone(const CallerQuestion &Question) {
+  void untilDone(const CallerRequest &Question) {
     const Millis Last = Cluster.Loop.now() + Millis(60000);
-    while (Cluster.askNow("entry-2", Question).Outcome != "done") {
+    while (Cluster.sendAndWait("entry-2", Question).Outcome != "done") {
       REQUIRE(Cluster.Loop.now() < Last);
       Cluster.Loop.runFor(Millis(20));
     }
@@ -115,7 +115,7 @@
     Ledger At(Seed);
     At.Cluster.Loop.runFor(Millis(At.draw(0, 100)));
     const auto Answer =
-        At.Cluster.ask("entry-1", handover("put bale haulier", "k1", 1500));
+        At.Cluster.send("entry-1", handover("put bale haulier", "k1", 1500));
     At.Cluster.Loop.runFor(Millis(At.draw(0, 25)));
     At.fault();
     // A caller whose proxy died gets no answer: it may have run.
@@ -142,7 +142,7 @@
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     CAPTURE(Seed);
     Ledger At(Seed);
-    At.Cluster.ask("entry-1", handover("add bales 1"));
+    At.Cluster.send("entry-1", handover("add bales 1"));
     At.Cluster.Loop.runFor(Millis(At.draw(0, 25)));
     At.fault();
     if (At.draw(0, 1) == 1)
@@ -160,8 +160,8 @@
   // the caller has its answer, so that answer must not say "not run".
   Ledger At;
   At.Cluster.Net.MostLatency = At.Cluster.Net.LeastLatency = Millis(40);
-  const CallerAnswer Late =
-      At.Cluster.askNow("entry-1", handover("put bale haulier", "k1", 100));
+  const CallerResponse Late = At.Cluster.sendAndWait(
+      "entry-1", handover("put bale haulier", "k1", 100));
   CHECK(Late.Outcome == "unknown");
   CHECK(Late.RetryAfter > Millis(0));
   At.Cluster.Loop.runFor(Millis(1000));
@@ -176,9 +176,9 @@
   const std::string Primary = At.primary();
   for (const std::string &Each : At.replicas())
     At.Cluster.Net.cutBoth(Each, Primary);
-  const CallerQuestion Scan = handover("put bale haulier", "k1", 300);
-  CHECK(At.Cluster.askNow("entry-1", Scan).Outcome == "unknown");
-  CHECK(At.Cluster.askNow("entry-2", Scan).Outcome == "unknown");
+  const CallerRequest Scan = handover("put bale haulier", "k1", 300);
+  CHECK(At.Cluster.sendAndWait("entry-1", Scan).Outcome == "unknown");
+  CHECK(At.Cluster.sendAndWait("entry-2", Scan).Outcome == "unknown");
   At.Cluster.Net.heal();
   At.untilDone(Scan);
   CHECK(At.lookUp("bale") == "haulier");
@@ -186,15 +186,16 @@
 
 TEST_CASE("A key stands for one statement of one organisation", "[outcome]") {
   Ledger At;
-  REQUIRE(At.Cluster.askNow("entry-1", handover("put bale haulier")).Outcome ==
-          "done");
-  const CallerAnswer Other =
-      At.Cluster.askNow("entry-2", handover("put bale thief"));
+  REQUIRE(
+      At.Cluster.sendAndWait("entry-1", handover("put bale haulier")).Outcome ==
+      "done");
+  const CallerResponse Other =
+      At.Cluster.sendAndWait("entry-2", handover("put bale thief"));
   CHECK(Other.Outcome == "not-run");
   CHECK(Other.Status == 422);
-  CallerQuestion Auditor = handover("put mill audited");
+  CallerRequest Auditor = handover("put mill audited");
   Auditor.Organisation = "mill-auditors";
-  CHECK(At.Cluster.askNow("entry-2", Auditor).Outcome == "done");
+  CHECK(At.Cluster.sendAndWait("entry-2", Auditor).Outcome == "done");
   CHECK(At.lookUp("bale") == "haulier");
   CHECK(At.lookUp("mill") == "audited");
 }
@@ -203,15 +204,15 @@
   // The target forgets keys after a while. A scan that's sent again after
   // that would run a second time if it were let through.
   Ledger At;
-  REQUIRE(At.Cluster.askNow("entry-1", handover("add bales 1")).Outcome ==
+  REQUIRE(At.Cluster.sendAndWait("entry-1", handover("add bales 1")).Outcome ==
           "done");
   SECTION("after the retention") { At.Cluster.Loop.runFor(Millis(60001)); }
   SECTION("by the target, where a proxy's clock is slow") {
     FakeHost &Target = *At.Cluster.Hosts[At.primary()];
     Target.WallOffset = Target.WallOffset + Millis(86400000 + 120001);
   }
-  const CallerAnswer Again =
-      At.Cluster.askNow("entry-2", handover("add bales 1"));
+  const CallerResponse Again =
+      At.Cluster.sendAndWait("entry-2", handover("add bales 1"));
   CHECK(Again.Outcome == "not-run");
   CHECK(Again.Body.find("too old") != std::string::npos);
   CHECK(At.lookUp("bales") == "1");
@@ -236,8 +237,8 @@
 
 TEST_CASE("A statement that fails at the target has been done", "[outcome]") {
   Ledger At;
-  const CallerAnswer Failed =
-      At.Cluster.askNow("entry-1", handover("frobnicate"));
+  const CallerResponse Failed =
+      At.Cluster.sendAndWait("entry-1", handover("frobnicate"));
   CHECK(Failed.Outcome == "done");
   CHECK(Failed.Status == 422);
   CHECK(Failed.Body == "no such statement\n");
@@ -252,16 +253,16 @@
     At.Cluster.kill(Each);
   At.Cluster.kill(At.primary());
   const Millis Start = At.Cluster.Loop.now();
-  const CallerAnswer First =
-      At.Cluster.askNow("entry-1", handover("put bale haulier"));
+  const CallerResponse First =
+      At.Cluster.sendAndWait("entry-1", handover("put bale haulier"));
   CHECK(First.Outcome == "not-run");
   CHECK(First.At - Start < Millis(4500));
   At.Cluster.Loop.runFor(Millis(3000));
   std::set<std::int64_t> Advice;
   for (int Turn = 0; Turn < 10; ++Turn) {
     const Millis Asked = At.Cluster.Loop.now();
-    const CallerAnswer Next =
-        At.Cluster.askNow("entry-1", handover("put bale haulier"));
+    const CallerResponse Next =
+        At.Cluster.sendAndWait("entry-1", handover("put bale haulier"));
     CHECK(Next.Outcome == "not-run");
     CHECK(Next.At - Asked < Millis(10));
     Advice.insert(Next.RetryAfter.count());
--- a/Tests/Unit/StatementTransactionTest.cpp
+++ b/Tests/Unit/StatementTransactionTest.cpp
@@ -28,29 +28,30 @@
 /// meets what the one before it left there.
 struct OneConnection {
   explicit OneConnection(std::size_t Proxies = 1) : Cluster(7, 3, Proxies) {
-    Cluster.bringUp(OneConnectionManifest +
-                    ("[[database]]\nname = \"bale-ledger-1\"\n"
-                     "connections_per_target = " +
-                     std::to_string(Proxies) + "\n"));
+    Cluster.startAndAwaitWritable(OneConnectionManifest +
+                                  ("[[database]]\nname = \"bale-ledger-1\"\n"
+                                   "connections_per_target = " +
+                                   std::to_string(Proxies) + "\n"));
     Caller = Cluster.connectTo("entry-1");
   }
 
-  CallerQuestion question(const std::string &Path, const std::string &Body = {},
-                          const std::string &Key = {}) const {
+  CallerRequest question(const std::string &Path, const std::string &Body = {},
+                         const std::string &Key = {}) const {
     return {.Key = Key, .Body = Body, .Transaction = Id, .Path = Path};
   }
-  CallerAnswer call(const std::string &Path, const std::string &Body = {},
-                    const std::string &Key = {}) {
-    return Cluster.askNowOver(*Caller, question(Path, Body, Key));
+  CallerResponse call(const std::string &Path, const std::string &Body = {},
+                      const std::string &Key = {}) {
+    return Cluster.sendOverAndWait(*Caller, question(Path, Body, Key));
   }
   void beginWith(const std::string &Body) {
-    const CallerAnswer Begun = call("/transaction/begin");
+    const CallerResponse Begun = call("/transaction/begin");
     REQUIRE(Begun.Outcome == "done");
     Id = Begun.Transaction;
     REQUIRE(call("/statement", Body).Outcome == "done");
   }
   std::string lookUp(const std::string &Name) {
-    return Cluster.askNow("entry-1", {.Kind = "lookup", .Body = "get " + Name})
+    return Cluster
+        .sendAndWait("entry-1", {.Kind = "lookup", .Body = "get " + Name})
         .Body;
   }
   std::string primary() { return Cluster.group("bale-ledger-1")->Primary; }
@@ -67,16 +68,17 @@
   At.beginWith("add bales 1");
   CHECK(At.call("/statement", "put gate 4").Outcome == "done");
   CHECK(At.Cluster.Targets[At.primary()]->position() == 0);
-  const CallerAnswer Done = At.call("/transaction/commit", "", "k1");
+  const CallerResponse Done = At.call("/transaction/commit", "", "k1");
   REQUIRE(Done.Outcome == "done");
-  const CallerAnswer Read = At.Cluster.askNow(
+  const CallerResponse Read = At.Cluster.sendAndWait(
       "entry-2",
       {.Kind = "lookup", .Body = "get bales", .Session = Done.Session});
   CHECK(Read.Body == "1");
   // That answer was lost: the commit comes again, at either proxy.
   CHECK(At.call("/transaction/commit", "", "k1").Outcome == "done");
   CHECK(
-      At.Cluster.askNow("entry-2", At.question("/transaction/commit", "", "k1"))
+      At.Cluster
+          .sendAndWait("entry-2", At.question("/transaction/commit", "", "k1"))
           .Outcome == "done");
   CHECK(At.lookUp("bales") == "1");
 }
@@ -91,7 +93,7 @@
   At.beginWith("put bale haulier");
   SECTION("the caller hangs up") { At.Caller.reset(); }
   SECTION("the caller hangs up while a statement is under way") {
-    At.Cluster.askOver(*At.Caller, At.question("/statement", "put a b"));
+    At.Cluster.sendOver(*At.Caller, At.question("/statement", "put a b"));
     At.Cluster.Loop.runFor(Millis(2));
     At.Caller.reset();
   }
@@ -100,12 +102,12 @@
     CHECK(At.call("/transaction/rollback").Outcome == "done");
   }
   SECTION("a statement misses its deadline") {
-    CallerQuestion Late = At.question("/statement", "put a b");
+    CallerRequest Late = At.question("/statement", "put a b");
     Late.DeadlineMs = 1;
-    CHECK(At.Cluster.askNowOver(*At.Caller, Late).Outcome == "unknown");
+    CHECK(At.Cluster.sendOverAndWait(*At.Caller, Late).Outcome == "unknown");
   }
   // Well before the idle bound.
-  const CallerAnswer Next = At.Cluster.askNow(
+  const CallerResponse Next = At.Cluster.sendAndWait(
       "entry-1", {.Key = "k2", .Body = "put gate 4"}, Millis(150));
   CHECK(Next.Outcome == "done");
   CHECK(At.lookUp("gate") == "4");
@@ -124,17 +126,18 @@
   OneConnection At(2);
   At.beginWith("put bale haulier");
   At.Cluster.kill("entry-1");
-  const CallerAnswer Lost = At.Cluster.askNow(
+  const CallerResponse Lost = At.Cluster.sendAndWait(
       "entry-2", At.question("/transaction/commit", "", "k1"));
   CHECK(Lost.Outcome == "not-run");
-  const CallerAnswer Elsewhere =
-      At.Cluster.askNow("entry-2", At.question("/statement", "put a b"));
+  const CallerResponse Elsewhere =
+      At.Cluster.sendAndWait("entry-2", At.question("/statement", "put a b"));
   CHECK(Elsewhere.Outcome == "not-run");
   CHECK(Elsewhere.Body == "the transaction lives at entry-1\n");
-  CHECK(At.Cluster.askNow("entry-2", {.Key = "k2", .Body = "put gate 4"})
+  CHECK(At.Cluster.sendAndWait("entry-2", {.Key = "k2", .Body = "put gate 4"})
             .Outcome == "done");
-  CHECK(At.Cluster.askNow("entry-2", {.Kind = "lookup", .Body = "get bale"})
-            .Body.empty());
+  CHECK(
+      At.Cluster.sendAndWait("entry-2", {.Kind = "lookup", .Body = "get bale"})
+          .Body.empty());
   CHECK(At.Cluster.Targets[At.primary()]->openTransactions() == 0);
 }
 
@@ -154,7 +157,7 @@
   };
   REQUIRE(At.Cluster.Loop.runUntilTrue(Replaced, Millis(10000)));
   At.Cluster.Net.heal();
-  const CallerAnswer Statement = At.call("/statement", "put gate 4");
+  const CallerResponse Statement = At.call("/statement", "put gate 4");
   CHECK(Statement.Outcome == "not-run");
   CHECK(At.call("/transaction/commit", "", "k1").Outcome == "not-run");
   CHECK(At.lookUp("gate").empty());
@@ -165,9 +168,10 @@
           "[transaction]") {
   OneConnection At;
   At.beginWith("add bales 1");
-  CHECK(At.Cluster.askNow("entry-1", At.question("/statement", "add bales 1"))
+  CHECK(At.Cluster
+            .sendAndWait("entry-1", At.question("/statement", "add bales 1"))
             .Outcome == "not-run");
-  CHECK(At.Cluster.askNow("entry-1", At.question("/transaction/rollback"))
+  CHECK(At.Cluster.sendAndWait("entry-1", At.question("/transaction/rollback"))
             .Outcome == "not-run");
   CHECK(At.call("/transaction/commit", "", "k1").Outcome == "done");
   CHECK(At.lookUp("bales") == "1");
@@ -180,12 +184,12 @@
   OneConnection At;
   At.beginWith("put gate 4");
   auto Other = At.Cluster.connectTo("entry-1");
-  At.Cluster.askOver(*Other, {.Key = "k2", .Body = "put bale haulier"});
+  At.Cluster.sendOver(*Other, {.Key = "k2", .Body = "put bale haulier"});
   At.Cluster.Loop.runFor(Millis(20));
-  CHECK(At.Cluster.Proxies["entry-1"]->statements().inFlight() == 1);
+  CHECK(At.Cluster.Proxies["entry-1"]->statements().openStatements() == 1);
   Other.reset();
   At.Cluster.Loop.runFor(Millis(20));
-  CHECK(At.Cluster.Proxies["entry-1"]->statements().inFlight() == 0);
+  CHECK(At.Cluster.Proxies["entry-1"]->statements().openStatements() == 0);
   CHECK(At.call("/transaction/commit", "", "k1").Outcome == "done");
   CHECK(At.lookUp("gate") == "4");
   CHECK(At.lookUp("bale").empty());
--- a/Tests/Unit/SteeringTest.cpp
+++ b/Tests/Unit/SteeringTest.cpp
@@ -11,9 +11,9 @@
   // the plan from its successor.
   const auto Seed = GENERATE(range(1, 11));
   CAPTURE(Seed);
-  ReadySetup Setup(static_cast<std::uint64_t>(Seed));
-  Fleet &On = Setup.On;
-  REQUIRE(On.accept(2));
+  ReadyFleet Setup(static_cast<std::uint64_t>(Seed));
+  FakeFleet &On = Setup.Fleet;
+  REQUIRE(On.acceptPlan(2));
   On.killControl(On.leader()->consensus().log().diskId().empty()
                      ? ""
                      : On.Controls.begin()->second.Node->leader());
@@ -23,11 +23,11 @@
 
 TEST_CASE("The highest version of a plan wins, an older one changes nothing",
           "[steering]") {
-  ReadySetup Setup;
-  Fleet &On = Setup.On;
-  REQUIRE(On.accept(5));
-  CHECK(On.accept(4));
-  CHECK(On.accept(5));
+  ReadyFleet Setup;
+  FakeFleet &On = Setup.Fleet;
+  REQUIRE(On.acceptPlan(5));
+  CHECK(On.acceptPlan(4));
+  CHECK(On.acceptPlan(5));
   CHECK(On.leader()->state().plan().Version == 5);
   CHECK(On.leader()->state().plan().Document == "document 5");
 }
@@ -36,8 +36,8 @@
   // The leader is cut off from the others while a newer plan is accepted
   // there. Asked for the plan it answers nothing or an error, never the old
   // one.
-  ReadySetup Setup;
-  Fleet &On = Setup.On;
+  ReadyFleet Setup;
+  FakeFleet &On = Setup.Fleet;
   const std::string Old = On.leader()->leader();
   for (const std::string &Other : On.Names)
     On.Net.cutBoth(Old, Other);
@@ -52,7 +52,7 @@
   }
   REQUIRE(On.leader() != nullptr);
   REQUIRE(On.leader() != &Stale);
-  REQUIRE(On.accept(2));
+  REQUIRE(On.acceptPlan(2));
   On.Net.heal();
   CHECK(Shown.empty());
 }
@@ -61,8 +61,8 @@
           "[steering]") {
   // A target tells a leader that is cut off from the others that it leaves.
   // An answer would be a promise that proxies stop sending to it.
-  ReadySetup Setup;
-  Fleet &On = Setup.On;
+  ReadyFleet Setup;
+  FakeFleet &On = Setup.Fleet;
   const std::string Old = On.leader()->leader();
   for (const std::string &Other : On.Names)
     On.Net.cutBoth(Old, Other);
@@ -70,7 +70,7 @@
   Said.Sequence = 1000;
   Said.IsLeaving = true;
   bool Acknowledged = false;
-  On.Controls[Old].Node->hear(Said, [&](const Expected<void> &Done) {
+  On.Controls[Old].Node->applyHeartbeat(Said, [&](const Expected<void> &Done) {
     Acknowledged = Done.has_value();
   });
   On.Loop.runFor(Millis(3000));
@@ -79,8 +79,8 @@
 
 TEST_CASE("A leader after a loss of all power knows the targets at once",
           "[steering]") {
-  ReadySetup Setup;
-  Fleet &On = Setup.On;
+  ReadyFleet Setup;
+  FakeFleet &On = Setup.Fleet;
   for (const std::string &Name : On.Names) {
     On.killControl(Name);
     On.Disks[Name]->crash();
@@ -99,9 +99,9 @@
   // All control hosts restart with their disks, as after a loss of power. Who
   // reads their logs would find a plan accepted "from version 0" and each
   // target seen for the first time, at a moment when nobody changed anything.
-  ReadySetup Setup;
-  Fleet &On = Setup.On;
-  REQUIRE(On.accept(2));
+  ReadyFleet Setup;
+  FakeFleet &On = Setup.Fleet;
+  REQUIRE(On.acceptPlan(2));
   On.Loop.runFor(Millis(500));
   for (const std::string &Name : On.Names)
     On.killControl(Name);
@@ -112,13 +112,13 @@
     SteeringNode &Node = *On.Controls[Name].Node;
     Node.signalAudited().connect(
         [&Told](const AuditRecord &Each) { Told.push_back(Each); });
-    Node.signalRecalled().connect([&Recalled] { ++Recalled; });
+    Node.signalReplayed().connect([&Recalled] { ++Recalled; });
   }
   REQUIRE(On.awaitLeader());
   On.Loop.runFor(Millis(1000));
   CHECK(Recalled == On.Names.size());
   CHECK(Told.empty());
-  REQUIRE(On.accept(3));
+  REQUIRE(On.acceptPlan(3));
   On.Loop.runFor(Millis(500));
   CHECK(Told.size() == On.Names.size());
 }
@@ -129,8 +129,8 @@
   // snapshot of it. The host takes that over, and none of the entries that its
   // disk held is applied one by one; who waits for word that its state is
   // there again must get it all the same.
-  ReadySetup Setup;
-  Fleet &On = Setup.On;
+  ReadyFleet Setup;
+  FakeFleet &On = Setup.Fleet;
   std::string Away;
   for (const std::string &Name : On.Names)
     if (!On.Controls[Name].Node->leads())
@@ -141,13 +141,13 @@
   Plan.Document = std::string(1U << 20U, 'x');
   const std::uint64_t Before = On.leader()->consensus().log().lastIndex();
   for (Plan.Version = 2; Plan.Version < 10; ++Plan.Version) {
-    On.leader()->accept(Plan, [](const Expected<void> &) {});
+    On.leader()->acceptPlan(Plan, [](const Expected<void> &) {});
     On.Loop.runFor(Millis(300));
   }
   REQUIRE(On.leader()->consensus().log().snapshotIndex() > Before);
   On.startControl(Away, false);
   std::size_t Recalled = 0;
-  On.Controls[Away].Node->signalRecalled().connect([&Recalled] { ++Recalled; });
+  On.Controls[Away].Node->signalReplayed().connect([&Recalled] { ++Recalled; });
   REQUIRE(On.Loop.runUntilTrue(
       [&] { return On.Controls[Away].Node->state().plan().Version == 9; },
       Millis(5000)));
@@ -159,25 +159,25 @@
   // The leader dies, then all control hosts at once. Each time the next
   // leader knows the proxies from the group's log: a list of those that it
   // had heard so far would move all connections to targets, twice.
-  ReadySetup On(3, 6);
-  On.On.runBeating(Millis(2000));
-  for (const auto &[Name, Lists] : On.On.ProxyLists)
+  ReadyFleet On(3, 6);
+  On.Fleet.runWithHeartbeats(Millis(2000));
+  for (const auto &[Name, Lists] : On.Fleet.ProxyLists)
     CHECK(Lists.back() == 6);
-  const auto Before = On.On.ProxyLists;
-  for (const auto &[Name, Each] : On.On.Controls)
+  const auto Before = On.Fleet.ProxyLists;
+  for (const auto &[Name, Each] : On.Fleet.Controls)
     if (Each.Node->leads()) {
-      On.On.killControl(Name);
+      On.Fleet.killControl(Name);
       break;
     }
-  On.On.runBeating(Millis(4000));
-  CHECK(On.On.ProxyLists == Before);
-  for (const std::string &Name : On.On.Names) {
-    if (On.On.Controls.count(Name) != 0)
-      On.On.killControl(Name);
-    On.On.startControl(Name, false);
+  On.Fleet.runWithHeartbeats(Millis(4000));
+  CHECK(On.Fleet.ProxyLists == Before);
+  for (const std::string &Name : On.Fleet.Names) {
+    if (On.Fleet.Controls.count(Name) != 0)
+      On.Fleet.killControl(Name);
+    On.Fleet.startControl(Name, false);
   }
-  On.On.runBeating(Millis(4000));
-  CHECK(On.On.ProxyLists == Before);
+  On.Fleet.runWithHeartbeats(Millis(4000));
+  CHECK(On.Fleet.ProxyLists == Before);
 }
 
 TEST_CASE("A new leader makes its long messages once for all proxies",
@@ -187,15 +187,15 @@
   // hundreds on its own, these keep it from anything else for a fifth of a
   // second, in which no caller is served anywhere.
   constexpr std::size_t Proxies = 60;
-  ReadySetup Setup(3, Proxies);
-  Fleet &On = Setup.On;
-  REQUIRE(On.accept(2));
-  On.runBeating(Millis(2000));
+  ReadyFleet Setup(3, Proxies);
+  FakeFleet &On = Setup.Fleet;
+  REQUIRE(On.acceptPlan(2));
+  On.runWithHeartbeats(Millis(2000));
   for (const std::string &Name : On.Names)
     On.killControl(Name);
   On.killProxies();
   On.Net.Traffic.clear();
-  On.Net.Made.clear();
+  On.Net.BuiltMessages.clear();
   for (const std::string &Name : On.Names)
     On.startControl(Name, false);
   for (std::size_t Each = 1; Each <= Proxies; ++Each)
@@ -205,7 +205,7 @@
   for (const Message &Long : {Message(PlanUpdate{}), Message(DirectoryUpdate{}),
                               Message(ProxyListUpdate{})}) {
     CHECK(On.Net.Traffic[Long.index()].first >= Proxies);
-    CHECK(On.Net.Made[Long.index()] <= 5);
+    CHECK(On.Net.BuiltMessages[Long.index()] <= 5);
   }
 }
 
@@ -213,8 +213,8 @@
           "[steering]") {
   // A proxy starts and reaches only a control host that is cut off from the
   // others, where a newer plan was accepted meanwhile.
-  ReadySetup Setup;
-  Fleet &On = Setup.On;
+  ReadyFleet Setup;
+  FakeFleet &On = Setup.Fleet;
   const std::string Old = On.leader()->leader();
   for (const std::string &Other : On.Names)
     On.Net.cutBoth(Old, Other);
--- a/Tests/Unit/ViewDeltaTest.cpp
+++ b/Tests/Unit/ViewDeltaTest.cpp
@@ -24,12 +24,13 @@
       Out.Proxies[{Name, 1}].Host = std::to_string(Draw(3));
   }
   if (Draw(2) == 0) {
-    Out.Current = Manifest{};
-    Out.Current->Version = Draw(3);
+    Out.CurrentManifest = Manifest{};
+    Out.CurrentManifest->Version = Draw(3);
     for (int Number = 0; Number < 4; ++Number)
       if (Draw(2) == 0)
-        Out.Current->Databases.push_back({"name-" + std::to_string(Number),
-                                          static_cast<std::uint32_t>(Draw(3))});
+        Out.CurrentManifest->Databases.push_back(
+            {"name-" + std::to_string(Number),
+             static_cast<std::uint32_t>(Draw(3))});
   }
   return Out;
 }
@@ -43,12 +44,12 @@
     const ClusterView From = anyView(Random, 1);
     ClusterView To = anyView(Random, 2);
     // A manifest is replaced and never taken away.
-    if (From.Current && !To.Current)
-      To.Current = From.Current;
-    CHECK(withDelta(From, difference(From, To)) == To);
+    if (From.CurrentManifest && !To.CurrentManifest)
+      To.CurrentManifest = From.CurrentManifest;
+    CHECK(applyDelta(From, computeDelta(From, To)) == To);
   }
-  CHECK_FALSE(withDelta(ClusterView{},
-                        ViewDelta{7, 8, {}, {}, {}, {}, {}, {}, {}, {}, {}}));
+  CHECK_FALSE(applyDelta(ClusterView{},
+                         ViewDelta{7, 8, {}, {}, {}, {}, {}, {}, {}, {}, {}}));
 }
 
 TEST_CASE("A delta on another manifest than its base is refused", "[delta]") {
@@ -58,8 +59,8 @@
   To.Databases.push_back({"bale-ledger-2"});
   Manifest Other;
   Other.Databases = {{"swap-ledger-1"}};
-  CHECK(withDelta(From, difference(From, To)) == To);
-  CHECK_FALSE(withDelta(Other, difference(From, To)));
+  CHECK(applyDelta(From, computeDelta(From, To)) == To);
+  CHECK_FALSE(applyDelta(Other, computeDelta(From, To)));
 }
 
 TEST_CASE("A proxy that missed a delta gets the whole view", "[delta]") {
@@ -67,20 +68,20 @@
   // misses the delta; later deltas don't fit its view. Once it's reached
   // again it must run the latest manifest, not one put together wrongly.
   FakeCluster Cluster(3);
-  Cluster.bringUp(FakeCluster::Manifest1);
+  Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   for (const auto &[Name, Control] : Cluster.Controls)
     Cluster.Net.cut(Name, "entry-2");
-  std::string Text = FakeCluster::Manifest1;
+  std::string Text = FakeCluster::BaseManifest;
   Text.replace(Text.find("version = 1"), 11, "version = 2");
-  Cluster.apply(Text);
+  Cluster.applyManifest(Text);
   Cluster.Loop.runFor(Millis(300));
-  CHECK(Cluster.Proxies["entry-1"]->view().Current->Version == 2);
-  CHECK(Cluster.Proxies["entry-2"]->view().Current->Version == 1);
+  CHECK(Cluster.Proxies["entry-1"]->view().CurrentManifest->Version == 2);
+  CHECK(Cluster.Proxies["entry-2"]->view().CurrentManifest->Version == 1);
   Cluster.Net.heal();
   CHECK(Cluster.Loop.runUntilTrue(
       [&] {
         return Cluster.Proxies["entry-2"]->view() ==
-               Cluster.leader()->applied().view();
+               Cluster.leader()->appliedState().view();
       },
       Millis(2000)));
 }
--- a/Tests/Unit/WriteGapMeterTest.cpp
+++ b/Tests/Unit/WriteGapMeterTest.cpp
@@ -11,7 +11,7 @@
 
 ClusterView viewWith(const std::string &Primary, std::uint64_t Term) {
   ClusterView Out;
-  Out.Current = Manifest{};
+  Out.CurrentManifest = Manifest{};
   for (const char *Name : {"one", "two"}) {
     TargetAnnouncement &Each = Out.Targets[Name];
     Each.Name = Name;
@@ -39,7 +39,7 @@
   Meter.update(View, Table, true, Millis(100));
   const bool Noticed = GENERATE(true, false);
   if (Noticed) {
-    Table.refused("one");
+    Table.markRefused("one");
     Meter.update(View, Table, true, Millis(150));
   }
   CHECK(Meter.gaps().total() == 0);
--- a/Utilities/Capacity/Measurements.cpp
+++ b/Utilities/Capacity/Measurements.cpp
@@ -57,8 +57,9 @@
 
 double wireBytes(Message Body) {
   return static_cast<double>(
-      seal({Envelope::CurrentVersion, "entry-1000", {"10.1.2.3", 7300}, Body},
-           SealKey)
+      signAndEncode(
+          {Envelope::CurrentVersion, "entry-1000", {"10.1.2.3", 7300}, Body},
+          SealKey)
           .size());
 }
 
@@ -66,8 +67,8 @@
   const Envelope Sample{
       Envelope::CurrentVersion, "entry-1000", {"10.1.2.3", 7300}, Body};
   return microsPerCall([&] {
-    const std::string Bytes = seal(Sample, SealKey);
-    if (!open(Bytes, SealKey))
+    const std::string Bytes = signAndEncode(Sample, SealKey);
+    if (!verifyAndDecode(Bytes, SealKey))
       std::abort();
   });
 }
@@ -77,9 +78,9 @@
 /// A view with MostSmall databases, the first \p Count with another policy.
 ClusterView withChangedPolicies(std::size_t Count) {
   ClusterView Out = sampleView(MostSmall, 0);
-  ++Out.Current->Version;
+  ++Out.CurrentManifest->Version;
   for (std::size_t Number = 0; Number < Count; ++Number)
-    ++Out.Current->Databases[Number].ConnectionsPerTarget;
+    ++Out.CurrentManifest->Databases[Number].ConnectionsPerTarget;
   return Out;
 }
 
@@ -119,7 +120,7 @@
           const std::string Target =
               "bale-ledger-1000-" + std::to_string(Number % 10);
           Request.Demands.push_back({Target, 2, 4});
-          Grant.Shares.push_back({Target, 3});
+          Grant.Allocations.push_back({Target, 3});
         }
         return wireBytes(Request) + wireBytes(Grant);
       });
@@ -140,12 +141,12 @@
         const ClusterView From = To;
         for (auto &[Name, Group] : To.Groups)
           ++Group.Term;
-        return wireBytes(difference(From, To));
+        return wireBytes(computeDelta(From, To));
       });
   add(Into, "delta-bytes-by-manifest", "B", "changed database", SmallSizes,
       [](std::size_t Size) {
         return wireBytes(
-            difference(sampleView(MostSmall, 0), withChangedPolicies(Size)));
+            computeDelta(sampleView(MostSmall, 0), withChangedPolicies(Size)));
       });
   add(Into, "heartbeat-bytes", "B", "-", {1, 2, 3}, [](std::size_t) {
     return wireBytes(
@@ -168,16 +169,16 @@
   add(Into, "delta-codec-micros", "us", "changed database", SmallSizes,
       [](std::size_t Size) {
         return codecMicros(
-            difference(sampleView(MostSmall, 0), withChangedPolicies(Size)));
+            computeDelta(sampleView(MostSmall, 0), withChangedPolicies(Size)));
       });
   add(Into, "adopt-micros", "us", "database", DatabaseSizes,
       [](std::size_t Size) {
         const ClusterView From = sampleView(Size, 0);
         ClusterView To = From;
-        ++To.Current->Version;
-        const ViewDelta Delta = difference(From, To);
+        ++To.CurrentManifest->Version;
+        const ViewDelta Delta = computeDelta(From, To);
         return microsPerCall([&] {
-          if (!withDelta(From, Delta))
+          if (!applyDelta(From, Delta))
             std::abort();
         });
       });
@@ -186,7 +187,7 @@
         const ClusterView From = sampleView(Size, 0);
         ClusterView To = From;
         ++To.Groups.begin()->second.Term;
-        return microsPerCall([&] { difference(From, To); });
+        return microsPerCall([&] { computeDelta(From, To); });
       });
   add(Into, "renewal-micros", "us", "proxy", ProxySizes, [](std::size_t Size) {
     LeaseRegistry Leases;
@@ -195,8 +196,8 @@
       LeaseRequest Request = sampleRequest(1);
       Request.Proxy = sampleProxy(Number++ % Size);
       const Millis Now(static_cast<std::int64_t>(Number));
-      Leases.noteRequest(Request, {"10.1.2.3", 7300}, Now);
-      Leases.noteGrant(
+      Leases.recordRequest(Request, {"10.1.2.3", 7300}, Now);
+      Leases.recordGrant(
           {Request.Proxy, Request.Sequence, Request.SentAt, Millis(600), 10},
           Now, 1000);
     });
@@ -204,9 +205,9 @@
   add(Into, "in-force-micros", "us", "proxy", ProxySizes, [](std::size_t Size) {
     const ClusterView View = sampleView(0, Size);
     LeaseRegistry Leases;
-    Leases.begin(View, Millis(0));
+    Leases.startTerm(View, Millis(0));
     for (const auto &[Id, Where] : View.Proxies)
-      Leases.noteApplied(Id, 100);
+      Leases.recordApplied(Id, 100);
     return microsPerCall([&] {
       if (!Leases.isInForce(View, 100, Millis(10)))
         std::abort();
@@ -217,9 +218,9 @@
         const ClusterView View = sampleView(Size, 0);
         LeaseRegistry Leases;
         FailoverCoordinator Failover;
-        for (const TargetCall &Call :
-             Failover.step(View, Leases, Millis(1)).Calls)
-          Failover.answered(Call, {Call.Term, Call.Term, 10});
+        for (const TargetOrderRequest &Call :
+             Failover.step(View, Leases, Millis(1)).Orders)
+          Failover.recordAnswer(Call, {Call.Term, Call.Term, 10});
         return microsPerCall([&] { Failover.step(View, Leases, Millis(2)); });
       });
   add(Into, "route-micros", "us", "database", DatabaseSizes,
@@ -247,7 +248,7 @@
     for (std::size_t Number = 0; Number < Size; ++Number)
       Token = Token.withWrite("db-" + std::to_string(Number), 1, 100);
     return microsPerCall([&] {
-      if (!openToken(sealToken(Token, SealKey), SealKey))
+      if (!verifyToken(signToken(Token, SealKey), SealKey))
         std::abort();
     });
   });
@@ -284,7 +285,7 @@
         for (std::size_t Number = 0; Number < Size; ++Number) {
           LeaseRequest Request = sampleRequest(1);
           Request.Proxy = sampleProxy(Number);
-          Leases.noteRequest(Request, {"10.1.2.3", 7300}, Millis(1));
+          Leases.recordRequest(Request, {"10.1.2.3", 7300}, Millis(1));
         }
         return heapBytes() - Before;
       });
--- a/Utilities/Capacity/Samples.cpp
+++ b/Utilities/Capacity/Samples.cpp
@@ -15,7 +15,7 @@
   return Word + "-" + std::to_string(Number);
 }
 
-Place samplePlace(std::size_t Number) {
+Locality samplePlace(std::size_t Number) {
   constexpr std::size_t Regions = 5;
   constexpr std::size_t Domains = 13;
   return {numbered("region", Number % Regions),
@@ -41,9 +41,9 @@
   std::sort(Out.Databases.begin(), Out.Databases.end());
   constexpr std::size_t Kinds = 12;
   for (std::size_t Number = 0; Number < Kinds; ++Number) {
-    KindPolicy Kind;
+    RequestKindPolicy Kind;
     Kind.Name = numbered("kind", Number);
-    Kind.AcceptedAge = Millis(2000);
+    Kind.MaxStaleness = Millis(2000);
     Out.Kinds.push_back(Kind);
   }
   std::sort(Out.Kinds.begin(), Out.Kinds.end());
@@ -53,9 +53,9 @@
 ClusterView sampleView(std::size_t Databases, std::size_t Proxies) {
   ClusterView Out;
   Out.Revision = 1;
-  Out.Current = sampleManifest(Databases);
-  Out.LongestLease = Out.Current->Failover.LeaseDuration;
-  for (const DatabasePolicy &Policy : Out.Current->Databases) {
+  Out.CurrentManifest = sampleManifest(Databases);
+  Out.MaxLeaseDuration = Out.CurrentManifest->Failover.LeaseDuration;
+  for (const DatabasePolicy &Policy : Out.CurrentManifest->Databases) {
     GroupRecord &Group = Out.Groups[Policy.Name];
     Group.Database = Policy.Name;
     Group.Phase = GroupPhase::Promoted;
@@ -67,13 +67,13 @@
       TargetAnnouncement Target;
       Target.Name = numbered(Policy.Name, Number);
       Target.Database = Policy.Name;
-      Target.Where = samplePlace(Number);
+      Target.TargetLocality = samplePlace(Number);
       Target.Address = {"10.100.200.30", 5432};
       Target.Sequence = SampleSequence;
       Target.LogId = numbered("1234567890123456789", Number);
       Out.Targets[Target.Name] = Target;
       Group.Targets.insert(Target.Name);
-      Group.Settled[Target.Name] = Target.LogId;
+      Group.CompleteLogs[Target.Name] = Target.LogId;
     }
   }
   for (std::size_t Number = 0; Number < Proxies; ++Number)
--- a/Utilities/Capacity/StatementMeasurement.cpp
+++ b/Utilities/Capacity/StatementMeasurement.cpp
@@ -55,7 +55,8 @@
       if (Asked->AppliedRevision < View.Revision)
         answer(ViewUpdate{View});
       answer(LeaseGrant{Asked->Proxy, Asked->Sequence, Asked->SentAt,
-                        View.Current->Failover.LeaseDuration, View.Revision});
+                        View.CurrentManifest->Failover.LeaseDuration,
+                        View.Revision});
     }
     if (const auto *Asked = std::get_if<RightsRequest>(&Body))
       answer(rightsFor(*Asked));
@@ -70,8 +71,8 @@
       return Out;
     Out.Duration = RightsDuration;
     for (const auto &[Name, Target] : View.Targets)
-      Out.Shares.push_back(
-          {Name, View.Current->Databases.front().ConnectionsPerTarget});
+      Out.Allocations.push_back(
+          {Name, View.CurrentManifest->Databases.front().ConnectionsPerTarget});
     return Out;
   }
 
@@ -155,7 +156,7 @@
   GenerousControl Control(Loop, View);
   Settings Options;
   Options.Name = sampleProxy(0).Name;
-  Options.Controls = {{"control-1", {"127.0.0.1", 1}}};
+  Options.ControlHosts = {{"control-1", {"127.0.0.1", 1}}};
   Options.SessionKey = SessionKey;
   ProxyNode Proxy(Options, {Time, Loop, Control, Connector},
                   sampleProxy(0).Incarnation);
--- a/Utilities/Experiment/Experiment.cpp
+++ b/Utilities/Experiment/Experiment.cpp
@@ -31,7 +31,7 @@
     for (std::uint32_t Index = 0; Index < Count; ++Index)
       Targets.emplace_back(Time, this->How.Sizes);
     makeView(Count);
-    Ledger.begin(1, View, Millis(-20000));
+    Ledger.startTerm(1, View, Millis(-20000));
     for (std::uint32_t Index = 0; Index < How.Sizes.Proxies; ++Index)
       start(Index);
     for (const Load &Each : What.Loads)
@@ -54,7 +54,7 @@
     Policy.Name = "database";
     Policy.ConnectionsPerTarget = How.Sizes.Connections;
     Current.Databases.push_back(Policy);
-    View.Current = Current;
+    View.CurrentManifest = Current;
     for (std::uint32_t Index = 0; Index < Count; ++Index) {
       const std::string Name = "target-" + std::to_string(Index);
       View.Targets[Name] = {Name, Policy.Name, {}, {}, 1, false, {}};
@@ -125,7 +125,7 @@
       return;
     const RightsRequest Request = Of.askForRights();
     Time.after(How.Sizes.TargetHop, [this, &Of, Request] {
-      const auto Grant = Ledger.answer(Request, View, Time.millis());
+      const auto Grant = Ledger.handleRequest(Request, View, Time.millis());
       if (!Grant)
         return;
       Time.after(How.Sizes.TargetHop, [this, &Of, Grant] {
@@ -156,7 +156,7 @@
   void offer(const Load &Of) {
     auto Each = std::make_shared<Statement>();
     Each->Of = &Of;
-    for (const KindPolicy &Kind : What.Kinds)
+    for (const RequestKindPolicy &Kind : What.Kinds)
       if (Kind.Name == Of.Kind)
         Each->Kind = &Kind;
     Each->Database = static_cast<std::uint32_t>(Random() % How.Sizes.Databases);
@@ -303,7 +303,7 @@
     Time.after(RestartTime, [this, &Old, Index] {
       Old.leave();
       if (How.Rights == "demand")
-        Ledger.answer(Old.askForRights(), View, Time.millis());
+        Ledger.handleRequest(Old.askForRights(), View, Time.millis());
       start(Index);
       Time.after(RestartTime / 2, [this, Index] { restartFrom(Index + 1); });
     });
--- a/Utilities/Experiment/FailoverGap.cpp
+++ b/Utilities/Experiment/FailoverGap.cpp
@@ -81,7 +81,7 @@
     Cluster.Net.ClientLatency["caller"] = Of.ToCallers;
     Cluster.TargetOptions.Connections =
         static_cast<std::size_t>(Of.Connections);
-    Cluster.bringUp(manifestOf(Of));
+    Cluster.startAndAwaitWritable(manifestOf(Of));
   }
 
   std::optional<Parts> measure(const std::string &Fault) {
@@ -121,13 +121,13 @@
     if (Cluster.Loop.now() >= NextSend) {
       NextSend = Cluster.Loop.now() + SendEvery;
       const std::string Proxy = "entry-" + std::to_string(1 + Sent % Proxies);
-      Asked.push_back(Cluster.ask(Proxy, {.Database = Database,
-                                          .Key = std::to_string(Sent),
-                                          .Body = "add moves 1"}));
+      Asked.push_back(Cluster.send(Proxy, {.Database = Database,
+                                           .Key = std::to_string(Sent),
+                                           .Body = "add moves 1"}));
       ++Sent;
     }
     Cluster.Loop.runFor(Step);
-    std::erase_if(Asked, [this](const std::shared_ptr<CallerAnswer> &Each) {
+    std::erase_if(Asked, [this](const std::shared_ptr<CallerResponse> &Each) {
       if (Each->Arrived && Each->Outcome == "done") {
         if (Each->Target == Old)
           LastOld = Cluster.Loop.now();
@@ -143,11 +143,12 @@
     if (Leader == nullptr)
       return;
     const Millis Now = Cluster.Loop.now();
-    const ClusterView &View = Leader->applied().view();
+    const ClusterView &View = Leader->appliedState().view();
     const GroupRecord &Group = *View.group(Database);
     const bool Ended = Group.Primary != Old;
-    if (!Suspected && (Ended || isSuspected(Old, Leader->leases(),
-                                            View.Current->Failover, Now)))
+    if (!Suspected &&
+        (Ended || isSuspected(Old, Leader->leases(),
+                              View.CurrentManifest->Failover, Now)))
       Suspected = Now;
     if (!Fenced && Ended) {
       Fenced = Now;
@@ -164,7 +165,7 @@
   FakeCluster Cluster;
   std::mt19937_64 Random;
   std::string Old;
-  std::deque<std::shared_ptr<CallerAnswer>> Asked;
+  std::deque<std::shared_ptr<CallerResponse>> Asked;
   std::size_t Sent = 0;
   Millis NextSend;
   Millis LastOld;
--- a/Utilities/Experiment/ModelProxy.cpp
+++ b/Utilities/Experiment/ModelProxy.cpp
@@ -4,7 +4,7 @@
 #include "ModelProxy.h"
 
 #include "Admission/FairQueue.h"
-#include "Admission/FirstComeQueue.h"
+#include "Admission/FifoQueue.h"
 #include "Admission/StaticSplitQueue.h"
 
 namespace corianderdyke {
@@ -35,25 +35,25 @@
 
 std::unique_ptr<QueueDiscipline> ModelProxy::order(Access Mode) const {
   if (How.Order == "first-come")
-    return std::make_unique<FirstComeQueue>();
+    return std::make_unique<FifoQueue>();
   const auto Share = [this](const std::string &Name) {
     for (const OrganisationPolicy &Each : What.Organisations)
       if (Each.Name == Name)
-        return static_cast<double>(Each.Share);
+        return static_cast<double>(Each.Weight);
     return 1.0;
   };
   if (How.Order == "static-split") {
     double Sum = 0;
     for (const OrganisationPolicy &Each : What.Organisations)
-      Sum += Each.Share;
+      Sum += Each.Weight;
     const std::uint32_t Servers =
         Mode == Access::Write ? 1 : How.Sizes.Targets - 1;
     return std::make_unique<StaticSplitQueue>(
         [Share, Sum](const std::string &Name) { return Share(Name) / Sum; },
-        std::max(Servers * capacity().statements() / How.Sizes.Proxies, 1U));
+        std::max(Servers * capacity().maxStatements() / How.Sizes.Proxies, 1U));
   }
   return std::make_unique<FairQueue>(Share, [this](const std::string &Name) {
-    for (const KindPolicy &Each : What.Kinds)
+    for (const RequestKindPolicy &Each : What.Kinds)
       if (Each.Name == Name)
         return static_cast<double>(Each.Weight);
     return 1.0;
@@ -68,7 +68,7 @@
   if (Dead)
     return;
   for (auto &Each : Admissions)
-    refuse(Each->giveUp(Time.millis()));
+    refuse(Each->shedUnservable(Time.millis()));
   Time.after(LookEvery, [this] { look(); });
 }
 
@@ -78,9 +78,9 @@
   const Millis DeadlineAt =
       Millis(Request->Intended / 1000) + Request->Kind->Deadline;
   refuse(admission(Request->Database, Request->Kind->Mode)
-             .arrive({Id, Request->Of->Organisation, Request->Kind->Name,
-                      Time.millis(), DeadlineAt, 0},
-                     Time.millis()));
+             .admit({Id, Request->Of->Organisation, Request->Kind->Name,
+                     Time.millis(), DeadlineAt, 0},
+                    Time.millis()));
   dispatch(Request->Database);
 }
 
@@ -92,10 +92,11 @@
   }
 }
 
-bool ModelProxy::isFit(std::uint32_t Target, const KindPolicy &Kind) const {
+bool ModelProxy::isFit(std::uint32_t Target,
+                       const RequestKindPolicy &Kind) const {
   const bool IsPrimary = Target % How.Sizes.Targets == 0;
   const bool NeedsPrimary =
-      Kind.Mode == Access::Write || Kind.AcceptedAge < How.Sizes.Lag;
+      Kind.Mode == Access::Write || Kind.MaxStaleness < How.Sizes.Lag;
   return IsPrimary == NeedsPrimary;
 }
 
@@ -105,7 +106,7 @@
   const std::uint32_t First = For.Database * How.Sizes.Targets;
   for (std::uint32_t At = First; At < First + How.Sizes.Targets; ++At) {
     if (!isFit(At, *For.Kind) ||
-        Pools[At].Busy >= statementsAtOnce(Pools[At].Limit, capacity()))
+        Pools[At].Busy >= maxConcurrentStatements(Pools[At].Limit, capacity()))
       continue;
     if (!Best || Pools[At].Busy < Pools[*Best].Busy)
       Best = At;
@@ -157,7 +158,7 @@
     ++Pools[Target].Idle;
     closeSpare(Target);
     admission(Each->Database, Each->Kind->Mode)
-        .finished(Queued, static_cast<double>(Time.now() - SentAt) / PerMilli);
+        .complete(Queued, static_cast<double>(Time.now() - SentAt) / PerMilli);
     Each->Answer(true, Millis());
     dispatch(Each->Database);
   });
@@ -228,7 +229,7 @@
 
 void ModelProxy::leave() {
   die();
-  Rights.leave();
+  Rights.relinquish();
 }
 
 } // namespace corianderdyke
--- a/Utilities/Experiment/ModelProxy.h
+++ b/Utilities/Experiment/ModelProxy.h
@@ -18,7 +18,7 @@
 /// One request on its way.
 struct Statement {
   const Load *Of = nullptr;
-  const KindPolicy *Kind = nullptr;
+  const RequestKindPolicy *Kind = nullptr;
   std::uint32_t Database = 0;
   Micros Intended = 0;
   Micros Service = 0;
@@ -71,7 +71,7 @@
   }
   TargetCapacity capacity() const;
   /// Targets that a statement may go to, in a database.
-  bool isFit(std::uint32_t Target, const KindPolicy &Kind) const;
+  bool isFit(std::uint32_t Target, const RequestKindPolicy &Kind) const;
   std::optional<std::uint32_t> freeTarget(const Statement &For) const;
   void dispatch(std::uint32_t Database);
   void send(const StatementPtr &Each, const QueuedRequest &Queued);
--- a/Utilities/Experiment/ReplicaShare.cpp
+++ b/Utilities/Experiment/ReplicaShare.cpp
@@ -71,7 +71,7 @@
     Cluster.Net.LeastLatency = What.LeastLatency;
     Cluster.Net.MostLatency = What.MostLatency;
     Cluster.TargetOptions.Lag = What.Lag;
-    Cluster.bringUp(Manifest);
+    Cluster.startAndAwaitWritable(Manifest);
   }
 
   void go() {
@@ -99,7 +99,7 @@
     std::string Database;
     std::string Token;
     std::uint64_t Floor = 0;
-    std::shared_ptr<CallerAnswer> Open;
+    std::shared_ptr<CallerResponse> Open;
     bool Writes = false;
     Millis AskedAt;
   };
@@ -143,7 +143,7 @@
     const std::string Proxy = "entry-" + std::to_string(1 + draw(What.Proxies));
     By.Writes = draw(1000) < static_cast<std::size_t>(What.WritesPerMille);
     By.AskedAt = Cluster.Loop.now();
-    CallerQuestion Ask{
+    CallerRequest Ask{
         .Database = By.Database, .Body = "put a b", .Session = By.Token};
     if (By.Writes) {
       Ask.Key = "k" + std::to_string(++NextKey);
@@ -154,19 +154,19 @@
       ++Reads;
       Possible += isPossible(By, Millis(Age)) ? 1 : 0;
     }
-    By.Open = Cluster.ask(Proxy, Ask);
+    By.Open = Cluster.send(Proxy, Ask);
   }
 
   void collect() {
     for (Session &Each : All) {
       if (!Each.Open || !Each.Open->Arrived)
         continue;
-      const CallerAnswer Got = *std::exchange(Each.Open, nullptr);
+      const CallerResponse Got = *std::exchange(Each.Open, nullptr);
       if (Got.Outcome != "done")
         continue;
       if (Each.Writes) {
         Each.Token = Got.Session;
-        Each.Floor = openToken(Got.Session, FakeCluster::AnyKey)
+        Each.Floor = verifyToken(Got.Session, FakeCluster::SharedKey)
                          ->floor(Each.Database)
                          ->Position;
         continue;
--- a/Utilities/Experiment/Scenario.cpp
+++ b/Utilities/Experiment/Scenario.cpp
@@ -12,7 +12,7 @@
 constexpr Micros PerMilli = 1000;
 constexpr std::int64_t Most = 1000000;
 
-KeyDescription text(const std::string &Table, const std::string &Key) {
+KeyDescription refusalText(const std::string &Table, const std::string &Key) {
   return {.Table = Table, .Key = Key};
 }
 
@@ -21,27 +21,27 @@
   return {.Table = Table,
           .Key = Key,
           .Type = KeyType::Number,
-          .Least = Least,
-          .Most = Most,
+          .Min = Least,
+          .Max = Most,
           .Default = Default};
 }
 
 KeyDescription texts(const std::string &Key) {
-  return {.Key = Key, .Type = KeyType::Texts};
+  return {.Key = Key, .Type = KeyType::StringList};
 }
 
-KeyDescription word(const std::string &Table, const std::string &Key,
-                    const std::vector<std::string> &Words) {
+KeyDescription outcomeHeader(const std::string &Table, const std::string &Key,
+                             const std::vector<std::string> &Words) {
   return {.Table = Table,
           .Key = Key,
-          .Type = KeyType::Word,
-          .Words = Words,
+          .Type = KeyType::Choice,
+          .Choices = Words,
           .Default = Words.front()};
 }
 
-const KeyTable &keys() {
-  static const KeyTable Keys({
-      text("", "name"),
+const KeySchema &keys() {
+  static const KeySchema Keys({
+      refusalText("", "name"),
       number("", "seed", "1"),
       number("", "length_ms", "10000", 1),
       number("", "count_from_ms", "2000"),
@@ -50,26 +50,26 @@
       texts("deployments"),
       texts("orders"),
       texts("rights"),
-      text("[[organisation]]", "name"),
+      refusalText("[[organisation]]", "name"),
       number("[[organisation]]", "share", "1", 1),
-      text("[[kind]]", "name"),
-      word("[[kind]]", "access", {"read", "write"}),
+      refusalText("[[kind]]", "name"),
+      outcomeHeader("[[kind]]", "access", {"read", "write"}),
       number("[[kind]]", "accepted_age_ms", "1000"),
       number("[[kind]]", "deadline_ms", "1000", 1),
       number("[[kind]]", "weight", "1", 1),
-      text("[[load]]", "organisation"),
-      text("[[load]]", "kind"),
+      refusalText("[[load]]", "organisation"),
+      refusalText("[[load]]", "kind"),
       number("[[load]]", "per_second", "0"),
       number("[[load]]", "service_ms", "4"),
       {.Table = "[[load]]",
        .Key = "exponential",
-       .Type = KeyType::Flag,
+       .Type = KeyType::Boolean,
        .Default = "false"},
       number("[[load]]", "from_ms", "0"),
       number("[[load]]", "until_ms", "the length"),
       number("[[load]]", "proxies", "0"),
-      word("[[fault]]", "kind",
-           {"proxy-dies", "rolling-restart", "slow-target"}),
+      outcomeHeader("[[fault]]", "kind",
+                    {"proxy-dies", "rolling-restart", "slow-target"}),
       number("[[fault]]", "at_ms", "0"),
       number("[[fault]]", "until_ms", "0"),
       number("[[fault]]", "index", "0"),
@@ -92,11 +92,11 @@
   return Out;
 }
 
-KindPolicy readKind(TomlReader &In) {
-  KindPolicy Out;
-  Out.Name = In.text("name");
-  Out.Mode = In.word("access") == 0 ? Access::Read : Access::Write;
-  Out.AcceptedAge = In.millis("accepted_age_ms");
+RequestKindPolicy readKind(TomlReader &In) {
+  RequestKindPolicy Out;
+  Out.Name = In.string("name");
+  Out.Mode = In.choiceIndex("access") == 0 ? Access::Read : Access::Write;
+  Out.MaxStaleness = In.millis("accepted_age_ms");
   Out.Deadline = In.millis("deadline_ms");
   Out.Weight = In.count("weight");
   return Out;
@@ -104,8 +104,8 @@
 
 Load readLoad(TomlReader &In, Micros Length) {
   Load Out;
-  Out.Organisation = In.text("organisation");
-  Out.Kind = In.text("kind");
+  Out.Organisation = In.string("organisation");
+  Out.Kind = In.string("kind");
   Out.PerSecond = In.count("per_second");
   Out.Service = In.number("service_ms") * PerMilli;
   Out.Exponential = In.flag("exponential");
@@ -117,7 +117,7 @@
 
 Fault readFault(TomlReader &In) {
   Fault Out;
-  Out.Kind = static_cast<FaultKind>(In.word("kind"));
+  Out.Kind = static_cast<FaultKind>(In.choiceIndex("kind"));
   Out.At = In.number("at_ms") * PerMilli;
   Out.Until = In.number("until_ms") * PerMilli;
   Out.Index = In.count("index");
@@ -135,23 +135,23 @@
     return tl::unexpected(Found);
   TomlReader In(File, keys(), Root, Found);
   Scenario Out;
-  Out.Name = In.text("name");
+  Out.Name = In.string("name");
   Out.Seed = In.count("seed");
   Out.Length = In.number("length_ms") * PerMilli;
   Out.CountFrom = In.number("count_from_ms") * PerMilli;
   Out.Returns = In.count("returns");
   Out.QueueLimit = In.count("queue_per_database");
-  for (const std::string &Name : In.texts("deployments")) {
+  for (const std::string &Name : In.stringList("deployments")) {
     const auto Known = deployment(Name);
     if (Known)
       Out.Deployments.push_back(*Known);
     else
-      In.report("deployments", Known.error().Message);
+      In.addFinding("deployments", Known.error().Message);
   }
-  Out.Orders = In.texts("orders");
-  Out.Rights = In.texts("rights");
+  Out.Orders = In.stringList("orders");
+  Out.Rights = In.stringList("rights");
   In.tables("organisation", [&Out](TomlReader &Each) {
-    const std::string Name = Each.text("name");
+    const std::string Name = Each.string("name");
     Out.Organisations.push_back({Name, Each.count("share")});
   });
   In.tables("kind",
@@ -162,7 +162,7 @@
   In.tables("fault", [&Out](TomlReader &Each) {
     Out.Faults.push_back(readFault(Each));
   });
-  In.finish();
+  In.reportUnknownKeys();
   if (!Found.empty())
     return tl::unexpected(Found);
   return Out;
--- a/Utilities/Experiment/Scenario.h
+++ b/Utilities/Experiment/Scenario.h
@@ -71,7 +71,7 @@
   std::vector<std::string> Orders;
   std::vector<std::string> Rights;
   std::vector<OrganisationPolicy> Organisations;
-  std::vector<KindPolicy> Kinds;
+  std::vector<RequestKindPolicy> Kinds;
   std::vector<Load> Loads;
   std::vector<Fault> Faults;
 
