--- a/Tests/Support/FailoverSupport.h
+++ b/Tests/Support/FailoverSupport.h
@@ -25,20 +25,20 @@
 
 /// Runs until another target than \p Old is primary.
 inline bool awaitNewPrimary(FakeCluster &Cluster, const std::string &Old,
-                            Millis Most = Millis(5000)) {
+                            Millis Timeout = Millis(5000)) {
   return Cluster.Loop.runUntilTrue(
       [&] {
         return Cluster.isWritable("bale-ledger-1") && primaryOf(Cluster) != Old;
       },
-      Most);
+      Timeout);
 }
 
 /// Asks again, as callers are told to, while the answer is "not run".
 inline CallerResponse sendWithRetries(FakeCluster &Cluster,
                                       const std::string &Proxy,
                                       const CallerRequest &Question,
-                                      Millis Most = Millis(10000)) {
-  const Millis End = Cluster.Loop.now() + Most;
+                                      Millis Timeout = Millis(10000)) {
+  const Millis End = Cluster.Loop.now() + Timeout;
   CallerResponse Out = Cluster.sendAndWait(Proxy, Question);
   while (Out.Outcome == "not-run" && Cluster.Loop.now() < End) {
     Cluster.Loop.runFor(Millis(100));
--- a/Tests/Support/FakeCluster.cpp
+++ b/Tests/Support/FakeCluster.cpp
@@ -246,10 +246,10 @@
     Request.Headers[caller_header::DeadlineMs] =
         std::to_string(Question.DeadlineMs);
   Request.Body = Question.Body;
-  constexpr Millis Patience(60000);
+  constexpr Millis Timeout(60000);
   auto Answer = std::make_shared<CallerResponse>();
   Connection.request(
-      std::move(Request), Patience,
+      std::move(Request), Timeout,
       [this, Answer](const Expected<HttpResponse> &Got) {
         Answer->Arrived = true;
         Answer->At = Loop.now();
@@ -278,9 +278,9 @@
 
 CallerResponse FakeCluster::sendOverAndWait(HttpConnection &Connection,
                                             const CallerRequest &Question,
-                                            Millis Most) {
+                                            Millis Timeout) {
   const auto Answer = sendOver(Connection, Question);
-  Loop.runUntilTrue([&] { return Answer->Arrived; }, Most);
+  Loop.runUntilTrue([&] { return Answer->Arrived; }, Timeout);
   return *Answer;
 }
 
--- a/Tests/Support/FakeCluster.h
+++ b/Tests/Support/FakeCluster.h
@@ -90,7 +90,7 @@
                                            const CallerRequest &Question);
   CallerResponse sendOverAndWait(HttpConnection &Connection,
                                  const CallerRequest &Question,
-                                 Millis Most = Millis(20000));
+                                 Millis Timeout = Millis(20000));
 
   FakeLoop Loop;
   FakeNetwork Net;
--- a/Tests/Support/FakeControlGroup.cpp
+++ b/Tests/Support/FakeControlGroup.cpp
@@ -159,8 +159,8 @@
 }
 
 bool FakeControlGroup::runUntil(const std::function<bool()> &Condition,
-                                Millis Most) {
-  for (const Millis Until = Now + Most; Now < Until;) {
+                                Millis Timeout) {
+  for (const Millis Until = Now + Timeout; Now < Until;) {
     if (Condition())
       return true;
     step();
--- a/Tests/Support/FakeControlGroup.h
+++ b/Tests/Support/FakeControlGroup.h
@@ -29,9 +29,9 @@
   /// a term has one leader, that all hosts apply the same entries and that
   /// confirmed reads are up to date. Throws with what was broken.
   void run(Millis Span);
-  /// Runs until the condition holds; false where it doesn't within \p Most.
+  /// Runs until the condition holds; false where it doesn't within \p Timeout.
   bool runUntil(const std::function<bool()> &Condition,
-                Millis Most = Millis(20000));
+                Millis Timeout = Millis(20000));
   /// Entries with the same index and term must be the same on all hosts.
   void checkLogs() const;
 
--- a/Tests/Unit/ManifestTruthTest.cpp
+++ b/Tests/Unit/ManifestTruthTest.cpp
@@ -73,8 +73,8 @@
   }
 
   bool waitFor(const std::function<bool()> &Condition,
-               Millis Most = Millis(20000)) {
-    return Cluster.Loop.runUntilTrue(Condition, Most);
+               Millis Timeout = Millis(20000)) {
+    return Cluster.Loop.runUntilTrue(Condition, Timeout);
   }
 
   std::string leaderName() { return Cluster.leader()->consensus().leader(); }
--- a/Tests/Unit/StatementDrainTest.cpp
+++ b/Tests/Unit/StatementDrainTest.cpp
@@ -30,8 +30,8 @@
   void drain() {
     Cluster.Proxies["entry-1"]->drain([this] { Done = true; });
   }
-  bool runUntilDone(Millis Most) {
-    return Cluster.Loop.runUntilTrue([this] { return Done; }, Most);
+  bool runUntilDone(Millis Timeout) {
+    return Cluster.Loop.runUntilTrue([this] { return Done; }, Timeout);
   }
 
   FakeCluster Cluster;
