--- a/Source/Rights/ConnectionDivision.cpp
+++ b/Source/Rights/ConnectionDivision.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How one target's connections are divided among the proxies that want them.
+/// Divides one target's connections among the proxies that request them.
 
 #include "Rights/ConnectionDivision.h"
 
--- a/Source/Rights/ConnectionDivision.h
+++ b/Source/Rights/ConnectionDivision.h
@@ -1,5 +1,5 @@
 /// \file
-/// How one target's connections are divided among the proxies that want them.
+/// Divides one target's connections among the proxies that request them.
 
 #ifndef CORIANDERDYKE_RIGHTS_CONNECTIONDIVISION_H
 #define CORIANDERDYKE_RIGHTS_CONNECTIONDIVISION_H
@@ -10,19 +10,21 @@
 
 namespace corianderdyke {
 
-/// One proxy's part in a division.
+/// One proxy's demand for a target's connections.
 struct ConnectionClaim {
   std::uint32_t Wanted = 0;
-  std::uint32_t Outstanding = 0; ///< What it may have open at the moment.
+  std::uint32_t Outstanding =
+      0; ///< Connections that it may have open at the moment.
 
   auto operator<=>(const ConnectionClaim &) const = default;
 };
 
-/// Max-min fair parts in whole connections, in the order of \p Claims: nobody
-/// gets more than it wants while another has less and wants more. Where there
-/// is one for each, everyone has one, so that a first statement needs no
-/// exchange with control. What doesn't divide stays with who has it: moving
-/// it back and forth would cost a new connection each time.
+/// Returns max-min fair shares in whole connections, in the order of
+/// \p Claims: no proxy gets more than it wants while another has less and wants
+/// more. If there are at least as many connections as proxies, each gets one,
+/// so that its first statement does not wait for the control leader. A
+/// remainder stays with the proxies that hold it, since moving it back and
+/// forth would open a new connection each time.
 std::vector<std::uint32_t>
 divideConnections(std::uint32_t Limit,
                   const std::vector<ConnectionClaim> &Claims);
--- a/Source/Rights/ConnectionLedger.cpp
+++ b/Source/Rights/ConnectionLedger.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The control leader's record of the connections that proxies may have open.
+/// The control leader's record of the connections granted to proxies.
 
 #include "Rights/ConnectionLedger.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-Millis longestRights(const ClusterView &View) {
+Millis maxRightsDuration(const ClusterView &View) {
   const std::uint32_t DriftPpm =
       View.CurrentManifest ? View.CurrentManifest->Failover.ClockDriftPpm : 0;
   return maxLeaseAcrossClocks(RightsDuration, DriftPpm);
@@ -22,8 +22,8 @@
   const TargetAnnouncement *Known = View.target(Target);
   if (Known == nullptr || !View.CurrentManifest)
     return 0;
-  // A leaving primary serves until another has taken its place. Without its
-  // connections even strict reads would wait for the end of the hand-over.
+  // A leaving primary serves until its successor is promoted. Without
+  // connections to it, even reads that need the primary would wait until then.
   const GroupRecord *Group = View.group(Known->Database);
   if (Known->Leaving && (Group == nullptr || Group->Primary != Target))
     return 0;
@@ -48,7 +48,7 @@
   AwaitedProxies.clear();
   for (const auto &[Id, Where] : View.Proxies)
     AwaitedProxies.insert(Id);
-  AwaitReportsUntil = Now + longestRights(View);
+  AwaitReportsUntil = Now + maxRightsDuration(View);
 }
 
 bool ConnectionLedger::isComplete(Millis Now) const {
@@ -72,12 +72,12 @@
 
 std::uint32_t ConnectionLedger::outstanding(const ProcessId &Proxy,
                                             const std::string &Target) const {
-  const auto Of = Holders.find(Proxy);
-  if (Of == Holders.end())
+  const auto Known = Holders.find(Proxy);
+  if (Known == Holders.end())
     return 0;
-  const auto Found = Of->second.Allocations.find(Target);
-  return Found == Of->second.Allocations.end() ? 0
-                                               : Found->second.outstanding();
+  const auto Found = Known->second.Allocations.find(Target);
+  return Found == Known->second.Allocations.end() ? 0
+                                                  : Found->second.outstanding();
 }
 
 void ConnectionLedger::expire(Millis Now) {
@@ -86,10 +86,11 @@
   });
 }
 
-void ConnectionLedger::applyReport(Holder &Of, const RightsRequest &Request) {
-  Of.LastSequence = Request.Sequence;
-  Of.Leaving = Request.Leaving;
-  for (auto &[Target, Each] : Of.Allocations) {
+void ConnectionLedger::applyReport(Holder &Sender,
+                                   const RightsRequest &Request) {
+  Sender.LastSequence = Request.Sequence;
+  Sender.Leaving = Request.Leaving;
+  for (auto &[Target, Each] : Sender.Allocations) {
     Each.Held = 0;
     Each.Wanted = 0;
     std::erase_if(Each.UnconfirmedGrants, [&Request](const auto &Grant) {
@@ -97,8 +98,8 @@
     });
   }
   for (const RightsDemand &Each : Request.Demands) {
-    Of.Allocations[Each.Target].Held = Each.Held;
-    Of.Allocations[Each.Target].Wanted = Each.Wanted;
+    Sender.Allocations[Each.Target].Held = Each.Held;
+    Sender.Allocations[Each.Target].Wanted = Each.Wanted;
   }
 }
 
@@ -120,21 +121,22 @@
                                            Found->second.outstanding()});
   }
   const std::vector<std::uint32_t> Parts = divideConnections(Limit, Claims);
-  const std::uint32_t Lent = outstanding(Target);
+  const std::uint32_t Granted = outstanding(Target);
   std::uint32_t Missing = 0;
   for (std::size_t Index = 0; Index < Claims.size(); ++Index)
     if (Parts[Index] > Claims[Index].Outstanding)
       Missing += Parts[Index] - Claims[Index].Outstanding;
-  const std::uint32_t Mine = Claims[Own].Outstanding;
-  const bool MayLend = isComplete(Now) && Lent < Limit;
-  const std::uint32_t Free = MayLend ? Limit - Lent : 0;
-  if (Parts[Own] >= Mine)
-    return Mine + std::min(Parts[Own] - Mine, Free);
-  // Idle connections are taken back only where another proxy needs them.
-  const std::uint32_t Over = Lent > Limit ? Lent - Limit : 0;
+  const std::uint32_t OwnOutstanding = Claims[Own].Outstanding;
+  const bool MayGrant = isComplete(Now) && Granted < Limit;
+  const std::uint32_t Free = MayGrant ? Limit - Granted : 0;
+  if (Parts[Own] >= OwnOutstanding)
+    return OwnOutstanding + std::min(Parts[Own] - OwnOutstanding, Free);
+  // Idle connections are reclaimed only if another proxy needs them.
+  const std::uint32_t Over = Granted > Limit ? Granted - Limit : 0;
   const std::uint32_t Needed =
       std::max(Missing - std::min(Missing, Free), Over);
-  return std::max(Parts[Own], Mine - std::min(Mine, Needed));
+  return std::max(Parts[Own],
+                  OwnOutstanding - std::min(OwnOutstanding, Needed));
 }
 
 std::optional<RightsGrant>
@@ -147,16 +149,16 @@
       Request.Proxy, Request.Sequence, Request.SentAt, Millis(), Term, {}};
   if (Request.LeaderTerm < Term)
     return Out;
-  Holder &Of = Holders[Request.Proxy];
-  if (Request.Sequence <= Of.LastSequence)
+  Holder &Sender = Holders[Request.Proxy];
+  if (Request.Sequence <= Sender.LastSequence)
     return std::nullopt;
   AwaitedProxies.erase(Request.Proxy);
-  applyReport(Of, Request);
-  Of.ExpiresAt = ReceivedAt + longestRights(View);
-  if (Of.Leaving)
+  applyReport(Sender, Request);
+  Sender.ExpiresAt = ReceivedAt + maxRightsDuration(View);
+  if (Sender.Leaving)
     return std::nullopt;
   Out.Duration = RightsDuration;
-  for (auto &[Target, Each] : Of.Allocations) {
+  for (auto &[Target, Each] : Sender.Allocations) {
     const std::uint32_t Connections =
         computeGrant(Request.Proxy, Target, limitOf(View, Target), ReceivedAt);
     Each.UnconfirmedGrants[Request.Sequence] = Connections;
--- a/Source/Rights/ConnectionRights.cpp
+++ b/Source/Rights/ConnectionRights.cpp
@@ -13,7 +13,7 @@
   RightsRequest Out{Self,         ++Sequence, Now, LeaderTerm,
                     AppliedGrant, Leaving,    {}};
   std::map<std::string, ConnectionUse> All = Use;
-  for (const auto &[Target, Connections] : Shares)
+  for (const auto &[Target, Connections] : AllocationByTarget)
     All.try_emplace(Target);
   std::map<std::string, std::uint32_t> Wanted;
   for (const auto &[Target, Each] : All) {
@@ -37,24 +37,24 @@
     return false;
   AppliedGrant = Grant.Sequence;
   End = Grant.SentAt + Grant.Duration;
-  Shares.clear();
+  AllocationByTarget.clear();
   for (const RightsAllocation &Each : Grant.Allocations)
-    Shares[Each.Target] = Each.Connections;
+    AllocationByTarget[Each.Target] = Each.Connections;
   return false;
 }
 
 void ConnectionRights::relinquish() {
   Leaving = true;
-  Shares.clear();
+  AllocationByTarget.clear();
   PreviouslyWanted.clear();
-  // No grant is taken any more, so none that is under way counts.
+  // Grants in flight are ignored from now on, so none needs to be counted.
   AppliedGrant = Sequence;
 }
 
 std::uint32_t ConnectionRights::limit(const std::string &Target,
                                       Millis Now) const {
-  const auto Found = Shares.find(Target);
-  return Now >= End || Found == Shares.end() ? 0 : Found->second;
+  const auto Found = AllocationByTarget.find(Target);
+  return Now >= End || Found == AllocationByTarget.end() ? 0 : Found->second;
 }
 
 } // namespace corianderdyke
--- a/Source/Rights/ConnectionRights.h
+++ b/Source/Rights/ConnectionRights.h
@@ -10,32 +10,34 @@
 
 namespace corianderdyke {
 
-/// What a proxy does with one target at the moment.
+/// A proxy's current use of one target's connections.
 struct ConnectionUse {
-  std::uint32_t Open = 0;   ///< Connections, also those being opened.
-  std::uint32_t Wanted = 0; ///< Statements sent and waiting.
+  std::uint32_t Open = 0;   ///< Connections, including those being opened.
+  std::uint32_t Wanted = 0; ///< Statements that are sent or waiting.
 
   auto operator<=>(const ConnectionUse &) const = default;
 };
 
-/// A right is a lease: it counts from the moment when its request was sent.
+/// Holds the proxy's rights to connections. A right is a lease that starts when
+/// its request is sent.
 class ConnectionRights {
 public:
   explicit ConnectionRights(ProcessId Self) : Self(std::move(Self)) {}
 
-  /// The next request, for the targets that are in use or wanted. What was
-  /// wanted since the last request but one counts, so that the pause between
-  /// two statements gives nothing back.
+  /// Returns the next request, for the targets that are in use or wanted. The
+  /// demand is the larger of this and the previous request's, so that a pause
+  /// between two statements returns no connection.
   RightsRequest request(const std::map<std::string, ConnectionUse> &Use,
                         Millis Now);
 
-  /// Takes a grant in; one for another life of this proxy, of an earlier
-  /// leader or out of order is ignored. True where the next request should
-  /// be sent at once: a new leader waits for a report in its term.
+  /// Applies a grant; ignores it if it is for another incarnation of this
+  /// proxy, from an earlier leader or out of order. Returns true if the next
+  /// request should be sent at once, because a new leader waits for a report in
+  /// its term.
   bool apply(const RightsGrant &Grant);
 
-  /// The proxy stops: it opens nothing any more, and its requests give back
-  /// what isn't open.
+  /// Prepares for a stop: the proxy opens no further connections, and its
+  /// requests return the rights to connections that are not open.
   void relinquish();
 
   /// Connections that may be open to a target now.
@@ -44,7 +46,7 @@
   const ProcessId &id() const { return Self; }
   Millis end() const { return End; }
   const std::map<std::string, std::uint32_t> &allocations() const {
-    return Shares;
+    return AllocationByTarget;
   }
 
 private:
@@ -54,7 +56,7 @@
   std::uint64_t AppliedGrant = 0;
   bool Leaving = false;
   Millis End = Millis(-1);
-  std::map<std::string, std::uint32_t> Shares;
+  std::map<std::string, std::uint32_t> AllocationByTarget;
   std::map<std::string, std::uint32_t> PreviouslyWanted;
 };
 
--- a/Source/Rights/Messages.h
+++ b/Source/Rights/Messages.h
@@ -1,5 +1,5 @@
 /// \file
-/// What proxies and control tell each other about connection rights.
+/// Messages between proxies and control hosts about connection rights.
 
 #ifndef CORIANDERDYKE_RIGHTS_MESSAGES_H
 #define CORIANDERDYKE_RIGHTS_MESSAGES_H
@@ -11,18 +11,18 @@
 
 namespace corianderdyke {
 
-/// How long a right to connections lasts without being renewed. A dead
-/// proxy's connections stay unused for this long; a control group that is
-/// gone for less than this costs no connection. An election takes well under
-/// a second, a restarted control process a few.
+/// How long a right to connections lasts without renewal. The connections of a
+/// crashed proxy stay unused for this long; a shorter outage of the control
+/// group costs no connection. An election takes well under a second, a restart
+/// of a control process a few seconds.
 constexpr Millis RightsDuration(10000);
 
-/// One target, as its user sees it.
+/// One proxy's use of and demand for a target's connections.
 struct RightsDemand {
   std::string Target;
   /// Connections that the proxy may open or still has open.
   std::uint32_t Held = 0;
-  /// Connections that it could use: statements sent and waiting.
+  /// Connections that it could use: statements that are sent or waiting.
   std::uint32_t Wanted = 0;
 
   auto operator<=>(const RightsDemand &) const = default;
@@ -31,17 +31,17 @@
   }
 };
 
-/// Renews rights and asks for more. Targets that aren't listed are neither
+/// Renews rights and requests more. Targets that are not listed are neither
 /// held nor wanted.
 struct RightsRequest {
   ProcessId Proxy;
   std::uint64_t Sequence = 0;
-  Millis SentAt; ///< By the proxy's clock; echoed and not interpreted.
+  Millis SentAt; ///< By the proxy's clock; echoed, not interpreted.
   /// Term of the leader whose grants the proxy follows.
   std::uint64_t LeaderTerm = 0;
   /// The last grant that is contained in Held.
   std::uint64_t AppliedGrant = 0;
-  /// The proxy stops and takes no grant any more.
+  /// The proxy is stopping and applies no further grants.
   bool Leaving = false;
   std::vector<RightsDemand> Demands;
 
@@ -61,11 +61,11 @@
   }
 };
 
-/// Connections that the proxy may have open, counted from SentAt by its own
-/// clock. With no duration it only names the new leader's term.
+/// Connections that the proxy may have open for Duration from SentAt, by its
+/// own clock. A zero duration only announces the new leader's term.
 struct RightsGrant {
   ProcessId Proxy;
-  std::uint64_t Sequence = 0; ///< Of the request that it answers.
+  std::uint64_t Sequence = 0; ///< Of the request that this answers.
   Millis SentAt;
   Millis Duration;
   std::uint64_t LeaderTerm = 0;
