--- a/Source/Routing/Router.h
+++ b/Source/Routing/Router.h
@@ -18,7 +18,8 @@
   Access Mode = Access::Read;
   Millis AcceptedAge;
   std::optional<SessionFloor> Floor;
-  /// Some floor of the session gave way: only the primary is safe.
+  /// The session token dropped a floor, so only the primary is known to have
+  /// the session's writes.
   bool PrimaryOnly = false;
   /// Replicas that failed this statement before.
   std::set<std::string> ExcludedTargets = {};
@@ -34,18 +35,18 @@
   auto operator<=>(const Route &) const = default;
 };
 
-/// Statements that this proxy has under way at a target, and that wait here
+/// Returns the number of this proxy's statements that run at a target or wait
 /// for one of its connections.
 using LoadFunction = std::function<std::size_t(const std::string &Target)>;
 
 /// Chooses a target. A read goes to the least loaded replica that is fresh
-/// enough for its kind and for the session, else to the primary. Without
-/// that preference browsing would crowd the primary, on which every write
-/// and every read of a session's own fresh writes depends.
+/// enough for its kind and for the session, otherwise to the primary. Without
+/// this preference, reads that accept older data would overload the primary,
+/// on which all writes and all reads of a session's latest writes depend.
 ///
 /// NotFound for an unknown database; Conflict where the session's last write
 /// was lost in a failover that the manifest allowed; Unavailable where no
-/// target fits now.
+/// target is suitable at the moment.
 Expected<Route> route(const ClusterView &View, const TargetTable &Table,
                       const RouteQuery &Query, const LoadFunction &Load,
                       Millis Now);
--- a/Source/Routing/TargetTable.cpp
+++ b/Source/Routing/TargetTable.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a proxy knows of the targets: reach, terms, positions and ages.
+/// A proxy's observations of targets: reachability, terms, positions and ages.
 
 #include "Routing/TargetTable.h"
 
@@ -11,11 +11,12 @@
 namespace {
 
 constexpr std::size_t MaxSamples = 512;
-/// Samples closer than this are left out. That only makes ages look higher.
+/// Samples closer together than this are skipped, which can only overestimate
+/// an age.
 constexpr Millis SampleSpacing(5);
 
-/// On joining a term a target drops what it held beyond the fork, so that its
-/// position may go down then.
+/// Compares the term first: a target that joins a term truncates its log at
+/// the fork, so its position may decrease then.
 bool isOlder(const TargetObservation &Left, const TargetObservation &Right) {
   return std::tuple(Left.Term, !Left.IsFenced, Left.Position) <
          std::tuple(Right.Term, !Right.IsFenced, Right.Position);
@@ -29,7 +30,8 @@
                                                 : std::next(Each);
   for (const auto &[Name, Target] : View.Targets) {
     const auto [Entry, New] = Targets.try_emplace(Name);
-    // A new announcement is a new life: it may have lost its log.
+    // A new announcement means that the target restarted and may have lost its
+    // log.
     if (!New && Entry->second.Sequence != Target.Sequence)
       Entry->second = TargetState{};
     if (New || Entry->second.Sequence != Target.Sequence)
@@ -48,27 +50,29 @@
   TargetState &Entry = Found->second;
   Entry.ConnectionRefused = false;
   Entry.LastAnswer = std::max(Entry.LastAnswer, Now);
-  const bool Moved =
+  const bool HasAdvanced =
       !Entry.IsObserved || isOlder(Entry.LastObservation, Observation);
-  // Answers on two connections may cross. A life of a target goes back
-  // neither in term nor, once it has joined the term, in position.
+  // Answers on two connections may arrive out of order. Until a target
+  // restarts, neither its term nor, after it has joined the term, its position
+  // decreases.
   if (!Entry.IsObserved || !isOlder(Observation, Entry.LastObservation))
     Entry.LastObservation = Observation;
   Entry.IsObserved = true;
-  updateProgress(Entry, Moved, Now);
+  updateProgress(Entry, HasAdvanced, Now);
   if (Observation.IsPrimary)
     addSample(Databases[Entry.Database], Observation.Term,
               {AskedAt, Observation.Position});
 }
 
-void TargetTable::updateProgress(TargetState &Of, bool Moved, Millis Now) {
-  const PositionHistory &Primary = Databases[Of.Database];
-  const bool Behind = Of.LastObservation.Term != Primary.Term ||
-                      Of.LastObservation.Position < Primary.Position;
-  if (!Behind)
-    Of.StalledSince.reset();
-  else if (Moved || !Of.StalledSince)
-    Of.StalledSince = Now;
+void TargetTable::updateProgress(TargetState &Entry, bool HasAdvanced,
+                                 Millis Now) {
+  const PositionHistory &Primary = Databases[Entry.Database];
+  const bool IsBehind = Entry.LastObservation.Term != Primary.Term ||
+                        Entry.LastObservation.Position < Primary.Position;
+  if (!IsBehind)
+    Entry.StalledSince.reset();
+  else if (HasAdvanced || !Entry.StalledSince)
+    Entry.StalledSince = Now;
 }
 
 bool TargetTable::isStalled(const std::string &Primary,
@@ -85,33 +89,34 @@
         Now - *Each.StalledSince < SuspectAfter * StallTimeoutFactor)
       ++Copying;
   }
-  // Where too few answer, another primary couldn't acknowledge either.
+  // If too few targets answer, another primary could not acknowledge writes
+  // either.
   return Copying < Policy.AcknowledgedCopies &&
          Answering >= Policy.AcknowledgedCopies;
 }
 
-void TargetTable::addSample(PositionHistory &Of, std::uint64_t Term,
+void TargetTable::addSample(PositionHistory &History, std::uint64_t Term,
                             const Sample &New) {
-  if (Term < Of.Term)
+  if (Term < History.Term)
     return;
-  if (Term > Of.Term) {
-    Of.Term = Term;
-    Of.Position = 0;
-    Of.Samples.clear();
+  if (Term > History.Term) {
+    History.Term = Term;
+    History.Position = 0;
+    History.Samples.clear();
   }
-  Of.Position = std::max(Of.Position, New.Position);
-  if (Of.Samples.empty()) {
-    Of.Samples.push_back(New);
+  History.Position = std::max(History.Position, New.Position);
+  if (History.Samples.empty()) {
+    History.Samples.push_back(New);
     return;
   }
-  Sample &Last = Of.Samples.back();
+  Sample &Last = History.Samples.back();
   if (New.Position == Last.Position)
     Last.AskedAt = std::max(Last.AskedAt, New.AskedAt);
   else if (New.Position > Last.Position &&
            New.AskedAt >= Last.AskedAt + SampleSpacing)
-    Of.Samples.push_back(New);
-  if (Of.Samples.size() > MaxSamples)
-    Of.Samples.pop_front();
+    History.Samples.push_back(New);
+  if (History.Samples.size() > MaxSamples)
+    History.Samples.pop_front();
 }
 
 void TargetTable::markRefused(const std::string &Target) {
@@ -167,10 +172,10 @@
 
 std::size_t TargetTable::countCopies(const GroupRecord &Group,
                                      std::uint64_t Position) const {
-  // A former primary that was fenced and not yet told whom to follow reports
-  // the new term with the end of its own log. Counted as a copy, it would let
-  // a caller be told of a write that the next failover loses. The write itself
-  // may be of an earlier term, when its key was sent again.
+  // A former primary that is fenced but does not follow the new primary yet
+  // reports the new term with the end of its own log. Counting it as a copy
+  // could acknowledge a write that the next failover loses. The write itself
+  // may be of an earlier term if its idempotency key was sent again.
   std::size_t Count = 0;
   for (const auto &[Name, Each] : Targets)
     if (Each.Database == Group.Database &&
--- a/Source/Routing/TargetTable.h
+++ b/Source/Routing/TargetTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a proxy knows of the targets: reach, terms, positions and ages.
+/// A proxy's observations of targets: reachability, terms, positions and ages.
 
 #ifndef CORIANDERDYKE_ROUTING_TARGETTABLE_H
 #define CORIANDERDYKE_ROUTING_TARGETTABLE_H
@@ -12,65 +12,66 @@
 
 namespace corianderdyke {
 
-/// What a target said of itself in an answer.
+/// The state that a target reports in an answer.
 struct TargetObservation {
   std::uint64_t Term = 0;
   /// Term of the last entry of its log.
   std::uint64_t LogTerm = 0;
   std::uint64_t Position = 0;
   bool IsPrimary = false;
-  /// It obeys the term but wasn't promoted and follows nobody in it: what its
-  /// log holds may be no part of the term's log.
+  /// True if the target has accepted the term but neither was promoted nor
+  /// follows a primary in it. Its log may differ from the log of the term.
   bool IsFenced = false;
 
   auto operator<=>(const TargetObservation &) const = default;
 };
 
-/// The age of a replica's data is worked out without anyone's wall clock:
-/// when the primary was asked at time T and answered with position P, then a
-/// replica at P or later shows everything that was written before T.
+/// Computes the age of a replica's data without wall clocks: if a request sent
+/// to the primary at time T was answered with position P, a replica at P or
+/// later contains everything that was written before T.
 class TargetTable {
 public:
-  /// Takes in the targets of a view; those that are gone are forgotten.
+  /// Applies the targets of a view and removes targets that are not in it.
   void update(const ClusterView &View, Millis Now);
 
-  /// An answer to a question that was sent at \p AskedAt.
+  /// Applies an answer to a request that was sent at \p AskedAt.
   void observe(const std::string &Target, const TargetObservation &Observation,
                Millis AskedAt, Millis Now);
 
-  /// The target refused a connection: no process listens there.
+  /// Records that the target refused a connection: no process listens there.
   void markRefused(const std::string &Target);
 
   bool isReachable(const std::string &Target, Millis SuspectAfter,
                    Millis Now) const;
 
-  /// Targets that can't be reached now.
+  /// Targets that are not reachable at \p Now.
   std::set<std::string> unreachable(Millis SuspectAfter, Millis Now) const;
 
-  /// What is seen of all targets; nothing before the first manifest.
+  /// Reports on all targets; empty before the first manifest.
   std::vector<TargetReport> reports(const ClusterView &View, Millis Now) const;
-  /// Of those, the targets in trouble: what control is told.
+  /// The reports on unhealthy targets, which are sent to the control leader.
   std::vector<TargetReport> unhealthyReports(const ClusterView &View,
                                              Millis Now) const;
 
-  /// True where a primary is ahead of replicas that answer but took nothing
-  /// for long, so that no write can be acknowledged. A replica that lags far
-  /// and still takes something counts as copying.
+  /// True if a primary is ahead of replicas that answer but have made no
+  /// progress for long, so that no write can be acknowledged. A replica that
+  /// lags far behind but still makes progress counts as copying.
   bool isStalled(const std::string &Primary, const DatabasePolicy &Policy,
                  Millis SuspectAfter, Millis Now) const;
 
-  /// Replicas that take nothing are borne this many times SuspectAfter: 3.2 s
-  /// with the default, less than a write's usual deadline and well above the
-  /// pauses of a replica that applies what it got in large pieces.
+  /// Replicas without progress are tolerated for this many times SuspectAfter:
+  /// 3.2 s with the default, which is less than a write's usual deadline and
+  /// well above the pauses of a replica that applies its log in large batches.
   static constexpr std::int64_t StallTimeoutFactor = 8;
 
-  /// How many targets of a group hold the write at \p Position of its log.
+  /// Counts the targets of a group that have the write at \p Position of its
+  /// log.
   std::size_t countCopies(const GroupRecord &Group,
                           std::uint64_t Position) const;
 
-  /// How old the target's data may be at the most; nothing where that can't
-  /// be told. A target of another term than the group's has no age, nor one
-  /// whose log isn't part of the group's: it follows a fork.
+  /// An upper bound on the age of the target's data, or nothing if unknown. It
+  /// is unknown if the target's term differs from the group's, or if its log
+  /// has forked from the group's log.
   std::optional<Millis> age(const std::string &Target, const GroupRecord &Group,
                             Millis Now) const;
 
@@ -85,11 +86,11 @@
     bool IsObserved = false;
     bool ConnectionRefused = false;
     Millis LastAnswer;
-    /// Since when it has been behind the primary without taking anything.
+    /// Since when it has been behind the primary without progress.
     std::optional<Millis> StalledSince;
   };
 
-  /// The primary's position was at most Position when it was asked.
+  /// The primary's position was at most Position at AskedAt.
   struct Sample {
     Millis AskedAt;
     std::uint64_t Position = 0;
@@ -97,12 +98,13 @@
 
   struct PositionHistory {
     std::uint64_t Term = 0;
-    std::uint64_t Position = 0; ///< The highest that the primary told.
-    std::deque<Sample> Samples; ///< Rising in both members.
+    std::uint64_t Position = 0; ///< The highest that the primary reported.
+    std::deque<Sample> Samples; ///< Ascending in both members.
   };
 
-  void updateProgress(TargetState &Of, bool Moved, Millis Now);
-  void addSample(PositionHistory &Of, std::uint64_t Term, const Sample &New);
+  void updateProgress(TargetState &Entry, bool HasAdvanced, Millis Now);
+  void addSample(PositionHistory &History, std::uint64_t Term,
+                 const Sample &New);
 
   std::map<std::string, TargetState> Targets;
   std::map<std::string, PositionHistory> Databases;
