--- a/Source/Session/SessionToken.cpp
+++ b/Source/Session/SessionToken.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a caller carries from request to request.
+/// The session token that a caller sends with each request.
 
 #include "Session/SessionToken.h"
 
@@ -36,7 +36,7 @@
                                     return Each.Database == New.Database;
                                   });
   if (Known != Out.Floors.end()) {
-    // Answers may come back in another order than the writes ran.
+    // Answers may arrive in another order than the writes ran in.
     New = std::max(New, *Known);
     Out.Floors.erase(Known);
   }
@@ -58,8 +58,8 @@
   if (Text.empty())
     return SessionToken();
   const auto Bytes = decodeBase64Url(Text);
-  // The text's last character has bits that stand for nothing; a token with
-  // others there isn't one that was given out.
+  // The last base64 character has unused bits. Texts that differ from the
+  // canonical encoding in them were not issued by a proxy.
   if (!Bytes || encodeBase64Url(*Bytes) != Text ||
       Bytes->size() < TruncatedHmacBytes ||
       !equalsInConstantTime(
--- a/Source/Session/SessionToken.h
+++ b/Source/Session/SessionToken.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a caller carries from request to request so that it reads its own
-/// writes at any proxy.
+/// The session token that a caller sends with each request so that it reads
+/// its own writes at any proxy.
 
 #ifndef CORIANDERDYKE_SESSION_SESSIONTOKEN_H
 #define CORIANDERDYKE_SESSION_SESSIONTOKEN_H
@@ -26,23 +26,23 @@
   }
 };
 
-/// A bounded set of floors, the last written database last. When more
-/// databases are touched than it holds, the oldest floor gives way and
-/// IsPartial is set: databases that aren't listed are then read from their
-/// primary, which has every acknowledged write.
+/// A bounded set of floors; the most recently written database comes last. If
+/// a session writes to more databases than the token can hold, the oldest floor
+/// is dropped and isPartial() returns true. Databases without a floor are then
+/// read from their primary, which has every acknowledged write.
 class SessionToken {
 public:
   static constexpr std::size_t MaxFloors = 8;
 
-  /// The floor for a database; nothing where the session wrote nothing there
-  /// or the floor gave way (see isPartial).
+  /// The floor for a database; nothing if the session wrote nothing there or
+  /// the floor was dropped (see isPartial()).
   std::optional<SessionFloor> floor(const std::string &Database) const;
 
-  /// The token after a write was acknowledged.
+  /// Returns the token after an acknowledged write.
   SessionToken withWrite(const std::string &Database, std::uint64_t Term,
                          std::uint64_t Position) const;
 
-  /// True where some floor gave way.
+  /// True if a floor was dropped.
   bool isPartial() const { return Partial; }
 
   auto operator<=>(const SessionToken &) const = default;
@@ -53,11 +53,11 @@
   bool Partial = false;
 };
 
-/// The token as text, sealed with \p Key.
+/// Encodes the token as text and signs it with \p Key.
 std::string signToken(const SessionToken &Token, const std::string &Key);
 
-/// The token in \p Text; BadInput where it was altered or cut. The empty
-/// text is a new session.
+/// Decodes \p Text and verifies its signature; BadInput if it was altered or
+/// truncated. An empty text is a new session.
 Expected<SessionToken> verifyToken(const std::string &Text,
                                    const std::string &Key);
 
