--- a/Source/Admission/AdmissionController.cpp
+++ b/Source/Admission/AdmissionController.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Admission of one database's requests at one proxy.
+/// Admission control for one database's requests at one proxy.
 
 #include "Admission/AdmissionController.h"
 
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// A request is let in, and later sent, only where this many times its
-/// estimated time fits. The estimate moves with each answer; without the
-/// margin the queue of a flooding organisation reaches up to the deadline
-/// itself, and whoever falls to the noise is refused after waiting for most
-/// of it, or sent and answered too late.
-constexpr double Margin = 4.0 / 3.0;
+/// A request is admitted, and later sent, only if this many times its estimated
+/// time fits before its deadline. The estimate changes with each answer.
+/// Without the margin, the queue of an overloading organisation fills up to the
+/// deadline, and estimation errors cause requests to be refused after most of
+/// their wait, or to be sent and answered too late.
+constexpr double EstimateMargin = 4.0 / 3.0;
 
-double span(Millis From, Millis To) {
+double millisBetween(Millis From, Millis To) {
   return static_cast<double>((To - From).count());
 }
 
@@ -57,26 +57,26 @@
 Refusal AdmissionController::refuse(QueuedRequest Request, RefusalReason Reason,
                                     double Wait, Millis Now) {
   ++counterOf(Counts, Reason);
-  const double Pace =
+  const double Interval =
       Request.Cost / (static_cast<double>(LastConcurrency) *
                       Discipline->expectedShare(Request.Organisation));
   const Millis RetryAfter =
-      RetryTimes.reserve(Request.Organisation, Wait, Pace, Now);
+      RetryTimes.reserve(Request.Organisation, Wait, Interval, Now);
   return {std::move(Request), Reason, RetryAfter};
 }
 
 std::optional<Refusal>
 AdmissionController::refuseOnArrival(const QueuedRequest &Request, Millis Now) {
-  // With nothing running the estimate may be as old as the last overload.
-  // Whoever comes then is let through, else nobody would ever correct it.
+  // If nothing is running, the estimate may date from the last overload. The
+  // request is admitted, since only its answer can correct the estimate.
   if (Running == 0 && Discipline->size() == 0)
     return std::nullopt;
   const double Wait =
       estimatedWait(Discipline->costAhead(Request.Organisation, Request.Kind));
-  const double Late =
-      (Wait + Request.Cost) * Margin - span(Now, Request.DeadlineAt);
-  if (Late > 0)
-    return refuse(Request, RefusalReason::DeadlineOutOfReach, Late, Now);
+  const double Lateness = (Wait + Request.Cost) * EstimateMargin -
+                          millisBetween(Now, Request.DeadlineAt);
+  if (Lateness > 0)
+    return refuse(Request, RefusalReason::DeadlineOutOfReach, Lateness, Now);
   return std::nullopt;
 }
 
@@ -84,7 +84,7 @@
                                                 Millis Now) {
   ++Counts.Arrived;
   Request.ArrivedAt = Now;
-  Request.Cost = Costs.holdTime(Request.Kind);
+  Request.Cost = HoldTimes.holdTime(Request.Kind);
   std::vector<Refusal> Out;
   if (auto Refused = refuseOnArrival(Request, Now)) {
     Out.push_back(std::move(*Refused));
@@ -111,13 +111,14 @@
 AdmissionController::next(const QueueDiscipline::RunnablePredicate &CanRun,
                           Millis Now, std::vector<Refusal> &GivenUp) {
   while (auto Found = Discipline->pop(CanRun)) {
-    const double Left = span(Now, Found->DeadlineAt);
+    const double Remaining = millisBetween(Now, Found->DeadlineAt);
     const bool TooLate =
-        Left <= 0 ||
-        (Running > 0 && Costs.holdTime(Found->Kind) * Margin > Left);
+        Remaining <= 0 ||
+        (Running > 0 &&
+         HoldTimes.holdTime(Found->Kind) * EstimateMargin > Remaining);
     if (TooLate) {
-      // Sending it would spend a connection on an answer that nobody waits
-      // for any more.
+      // Sending it would occupy a connection for an answer that comes after the
+      // deadline.
       Discipline->complete(*Found, 0);
       GivenUp.push_back(
           refuse(std::move(*Found), RefusalReason::GivenUp, 0, Now));
@@ -139,24 +140,25 @@
   if (Running > 0)
     --Running;
   if (Spent)
-    Costs.observe(Request.Kind, *Spent);
+    HoldTimes.observe(Request.Kind, *Spent);
   Discipline->complete(Request, Spent.value_or(0));
 }
 
 std::vector<Refusal> AdmissionController::shedUnservable(Millis Now) {
   std::vector<Refusal> Out;
   for (const auto &Each : Discipline->waiting()) {
-    // What waits was estimated on arrival; the pace of now decides.
-    const double Cost = Costs.holdTime(Each.Request.Kind);
+    // The cost was estimated on arrival; the current estimate decides.
+    const double Cost = HoldTimes.holdTime(Each.Request.Kind);
     const double Wait =
         estimatedWait(Each.CostAhead) * Cost / Each.Request.Cost;
-    const double Late = Wait + Cost - span(Now, Each.Request.DeadlineAt);
+    const double Lateness =
+        Wait + Cost - millisBetween(Now, Each.Request.DeadlineAt);
     const bool Overdue = Each.Request.DeadlineAt <= Now;
-    if (!Overdue && (Late <= 0 || Running == 0))
+    if (!Overdue && (Lateness <= 0 || Running == 0))
       continue;
     if (Discipline->remove(Each.Request.Id))
       Out.push_back(refuse(Each.Request, RefusalReason::GivenUp,
-                           std::max(Late, 0.0), Now));
+                           std::max(Lateness, 0.0), Now));
   }
   return Out;
 }
--- a/Source/Admission/AdmissionController.h
+++ b/Source/Admission/AdmissionController.h
@@ -1,20 +1,20 @@
 /// \file
-/// Admission of one database's requests at one proxy: who waits, who is
-/// refused and when they may come back.
+/// Admission control for one database's requests at one proxy: decides which
+/// requests wait, which are refused and when their callers may retry.
 ///
-/// Load pattern: a burst, or lasting load of twice the capacity. Without this
-/// module the queue grows until everything in it is served too late: the
-/// database is busy and no caller gets an answer in time.
+/// During a burst, or under sustained load of twice the capacity, an unbounded
+/// queue grows until every request in it is served too late: the database is
+/// busy and no caller gets an answer in time.
 ///
-/// A request is refused on arrival where the estimated wait and its own cost
-/// reach past its deadline. By Little's law the wait is the cost ahead
-/// divided by the statements that run at a time, whatever the targets' own
-/// parallelism is, because cost is measured from sending to answer. Where the
-/// pace falls afterwards (a slow target), those that can't be served any more
-/// get their answer at once instead of at their deadline.
+/// A request is refused on arrival if the estimated wait plus its own cost
+/// exceeds its deadline. By Little's law the wait is the cost ahead divided by
+/// the number of statements running at a time, whatever the targets' own
+/// parallelism is, because cost is measured from sending to answer. If the
+/// service rate drops later (a slow target), requests that can no longer be
+/// served in time are refused at once instead of at their deadline.
 ///
-/// Reads and writes have a controller each: they wait for different targets,
-/// and an organisation's browsing is no reason to hold up its writes.
+/// Reads and writes have separate controllers: they wait for different targets,
+/// and an organisation's reads must not delay its writes.
 
 #ifndef CORIANDERDYKE_ADMISSION_ADMISSIONCONTROLLER_H
 #define CORIANDERDYKE_ADMISSION_ADMISSIONCONTROLLER_H
@@ -28,16 +28,17 @@
 namespace corianderdyke {
 
 enum class RefusalReason : std::uint8_t {
-  DeadlineOutOfReach, ///< Couldn't be served in time on arrival.
+  DeadlineOutOfReach, ///< On arrival, the estimated wait exceeded the deadline.
   QueueFull,
-  Displaced, ///< Gave way to an organisation that uses less of the queue.
-  GivenUp,   ///< The pace fell while it waited.
+  Displaced, ///< Evicted for an organisation that uses less of the queue.
+  GivenUp,   ///< Could not be served in time any more while it waited.
 };
 
-/// The reason as callers are told it.
+/// The text of the reason in replies to callers.
 std::string refusalText(RefusalReason Reason);
 
-/// The caller gets this as "not run": nothing was sent to a target.
+/// A request that was refused. The caller's outcome is "not-run": nothing was
+/// sent to a target.
 struct Refusal {
   QueuedRequest Request;
   RefusalReason Reason = RefusalReason::QueueFull;
@@ -54,7 +55,7 @@
   std::uint64_t QueueFull = 0;
   std::uint64_t Displaced = 0;
   std::uint64_t GivenUp = 0;
-  /// Over all that were sent.
+  /// Sum over all requests that were sent.
   Millis TotalWait;
   Millis LongestWait;
 
@@ -63,31 +64,31 @@
 
 class AdmissionController {
 public:
-  AdmissionController(std::unique_ptr<QueueDiscipline> Order,
+  AdmissionController(std::unique_ptr<QueueDiscipline> Discipline,
                       std::size_t QueueLimit, std::uint64_t Seed)
-      : Discipline(std::move(Order)), QueueLimit(QueueLimit), RetryTimes(Seed) {
-  }
+      : Discipline(std::move(Discipline)), QueueLimit(QueueLimit),
+        RetryTimes(Seed) {}
 
   void setQueueLimit(std::size_t Limit) { QueueLimit = Limit; }
 
-  /// Takes a request in. The refusals that follow: its own, or that of one
-  /// which it displaces.
+  /// Queues a request. Returns the resulting refusals: its own, or that of a
+  /// request that it displaces.
   std::vector<Refusal> admit(QueuedRequest Request, Millis Now);
 
-  /// The next request to send now; it runs until complete() is told. Those
-  /// that are given up on the way are added to \p GivenUp.
+  /// Returns the next request to send; it counts as running until complete() is
+  /// called. Requests that are too late to send are added to \p GivenUp.
   std::optional<QueuedRequest>
   next(const QueueDiscipline::RunnablePredicate &CanRun, Millis Now,
        std::vector<Refusal> &GivenUp);
 
-  /// A request of next() holds no connection any more. \p Spent is the time
-  /// from its sending to its answer, nothing where it wasn't sent.
+  /// Records that a request from next() has released its connection. \p Spent
+  /// is the time from sending to answer, nothing if it was not sent.
   void complete(const QueuedRequest &Request, std::optional<double> Spent);
 
-  /// Gives up those that can't be served in time any more.
+  /// Removes and returns the requests that can no longer be served in time.
   std::vector<Refusal> shedUnservable(Millis Now);
 
-  /// The caller has left.
+  /// Removes a waiting request whose caller has disconnected.
   bool remove(std::uint64_t Id) { return Discipline->remove(Id).has_value(); }
 
   std::size_t queued() const { return Discipline->size(); }
@@ -106,11 +107,11 @@
 
   std::unique_ptr<QueueDiscipline> Discipline;
   std::size_t QueueLimit;
-  HoldTimeEstimate Costs;
+  HoldTimeEstimate HoldTimes;
   RetrySchedule RetryTimes;
   AdmissionCounts Counts;
   std::size_t Running = 0;
-  /// The last number of running ones that wasn't 0.
+  /// The last number of running requests that was not 0.
   std::size_t LastConcurrency = 1;
 };
 
--- a/Source/Admission/DatabaseQueues.cpp
+++ b/Source/Admission/DatabaseQueues.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The queues of a proxy.
+/// The request queues of a proxy, by database and access mode.
 
 #include "Admission/DatabaseQueues.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-WeightFunction lookUp(const std::map<std::string, double> &In) {
+WeightFunction weightLookup(const std::map<std::string, double> &In) {
   return [&In](const std::string &Name) {
     const auto Found = In.find(Name);
     return Found == In.end() ? 1.0 : Found->second;
@@ -26,15 +26,16 @@
   for (const RequestKindPolicy &Each : Current.Kinds)
     Weights[Each.Name] = Each.Weight;
   QueueLimit = Current.Limits.QueuePerDatabase;
-  for (auto &[Where, Each] : Controllers)
+  for (auto &[Key, Each] : Controllers)
     Each->setQueueLimit(QueueLimit);
 }
 
-AdmissionController &DatabaseQueues::controller(const QueueKey &Where) {
-  std::unique_ptr<AdmissionController> &Found = Controllers[Where];
+AdmissionController &DatabaseQueues::controller(const QueueKey &Key) {
+  std::unique_ptr<AdmissionController> &Found = Controllers[Key];
   if (!Found)
     Found = std::make_unique<AdmissionController>(
-        std::make_unique<FairQueue>(lookUp(Shares), lookUp(Weights)),
+        std::make_unique<FairQueue>(weightLookup(Shares),
+                                    weightLookup(Weights)),
         QueueLimit, Seed + Controllers.size());
   return *Found;
 }
@@ -46,12 +47,12 @@
 
 std::vector<Refusal> DatabaseQueues::admit(const AdmissionRequest &Request,
                                            Millis Now) {
-  const QueueKey Where(Request.Database, Request.Mode);
-  Requests[Request.Id] = {Where, std::nullopt, Millis()};
+  const QueueKey Key(Request.Database, Request.Mode);
+  Requests[Request.Id] = {Key, std::nullopt, Millis()};
   auto Refused =
-      controller(Where).admit({Request.Id, Request.Organisation, Request.Kind,
-                               Now, Request.DeadlineAt, 0, 0},
-                              Now);
+      controller(Key).admit({Request.Id, Request.Organisation, Request.Kind,
+                             Now, Request.DeadlineAt, 0, 0},
+                            Now);
   forget(Refused);
   return Refused;
 }
@@ -70,9 +71,9 @@
     forget(GivenUp);
     if (!Next)
       continue;
-    RequestState &Of = Requests[Next->Id];
-    Of.Running = *Next;
-    Of.SentAt = Now;
+    RequestState &State = Requests[Next->Id];
+    State.Running = *Next;
+    State.SentAt = Now;
     return Next->Id;
   }
   return std::nullopt;
@@ -82,23 +83,23 @@
   const auto Found = Requests.find(Id);
   if (Found == Requests.end())
     return;
-  const RequestState Of = std::move(Found->second);
+  const RequestState State = std::move(Found->second);
   Requests.erase(Found);
-  AdmissionController &From = controller(Of.Queue);
-  if (!Of.Running) {
+  AdmissionController &From = controller(State.Queue);
+  if (!State.Running) {
     From.remove(Id);
     return;
   }
   std::optional<double> Spent;
   if (IsAnswered)
     Spent = static_cast<double>(
-        std::max((Now - Of.SentAt).count(), std::int64_t(1)));
-  From.complete(*Of.Running, Spent);
+        std::max((Now - State.SentAt).count(), std::int64_t(1)));
+  From.complete(*State.Running, Spent);
 }
 
 std::vector<Refusal> DatabaseQueues::shedUnservable(Millis Now) {
   std::vector<Refusal> Out;
-  for (auto &[Where, Each] : Controllers)
+  for (auto &[Key, Each] : Controllers)
     for (Refusal &One : Each->shedUnservable(Now))
       Out.push_back(std::move(One));
   forget(Out);
@@ -113,8 +114,8 @@
 
 std::vector<QueueStatus> DatabaseQueues::status() const {
   std::vector<QueueStatus> Out;
-  for (const auto &[Where, Each] : Controllers)
-    Out.push_back({Where.first, Where.second, Each->queued(), Each->running(),
+  for (const auto &[Key, Each] : Controllers)
+    Out.push_back({Key.first, Key.second, Each->queued(), Each->running(),
                    Each->counts()});
   return Out;
 }
--- a/Source/Admission/DatabaseQueues.h
+++ b/Source/Admission/DatabaseQueues.h
@@ -1,5 +1,6 @@
 /// \file
-/// The queues of a proxy: for each database one for reads and one for writes.
+/// The request queues of a proxy: for each database one for reads and one for
+/// writes.
 
 #ifndef CORIANDERDYKE_ADMISSION_DATABASEQUEUES_H
 #define CORIANDERDYKE_ADMISSION_DATABASEQUEUES_H
@@ -9,7 +10,7 @@
 
 namespace corianderdyke {
 
-/// What admission has to know of a statement.
+/// The attributes of a statement that admission depends on.
 struct AdmissionRequest {
   std::uint64_t Id = 0;
   std::string Database;
@@ -21,7 +22,7 @@
   auto operator<=>(const AdmissionRequest &) const = default;
 };
 
-/// One queue, for metrics and status.
+/// The state of one queue, for metrics and status reports.
 struct QueueStatus {
   std::string Database;
   Access Mode = Access::Read;
@@ -38,22 +39,25 @@
 
   explicit DatabaseQueues(std::uint64_t Seed) : Seed(Seed) {}
 
-  /// Takes the shares, weights and bounds of a manifest.
+  /// Applies the shares, weights and limits of a manifest.
   void update(const Manifest &Current);
 
-  /// Takes a request in; the refusals that follow, its own or another's.
+  /// Queues a request. Returns the resulting refusals: its own, or that of a
+  /// request that it displaces.
   std::vector<Refusal> admit(const AdmissionRequest &Request, Millis Now);
 
-  /// The next request of a database to send; it runs until it leaves.
+  /// Returns the next request of a database to send; it counts as running until
+  /// remove() is called. Requests that are too late to send are added to
+  /// \p GivenUp.
   std::optional<std::uint64_t> next(const std::string &Database,
                                     const RunnablePredicate &CanRun, Millis Now,
                                     std::vector<Refusal> &GivenUp);
 
-  /// A request holds no connection any more, or waits no longer. Harmless
-  /// for one that left before. \p IsAnswered: a target took it and answered.
+  /// Removes a request that no longer waits or holds a connection. Does nothing
+  /// if it was removed before. \p IsAnswered is true if a target answered it.
   void remove(std::uint64_t Id, bool IsAnswered, Millis Now);
 
-  /// Those that can't be served in time any more.
+  /// Removes and returns the requests that can no longer be served in time.
   std::vector<Refusal> shedUnservable(Millis Now);
 
   std::size_t queued(const std::string &Database, Access Mode) const;
@@ -69,7 +73,7 @@
     Millis SentAt;
   };
 
-  AdmissionController &controller(const QueueKey &Where);
+  AdmissionController &controller(const QueueKey &Key);
   void forget(const std::vector<Refusal> &Refused);
 
   std::uint64_t Seed;
--- a/Source/Admission/FairQueue.cpp
+++ b/Source/Admission/FairQueue.cpp
@@ -9,18 +9,19 @@
 
 namespace {
 
-constexpr double LeastWeight = 1e-6;
-/// Use is a moving mean over about this many statements: the half second in
-/// which a proxy in Riga sends as many is the span of a deadline.
+constexpr double MinWeight = 1e-6;
+/// Recent use is a moving mean over about this many statements. A proxy in Riga
+/// sends as many in half a second, which is the span of a deadline.
 constexpr double UseWindow = 64;
-/// The estimate starts too high and falls; what is left of the error halves
-/// with each turn where the others use half.
-constexpr int EstimateTurns = 3;
-/// Below it an organisation counts as gone.
-constexpr double LeastUse = 0.01;
+/// The estimate starts too high and decreases: if the other organisations use
+/// half of the database, each iteration halves the remaining error.
+constexpr int EstimateIterations = 3;
+/// An organisation with less recent use counts as inactive.
+constexpr double MinRecentUse = 0.01;
 
 template <class Map, class Pick>
-std::vector<typename Map::iterator> byTime(Map &All, const Pick &IsWaiting) {
+std::vector<typename Map::iterator> sortedByVirtualTime(Map &All,
+                                                        const Pick &IsWaiting) {
   std::vector<typename Map::iterator> Out;
   for (auto Each = All.begin(); Each != All.end(); ++Each)
     if (IsWaiting(Each->second))
@@ -34,7 +35,7 @@
 } // namespace
 
 double FairQueue::shareOf(const std::string &Organisation) const {
-  return std::max(Share(Organisation), LeastWeight);
+  return std::max(Share(Organisation), MinWeight);
 }
 
 double FairQueue::estimateCharge(const QueuedRequest &For) const {
@@ -42,53 +43,55 @@
 }
 
 double FairQueue::weightOf(const std::string &Kind) const {
-  return std::max(KindWeight(Kind), LeastWeight);
+  return std::max(KindWeight(Kind), MinWeight);
 }
 
 void FairQueue::push(QueuedRequest Request) {
-  OrganisationState &Of = Organisations[Request.Organisation];
-  if (Of.Length == 0)
-    Of.VirtualTime = std::max(Of.VirtualTime, VirtualTime);
-  Flow &To = Of.Flows[Request.Kind];
+  OrganisationState &State = Organisations[Request.Organisation];
+  if (State.Length == 0)
+    State.VirtualTime = std::max(State.VirtualTime, VirtualTime);
+  Flow &To = State.Flows[Request.Kind];
   if (To.Requests.empty())
-    To.VirtualTime = std::max(To.VirtualTime, Of.KindVirtualTime);
+    To.VirtualTime = std::max(To.VirtualTime, State.KindVirtualTime);
   ++Length;
-  ++Of.Length;
+  ++State.Length;
   Cost += Request.Cost;
-  Of.Cost += Request.Cost;
+  State.Cost += Request.Cost;
   To.Cost += Request.Cost;
   To.Requests.push_back(std::move(Request));
 }
 
-void FairQueue::erase(OrganisationState &Of, Flow &From,
+void FairQueue::erase(OrganisationState &State, Flow &From,
                       std::deque<QueuedRequest>::iterator At) {
   --Length;
-  --Of.Length;
+  --State.Length;
   Cost -= At->Cost;
-  Of.Cost -= At->Cost;
+  State.Cost -= At->Cost;
   From.Cost -= At->Cost;
   From.Requests.erase(At);
 }
 
 std::optional<QueuedRequest> FairQueue::pop(const RunnablePredicate &CanRun) {
-  const auto Waits = [](const OrganisationState &Each) {
+  const auto HasWaiting = [](const OrganisationState &Each) {
     return Each.Length > 0;
   };
-  const auto Holds = [](const Flow &Each) { return !Each.Requests.empty(); };
-  for (const auto &Found : byTime(Organisations, Waits)) {
-    OrganisationState &Of = Found->second;
-    for (const auto &Inner : byTime(Of.Flows, Holds)) {
-      Flow &From = Inner->second;
+  const auto HasRequests = [](const Flow &Each) {
+    return !Each.Requests.empty();
+  };
+  for (const auto &Found : sortedByVirtualTime(Organisations, HasWaiting)) {
+    OrganisationState &State = Found->second;
+    for (const auto &FlowIt : sortedByVirtualTime(State.Flows, HasRequests)) {
+      Flow &From = FlowIt->second;
       if (!CanRun(From.Requests.front()))
         continue;
       QueuedRequest Out = From.Requests.front();
-      erase(Of, From, From.Requests.begin());
-      VirtualTime = std::max(VirtualTime, Of.VirtualTime);
-      Of.KindVirtualTime = std::max(Of.KindVirtualTime, From.VirtualTime);
+      erase(State, From, From.Requests.begin());
+      VirtualTime = std::max(VirtualTime, State.VirtualTime);
+      State.KindVirtualTime = std::max(State.KindVirtualTime, From.VirtualTime);
       Out.Charged = estimateCharge(Out);
-      Of.VirtualTime += Out.Charged / shareOf(Out.Organisation);
+      State.VirtualTime += Out.Charged / shareOf(Out.Organisation);
       From.VirtualTime += Out.Charged / weightOf(Out.Kind);
-      ++Of.Running;
+      ++State.Running;
       return Out;
     }
   }
@@ -99,40 +102,41 @@
   const auto Found = Organisations.find(Request.Organisation);
   if (Found == Organisations.end())
     return;
-  OrganisationState &Of = Found->second;
-  if (Of.Running > 0)
-    --Of.Running;
-  const double Due = recordCharge(Request, Spent);
+  OrganisationState &State = Found->second;
+  if (State.Running > 0)
+    --State.Running;
+  const double FinalCharge = recordCharge(Request, Spent);
   const double Gain =
-      std::min(Due / std::max(MeanCharge, 1.0) / UseWindow, 0.5);
+      std::min(FinalCharge / std::max(MeanCharge, 1.0) / UseWindow, 0.5);
   for (auto &[Name, Each] : Organisations)
     Each.RecentUse +=
         ((Name == Request.Organisation ? 1 : 0) - Each.RecentUse) * Gain;
-  const double Correction = Due - Request.Charged;
-  Of.VirtualTime += Correction / shareOf(Request.Organisation);
-  Of.Flows[Request.Kind].VirtualTime += Correction / weightOf(Request.Kind);
+  const double Correction = FinalCharge - Request.Charged;
+  State.VirtualTime += Correction / shareOf(Request.Organisation);
+  State.Flows[Request.Kind].VirtualTime += Correction / weightOf(Request.Kind);
 }
 
-/// What a statement costs in the end; nothing where it wasn't run.
+/// Records a statement's service time and returns its final charge; 0 if it was
+/// not run.
 double FairQueue::recordCharge(const QueuedRequest &Request, double Spent) {
   if (Spent <= 0)
     return 0;
   Service.observe({Request.Organisation, Request.Kind}, Spent);
-  const double Due = estimateCharge(Request);
-  MeanCharge += (Due - MeanCharge) / UseWindow;
-  return Due;
+  const double FinalCharge = estimateCharge(Request);
+  MeanCharge += (FinalCharge - MeanCharge) / UseWindow;
+  return FinalCharge;
 }
 
 std::optional<QueuedRequest> FairQueue::remove(std::uint64_t Id) {
-  for (auto &[Name, Of] : Organisations)
-    for (auto &[Kind, From] : Of.Flows) {
+  for (auto &[Name, State] : Organisations)
+    for (auto &[Kind, From] : State.Flows) {
       const auto Found =
           std::find_if(From.Requests.begin(), From.Requests.end(),
                        [Id](const auto &Each) { return Each.Id == Id; });
       if (Found == From.Requests.end())
         continue;
       QueuedRequest Out = *Found;
-      erase(Of, From, Found);
+      erase(State, From, Found);
       return Out;
     }
   return std::nullopt;
@@ -140,25 +144,26 @@
 
 std::optional<std::uint64_t>
 FairQueue::displacementVictim(const std::string &Organisation) const {
-  // The flooding organisation fills the queue first; without displacement
-  // every other caller would find it full.
-  const auto Crowding = [this](const std::string &Name, std::size_t Waiting) {
+  // An overloading organisation fills the queue first; without displacement
+  // all requests of other organisations would be refused.
+  const auto LengthPerShare = [this](const std::string &Name,
+                                     std::size_t Waiting) {
     return static_cast<double>(Waiting) / shareOf(Name);
   };
   const auto Own = Organisations.find(Organisation);
-  double Most = Crowding(
+  double Most = LengthPerShare(
       Organisation, Own == Organisations.end() ? 1 : Own->second.Length + 1);
-  const OrganisationState *Worst = nullptr;
+  const OrganisationState *Overloading = nullptr;
   for (const auto &[Name, Each] : Organisations) {
-    if (Name == Organisation || Crowding(Name, Each.Length) <= Most)
+    if (Name == Organisation || LengthPerShare(Name, Each.Length) <= Most)
       continue;
-    Most = Crowding(Name, Each.Length);
-    Worst = &Each;
+    Most = LengthPerShare(Name, Each.Length);
+    Overloading = &Each;
   }
-  if (Worst == nullptr)
+  if (Overloading == nullptr)
     return std::nullopt;
   const auto Longest = std::max_element(
-      Worst->Flows.begin(), Worst->Flows.end(),
+      Overloading->Flows.begin(), Overloading->Flows.end(),
       [](const auto &A, const auto &B) {
         return A.second.Requests.size() < B.second.Requests.size();
       });
@@ -169,15 +174,16 @@
   double Sum = shareOf(Organisation);
   for (const auto &[Name, Each] : Organisations)
     if (Name != Organisation &&
-        (Each.Length > 0 || Each.Running > 0 || Each.RecentUse > LeastUse))
+        (Each.Length > 0 || Each.Running > 0 || Each.RecentUse > MinRecentUse))
       Sum += shareOf(Name);
   return Sum;
 }
 
-/// What the others leave: an organisation with a backlog takes its share, any
-/// other what it used lately. By who waits at this moment alone, a flooding
-/// organisation would count on all of the database whenever the others'
-/// queues are empty, and be refused after a long wait instead of at once.
+/// Returns what the other organisations leave: one with a backlog uses its
+/// share, any other uses what it used recently. If only the current queues
+/// counted, an overloading organisation would expect the whole database
+/// whenever the other queues are empty, and its requests would be refused after
+/// a long wait instead of at once.
 double FairQueue::expectedShare(const std::string &Organisation) const {
   const double Shares = activeShares(Organisation);
   double Left = 1;
@@ -190,12 +196,12 @@
   return std::max(Left, shareOf(Organisation) / Shares);
 }
 
-/// A flow's turn comes at the pace of its weight among the busy ones. Of each
-/// other organisation its share goes first, or less where its backlog and
-/// what it goes on offering are less.
+/// A flow is served in proportion to its weight among the busy flows. Each
+/// other organisation is served up to its share before that, or less if its
+/// backlog and its recent use amount to less.
 double FairQueue::estimateCostAhead(const std::string &Organisation,
                                     const std::string &Kind,
-                                    double InFlow) const {
+                                    double FlowCost) const {
   const auto Found = Organisations.find(Organisation);
   if (Found == Organisations.end())
     return 0;
@@ -204,10 +210,10 @@
     if (Name != Kind && !Each.Requests.empty())
       Weights += weightOf(Name);
   const double Own =
-      std::min(Found->second.Cost, InFlow * Weights / weightOf(Kind));
+      std::min(Found->second.Cost, FlowCost * Weights / weightOf(Kind));
   const double Shares = activeShares(Organisation);
   double Total = Own * Shares / shareOf(Organisation);
-  for (int Turn = 0; Turn < EstimateTurns; ++Turn) {
+  for (int Iteration = 0; Iteration < EstimateIterations; ++Iteration) {
     double Next = Own;
     for (const auto &[Name, Each] : Organisations) {
       const double Part = shareOf(Name) / Shares;
@@ -225,20 +231,20 @@
   const auto Found = Organisations.find(Organisation);
   if (Found == Organisations.end())
     return 0;
-  const auto Inner = Found->second.Flows.find(Kind);
-  const double InFlow =
-      Inner == Found->second.Flows.end() ? 0 : Inner->second.Cost;
-  return estimateCostAhead(Organisation, Kind, InFlow);
+  const auto FlowIt = Found->second.Flows.find(Kind);
+  const double FlowCost =
+      FlowIt == Found->second.Flows.end() ? 0 : FlowIt->second.Cost;
+  return estimateCostAhead(Organisation, Kind, FlowCost);
 }
 
 std::vector<QueueDiscipline::WaitingRequest> FairQueue::waiting() const {
   std::vector<WaitingRequest> Out;
-  for (const auto &[Name, Of] : Organisations)
-    for (const auto &[Kind, From] : Of.Flows) {
-      double InFlow = 0;
+  for (const auto &[Name, State] : Organisations)
+    for (const auto &[Kind, From] : State.Flows) {
+      double FlowCost = 0;
       for (const QueuedRequest &Each : From.Requests) {
-        Out.push_back({Each, estimateCostAhead(Name, Kind, InFlow)});
-        InFlow += Each.Cost;
+        Out.push_back({Each, estimateCostAhead(Name, Kind, FlowCost)});
+        FlowCost += Each.Cost;
       }
     }
   return Out;
--- a/Source/Admission/FairQueue.h
+++ b/Source/Admission/FairQueue.h
@@ -1,17 +1,18 @@
 /// \file
 /// Weighted fair queueing over organisations, then over kinds.
 ///
-/// Load pattern: one organisation offers many times its share, or only long
-/// statements, while others offer little. Without this module the others wait
-/// behind the flood and miss their deadlines.
+/// If one organisation offers many times its share, or only long statements,
+/// while others offer little, a first-come, first-served queue makes the others
+/// wait behind the overload and miss their deadlines.
 ///
-/// Start-time fair queueing: each organisation has a virtual time that moves
-/// by cost divided by share; the one furthest back is next. Cost is the time
-/// that statements take of a target, not their number, so long statements
-/// buy nothing. What was charged by the estimate is corrected when the
-/// statement has ended. An organisation that was idle starts at the current
-/// virtual time: it's next at once, so a lent share is back when one running
-/// statement ends, and it can't save up idle time for a flood of its own.
+/// The queue uses start-time fair queueing: each organisation has a virtual
+/// time that advances by cost divided by share, and the one with the lowest
+/// virtual time is served next. Cost is the time that statements take at a
+/// target, not their number, so that long statements give no advantage. The
+/// estimated charge is corrected when the statement ends. An organisation that
+/// was idle starts at the current virtual time: it is served next, so it
+/// regains its share when one running statement ends, but it cannot accumulate
+/// credit while idle.
 
 #ifndef CORIANDERDYKE_ADMISSION_FAIRQUEUE_H
 #define CORIANDERDYKE_ADMISSION_FAIRQUEUE_H
@@ -42,7 +43,7 @@
   std::size_t size() const override { return Length; }
 
 private:
-  /// Requests of one kind of one organisation, first come first served.
+  /// Requests of one kind of one organisation, served in order of arrival.
   struct Flow {
     std::deque<QueuedRequest> Requests;
     double Cost = 0;
@@ -56,19 +57,19 @@
     double VirtualTime = 0;
     double KindVirtualTime = 0; ///< Virtual time of its kinds.
     std::size_t Running = 0;
-    double RecentUse =
-        0; ///< Recent part of the time that connections were held.
+    double RecentUse = 0; ///< Recent fraction of the total charge.
   };
 
   double estimateCharge(const QueuedRequest &For) const;
   double recordCharge(const QueuedRequest &Request, double Spent);
   double shareOf(const std::string &Organisation) const;
   double weightOf(const std::string &Kind) const;
-  /// Shares of \p Organisation and of all that wait, run or ran lately.
+  /// Sum of the shares of \p Organisation and of all organisations with
+  /// waiting, running or recent requests.
   double activeShares(const std::string &Organisation) const;
   double estimateCostAhead(const std::string &Organisation,
-                           const std::string &Kind, double InFlow) const;
-  void erase(OrganisationState &Of, Flow &From,
+                           const std::string &Kind, double FlowCost) const;
+  void erase(OrganisationState &State, Flow &From,
              std::deque<QueuedRequest>::iterator At);
 
   WeightFunction Share;
@@ -78,7 +79,7 @@
   std::size_t Length = 0;
   double Cost = 0;
   double MeanCharge = 1;
-  /// Never goes back: the start of the last request that was sent.
+  /// The start time of the last request that was sent; never decreases.
   double VirtualTime = 0;
 };
 
--- a/Source/Admission/FifoQueue.cpp
+++ b/Source/Admission/FifoQueue.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The plain queue: first come, first served. A baseline for measurements.
+/// First-come, first-served queue, used as a baseline for measurements.
 
 #include "Admission/FifoQueue.h"
 
--- a/Source/Admission/FifoQueue.h
+++ b/Source/Admission/FifoQueue.h
@@ -1,5 +1,5 @@
 /// \file
-/// The plain queue: first come, first served. A baseline for measurements.
+/// First-come, first-served queue, used as a baseline for measurements.
 
 #ifndef CORIANDERDYKE_ADMISSION_FIFOQUEUE_H
 #define CORIANDERDYKE_ADMISSION_FIFOQUEUE_H
@@ -10,7 +10,8 @@
 
 namespace corianderdyke {
 
-/// Under a flood by one organisation the others wait behind all of it.
+/// Serves requests in order of arrival, so that an overload by one organisation
+/// delays all others.
 class FifoQueue final : public QueueDiscipline {
 public:
   void push(QueuedRequest Request) override;
--- a/Source/Admission/HoldTimeEstimate.h
+++ b/Source/Admission/HoldTimeEstimate.h
@@ -1,5 +1,5 @@
 /// \file
-/// How long statements of each kind hold a connection.
+/// Estimates how long statements of each kind hold a connection.
 
 #ifndef CORIANDERDYKE_ADMISSION_HOLDTIMEESTIMATE_H
 #define CORIANDERDYKE_ADMISSION_HOLDTIMEESTIMATE_H
@@ -9,12 +9,12 @@
 
 namespace corianderdyke {
 
-/// A moving mean with a gain of 1/8, which round-trip estimates use since
-/// TCP: it halves an old error in five statements and a single outlier moves
-/// it by an eighth.
+/// An exponential moving average with a gain of 1/8, as in TCP's round-trip
+/// time estimate: an error halves within about five statements, and a single
+/// outlier moves the average by an eighth of its deviation.
 class HoldTimeEstimate {
 public:
-  /// What a kind costs before any of it was seen.
+  /// Milliseconds assumed for a kind before its first statement has ended.
   static constexpr double InitialHoldTime = 5;
 
   double holdTime(const std::string &Kind) const {
--- a/Source/Admission/QueueDiscipline.h
+++ b/Source/Admission/QueueDiscipline.h
@@ -1,5 +1,5 @@
 /// \file
-/// Who is next: the order in which waiting requests of one database are sent.
+/// The order in which waiting requests of one database are sent.
 
 #ifndef CORIANDERDYKE_ADMISSION_QUEUEDISCIPLINE_H
 #define CORIANDERDYKE_ADMISSION_QUEUEDISCIPLINE_H
@@ -22,18 +22,19 @@
   std::string Kind;
   Millis ArrivedAt;
   Millis DeadlineAt;
-  /// Milliseconds that it's expected to hold a connection.
+  /// Milliseconds that it is expected to hold a connection.
   double Cost = 1;
-  /// What its organisation was charged for it when it was sent.
+  /// Milliseconds charged to its organisation when it was sent.
   double Charged = 0;
 
   auto operator<=>(const QueuedRequest &) const = default;
 };
 
-/// The weight of an organisation, or of one of its kinds.
+/// Returns the weight of an organisation or of a kind.
 using WeightFunction = std::function<double(const std::string &Name)>;
 
-/// Abstract, so that the experiment runs the baselines on the same loads.
+/// Interface of the queues, so that the measurements run the baselines under
+/// the same loads.
 class QueueDiscipline {
 public:
   using RunnablePredicate = std::function<bool(const QueuedRequest &)>;
@@ -42,30 +43,32 @@
 
   virtual void push(QueuedRequest Request) = 0;
 
-  /// Takes out the next request that \p CanRun; nothing where none can.
+  /// Removes and returns the next request for which \p CanRun is true; nothing
+  /// if there is none.
   virtual std::optional<QueuedRequest> pop(const RunnablePredicate &CanRun) = 0;
 
-  /// A request that pop() gave has held its connection for \p Spent.
+  /// Records that a request from pop() has held its connection for \p Spent
+  /// milliseconds.
   virtual void complete(const QueuedRequest &Request, double Spent) = 0;
 
-  /// Takes out a request that nobody waits for any more.
+  /// Removes and returns the waiting request \p Id; nothing if it is not here.
   virtual std::optional<QueuedRequest> remove(std::uint64_t Id) = 0;
 
-  /// The request that gives way to one of \p Organisation when the queue is
-  /// full; nothing where the newcomer itself is the one to refuse.
+  /// The request to displace for a new one of \p Organisation when the queue is
+  /// full; nothing if the new request itself is to be refused.
   virtual std::optional<std::uint64_t>
   displacementVictim(const std::string &Organisation) const = 0;
 
-  /// Expected cost of what is sent before a newcomer of this organisation
-  /// and kind.
+  /// Expected cost of the requests that are sent before a new one of
+  /// \p Organisation and \p Kind.
   virtual double costAhead(const std::string &Organisation,
                            const std::string &Kind) const = 0;
 
-  /// The part of the database that an organisation can count on now, from 0
-  /// to 1.
+  /// The fraction of the database that \p Organisation can currently expect,
+  /// from 0 to 1.
   virtual double expectedShare(const std::string &Organisation) const = 0;
 
-  /// Every waiting request with the expected cost of what is sent before it.
+  /// A waiting request and the expected cost of the requests sent before it.
   struct WaitingRequest {
     QueuedRequest Request;
     double CostAhead = 0;
--- a/Source/Admission/RetryBudget.cpp
+++ b/Source/Admission/RetryBudget.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A bound on what the proxy sends a second time by itself.
+/// Limits the statements that the proxy retries by itself.
 
 #include "Admission/RetryBudget.h"
 
--- a/Source/Admission/RetryBudget.h
+++ b/Source/Admission/RetryBudget.h
@@ -1,14 +1,14 @@
 /// \file
-/// A bound on what the proxy sends a second time by itself.
+/// Limits the statements that the proxy retries by itself.
 ///
-/// Load pattern: a target fails half of what it gets. Without this module
-/// every failure is tried again, the load on what is left grows with each
-/// failure, and the retries keep the overload going after its cause is gone.
+/// If a target fails half of its statements and every failure is retried, the
+/// load on the other targets grows with each failure, and the retries sustain
+/// the overload after its cause is gone.
 ///
-/// A token bucket that is filled by first tries and not by time: retries are
-/// at most RatioPercent of the load, whatever the load is. At 10 % the load
-/// grows by a tenth at the worst, which the headroom of a pool that runs at
-/// up to 90 % of its capacity takes in.
+/// The budget is a token bucket that is filled by first attempts, not by time:
+/// retries are at most RatioPercent of the load, whatever the load is. At 10 %
+/// the load grows by at most a tenth, which fits the headroom of a pool that
+/// runs at up to 90 % of its capacity.
 
 #ifndef CORIANDERDYKE_ADMISSION_RETRYBUDGET_H
 #define CORIANDERDYKE_ADMISSION_RETRYBUDGET_H
@@ -20,12 +20,12 @@
 class RetryBudget {
 public:
   static constexpr std::uint32_t RatioPercent = 10;
-  /// Retries that are allowed after a quiet time, before there is any load.
+  /// Retries that are allowed after an idle period, before there is any load.
   static constexpr std::uint32_t Burst = 10;
 
   void recordFirstAttempt();
 
-  /// True where a retry may be sent; it's paid for then.
+  /// Takes the tokens of one retry; false if there are too few.
   bool tryTake();
 
   std::uint64_t taken() const { return Taken; }
--- a/Source/Admission/RetrySchedule.cpp
+++ b/Source/Admission/RetrySchedule.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// When refused callers are told to come back.
+/// Computes when refused callers may retry.
 
 #include "Admission/RetrySchedule.h"
 
@@ -15,13 +15,13 @@
 Millis RetrySchedule::reserve(const std::string &Organisation, double Wait,
                               double Interval, Millis Now) {
   const auto Start = static_cast<double>(Now.count());
-  const auto Most = static_cast<double>(MaxRetryAfter.count());
+  const auto MaxSpan = static_cast<double>(MaxRetryAfter.count());
   double &Next = NextAt[Organisation];
   Next = std::max(Next, Start + Wait) + Interval;
   double Span = Next - Start + uniform() * Interval;
-  if (Span > Most) {
-    Next = std::min(Next, Start + Most);
-    Span = Most * (1 + uniform()) / 2;
+  if (Span > MaxSpan) {
+    Next = std::min(Next, Start + MaxSpan);
+    Span = MaxSpan * (1 + uniform()) / 2;
   }
   return Millis(std::max<std::int64_t>(static_cast<std::int64_t>(Span), 1));
 }
--- a/Source/Admission/RetrySchedule.h
+++ b/Source/Admission/RetrySchedule.h
@@ -1,14 +1,14 @@
 /// \file
-/// When refused callers are told to come back.
+/// Computes when refused callers may retry.
 ///
-/// Load pattern: a burst is refused within a few milliseconds. With one fixed
-/// answer all of it comes back together and is refused again.
+/// A burst may be refused within a few milliseconds. With a fixed retry delay,
+/// all its callers would retry at the same time and be refused again.
 ///
-/// Each refusal books the next free place at the pace at which the database
-/// serves the organisation: cost divided by connections and portion. So the
-/// callers come back no faster than they can be served, whatever their
-/// number. Several proxies book each for itself; within one pace the moment
-/// is random, so that their bookings don't fall together.
+/// Each refusal therefore reserves the next free slot of the organisation. The
+/// slots are as far apart as the database serves its requests: cost divided by
+/// connections and share. So callers retry no faster than they can be served,
+/// whatever their number. Proxies reserve independently of each other; the time
+/// within a slot is random, so that their reservations do not coincide.
 
 #ifndef CORIANDERDYKE_ADMISSION_RETRYSCHEDULE_H
 #define CORIANDERDYKE_ADMISSION_RETRYSCHEDULE_H
@@ -24,14 +24,15 @@
 
 class RetrySchedule {
 public:
-  /// A caller is never sent away for longer: by then the load has changed.
-  /// Past it the moments are random over the last half of the span.
+  /// The longest delay, since the load will have changed by then. Reservations
+  /// beyond it are randomised over the last half of this span.
   static constexpr Millis MaxRetryAfter = Millis(5000);
 
   explicit RetrySchedule(std::uint64_t Seed) : Random(Seed) {}
 
-  /// Books a place no earlier than \p Wait milliseconds from now, the
-  /// organisation's places being \p Interval milliseconds apart.
+  /// Reserves a slot no earlier than \p Wait milliseconds from \p Now and
+  /// returns the delay until then. The organisation's slots are \p Interval
+  /// milliseconds apart.
   Millis reserve(const std::string &Organisation, double Wait, double Interval,
                  Millis Now);
 
--- a/Source/Admission/ServiceTimeEstimate.h
+++ b/Source/Admission/ServiceTimeEstimate.h
@@ -1,19 +1,20 @@
 /// \file
-/// What statements cost a target, told apart from how long they wait in it.
+/// Estimates the service time of statements without their wait at the target.
 ///
-/// Load pattern: reports of 200 ms among lookups of 4 ms. A statement holds
-/// its connection while it waits inside the target and while it runs. Charged
-/// by the whole time, a lookup that waited behind reports is as dear as they
-/// are, and the reports take a place of the target for each lookup: with
-/// equal shares the lookups got 79 of 1200 a second, now 568 (scenario long,
-/// Riga).
+/// A statement holds its connection while it waits inside the target and while
+/// it runs. If reports of 200 ms run among lookups of 4 ms and the whole time
+/// is charged, a lookup that waited behind reports costs as much as a report,
+/// and reports get as many slots of the target as lookups. With equal shares
+/// the lookups then reach 79 of 1200 a second; with this estimate they reach
+/// 568 (scenario long, Riga).
 ///
-/// The wait is the same for all that stand before one target, so the mean
-/// times of two flows differ by what they cost. The shortest flow is charged
-/// the least that any of its latest 32 took, which is nearest to no wait at
-/// all; every other flow that and its difference of means. A shortest flow of
-/// very uneven statements is charged too little; with the tenth part of the
-/// latest instead, the lookups got 454.
+/// Statements of all flows wait equally long at one target, so the mean times
+/// of two flows differ by their service times. The shortest flow is charged the
+/// minimum of its latest 32 samples, which is closest to a time without any
+/// wait; every other flow is charged that plus its difference of means. A
+/// shortest flow of very uneven statements is charged too little, but with the
+/// tenth percentile of the latest samples instead of the minimum, the lookups
+/// reach only 454.
 
 #ifndef CORIANDERDYKE_ADMISSION_SERVICETIMEESTIMATE_H
 #define CORIANDERDYKE_ADMISSION_SERVICETIMEESTIMATE_H
@@ -29,13 +30,14 @@
 
 class ServiceTimeEstimate {
 public:
-  /// An organisation's name and that of its kind.
+  /// The names of an organisation and of one of its kinds.
   using FlowKey = std::pair<std::string, std::string>;
 
-  void observe(const FlowKey &Of, double Spent);
+  void observe(const FlowKey &Key, double Spent);
 
-  /// Nothing before the flow's first statement has ended.
-  std::optional<double> serviceTime(const FlowKey &Which) const;
+  /// Estimated milliseconds; nothing before the flow's first statement has
+  /// ended.
+  std::optional<double> serviceTime(const FlowKey &Key) const;
 
 private:
   static constexpr std::size_t WindowSize = 32;
@@ -45,7 +47,7 @@
     std::array<double, WindowSize> Latest = {};
     std::size_t Count = 0;
 
-    double least() const;
+    double minimum() const;
   };
 
   std::map<FlowKey, FlowSamples> Flows;
--- a/Source/Admission/StaticSplitQueue.cpp
+++ b/Source/Admission/StaticSplitQueue.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Each organisation has a fixed part of the connections.
+/// Queue that gives each organisation a fixed part of the connections.
 
 #include "Admission/StaticSplitQueue.h"
 
@@ -10,10 +10,11 @@
 std::optional<QueuedRequest>
 StaticSplitQueue::pop(const RunnablePredicate &CanRun) {
   auto Out = Inner.pop([&](const QueuedRequest &Each) {
-    const double Part =
+    const double Allotment =
         Portion(Each.Organisation) * static_cast<double>(Connections);
-    const auto Most = std::max<std::size_t>(static_cast<std::size_t>(Part), 1);
-    return Running[Each.Organisation] < Most && CanRun(Each);
+    const auto MaxRunning =
+        std::max<std::size_t>(static_cast<std::size_t>(Allotment), 1);
+    return Running[Each.Organisation] < MaxRunning && CanRun(Each);
   });
   if (Out)
     ++Running[Out->Organisation];
--- a/Source/Admission/StaticSplitQueue.h
+++ b/Source/Admission/StaticSplitQueue.h
@@ -1,6 +1,7 @@
 /// \file
-/// Each organisation has a fixed part of the connections, whether it uses it
-/// or not. A baseline for measurements: it protects and wastes.
+/// Queue that gives each organisation a fixed part of the connections, used as
+/// a baseline for measurements. It isolates organisations but leaves unused
+/// connections idle.
 
 #ifndef CORIANDERDYKE_ADMISSION_STATICSPLITQUEUE_H
 #define CORIANDERDYKE_ADMISSION_STATICSPLITQUEUE_H
@@ -11,8 +12,8 @@
 
 class StaticSplitQueue final : public QueueDiscipline {
 public:
-  /// \p Portion of the \p Connections belongs to each organisation; a part
-  /// of less than one connection counts as one.
+  /// \p Portion returns each organisation's fraction of the \p Connections;
+  /// less than one connection counts as one.
   StaticSplitQueue(WeightFunction Portion, std::size_t Connections)
       : Portion(std::move(Portion)), Connections(Connections),
         Inner([](const std::string &) { return 1.0; },
