--- a/Source/Proxy/AnswerClassifier.cpp
+++ b/Source/Proxy/AnswerClassifier.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Judges what a target's answer proves about a statement.
+/// Classifies a target's answer by what it proves about the statement.
 
 #include "Proxy/AnswerClassifier.h"
 
--- a/Source/Proxy/ConcurrencyLimiter.cpp
+++ b/Source/Proxy/ConcurrencyLimiter.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How many statements a proxy has under way at each target.
+/// Limits the statements that a proxy has in flight at each target.
 
 #include "Proxy/ConcurrencyLimiter.h"
 
@@ -9,16 +9,16 @@
 
 void ConcurrencyLimiter::recordSent(const std::string &Target,
                                     bool BeginsTransaction) {
-  InFlightCounts &Of = InFlight[Target];
-  ++Of.All;
-  Of.Begins += BeginsTransaction ? 1 : 0;
+  InFlightCounts &Counts = InFlight[Target];
+  ++Counts.All;
+  Counts.Begins += BeginsTransaction ? 1 : 0;
 }
 
 void ConcurrencyLimiter::recordAnswered(const std::string &Target,
-                                        bool Begins) {
-  InFlightCounts &Of = InFlight[Target];
-  --Of.All;
-  Of.Begins -= Begins ? 1 : 0;
+                                        bool BeginsTransaction) {
+  InFlightCounts &Counts = InFlight[Target];
+  --Counts.All;
+  Counts.Begins -= BeginsTransaction ? 1 : 0;
 }
 
 ConcurrencyLimiter::InFlightCounts
@@ -42,31 +42,34 @@
   return inFlightCounts(Target).All + (Pool ? Pool->waiting() : 0);
 }
 
-std::size_t ConcurrencyLimiter::pinned(const std::string &Target) const {
+std::size_t
+ConcurrencyLimiter::heldByTransactions(const std::string &Target) const {
   const auto Pool = Pools.find(Target);
-  const InFlightCounts Of = inFlightCounts(Target);
-  return Pool->inUse() + Pool->waiting() - (Of.All - Of.Begins);
+  const InFlightCounts Counts = inFlightCounts(Target);
+  return Pool->inUse() + Pool->waiting() - (Counts.All - Counts.Begins);
 }
 
-/// Callers who think between two statements would stop everyone else at this
-/// proxy. An even part of the connections can always be had, whatever the
-/// others want; one of it stays free of transactions where it's two or more.
+/// Transactions that pause between statements could occupy all connections of
+/// this proxy. An even share of the target's connections is always available to
+/// a proxy, whatever the others want; if it is two or more, one connection of
+/// it is kept free of transactions.
 std::size_t
-ConcurrencyLimiter::maxTransactions(const TargetCapacity &Of) const {
+ConcurrencyLimiter::maxTransactions(const TargetCapacity &Capacity) const {
   const std::size_t Proxies = std::max<std::size_t>(View.Proxies.size(), 1);
-  return std::max<std::size_t>(Of.Connections / Proxies, 2) - 1;
+  return std::max<std::size_t>(Capacity.Connections / Proxies, 2) - 1;
 }
 
 bool ConcurrencyLimiter::hasCapacity(const std::string &Target,
                                      const std::string &Database,
-                                     bool Begins) const {
+                                     bool BeginsTransaction) const {
   const auto Pool = Pools.find(Target);
   if (!Pool)
     return true;
   if (Pool->inUse() + Pool->waiting() >= Pool->limit())
     return false;
   const TargetCapacity Capacity = capacityOf(Database);
-  if (Begins && pinned(Target) >= maxTransactions(Capacity))
+  if (BeginsTransaction &&
+      heldByTransactions(Target) >= maxTransactions(Capacity))
     return false;
   return pendingStatements(Target) <
          maxConcurrentStatements(static_cast<std::uint32_t>(Pool->limit()),
@@ -81,10 +84,11 @@
     if (Known == nullptr)
       continue;
     const GroupRecord *Group = View.group(Known->Database);
-    const std::size_t Others =
+    const std::size_t TargetCount =
         std::max<std::size_t>(View.targetsOf(Known->Database).size(), 1);
     std::size_t Queued =
-        (Queues.queued(Known->Database, Access::Read) + Others - 1) / Others;
+        (Queues.queued(Known->Database, Access::Read) + TargetCount - 1) /
+        TargetCount;
     if (Group != nullptr && Group->Primary == Name)
       Queued += Queues.queued(Known->Database, Access::Write);
     const std::size_t Statements = pendingStatements(Name);
--- a/Source/Proxy/ConcurrencyLimiter.h
+++ b/Source/Proxy/ConcurrencyLimiter.h
@@ -1,6 +1,5 @@
 /// \file
-/// How many statements a proxy has under way at each target, and whether one
-/// more fits.
+/// Limits the statements that a proxy has in flight at each target.
 
 #ifndef CORIANDERDYKE_PROXY_CONCURRENCYLIMITER_H
 #define CORIANDERDYKE_PROXY_CONCURRENCYLIMITER_H
@@ -12,28 +11,28 @@
 
 namespace corianderdyke {
 
-/// Weighs what is under way against what the connections and the server's
-/// slots bear, and says what the proxy would use of each target.
+/// Compares the statements in flight with the limits set by the connections and
+/// the server's slots, and computes the proxy's demand for connections.
 class ConcurrencyLimiter {
 public:
   ConcurrencyLimiter(const ClusterView &View, const TargetPools &Pools,
                      const DatabaseQueues &Queues)
       : View(View), Pools(Pools), Queues(Queues) {}
 
-  /// A statement went out on a connection of the pool, or came back from
-  /// there. \p Begins tells that it begins a transaction, which keeps the
+  /// Records that a statement was sent or answered on a pooled connection.
+  /// \p BeginsTransaction is true if it begins a transaction, which keeps the
   /// connection.
   void recordSent(const std::string &Target, bool BeginsTransaction);
-  void recordAnswered(const std::string &Target, bool Begins);
+  void recordAnswered(const std::string &Target, bool BeginsTransaction);
 
-  /// True where a statement may take a connection now.
+  /// True if a statement may use a connection now.
   bool hasCapacity(const std::string &Target, const std::string &Database,
-                   bool Begins) const;
+                   bool BeginsTransaction) const;
 
-  /// What this proxy does with each target, for its request for rights.
+  /// This proxy's use of each target, for its requests for connection rights.
   std::map<std::string, ConnectionUse> connectionUse() const;
 
-  /// True where callers wait for connections that the proxy has no right to.
+  /// True if callers wait for connections that the proxy has no rights to.
   bool needsConnections() const;
 
 private:
@@ -45,9 +44,9 @@
   InFlightCounts inFlightCounts(const std::string &Target) const;
   TargetCapacity capacityOf(const std::string &Database) const;
   std::size_t pendingStatements(const std::string &Target) const;
-  /// Connections that transactions hold, or are about to.
-  std::size_t pinned(const std::string &Target) const;
-  std::size_t maxTransactions(const TargetCapacity &Of) const;
+  /// Connections that transactions hold or are about to hold.
+  std::size_t heldByTransactions(const std::string &Target) const;
+  std::size_t maxTransactions(const TargetCapacity &Capacity) const;
 
   const ClusterView &View;
   const TargetPools &Pools;
--- a/Source/Proxy/ConnectionPool.cpp
+++ b/Source/Proxy/ConnectionPool.cpp
@@ -68,11 +68,11 @@
 void ConnectionPool::openConnection() {
   const std::uint64_t Id = NextId++;
   const auto &Made = Opening[Id] = Connector.connect(To);
-  HttpRequest Hello;
-  Hello.Method = HttpMethod::Post;
-  Hello.Path = "/v1/connect";
+  HttpRequest Handshake;
+  Handshake.Method = HttpMethod::Post;
+  Handshake.Path = "/v1/connect";
   Made->request(
-      std::move(Hello), OpenTimeout,
+      std::move(Handshake), OpenTimeout,
       [Weak = weak_from_this(), Id](const Expected<HttpResponse> &Answer) {
         if (const auto Self = Weak.lock())
           Self->handleOpened(Id, Answer);
@@ -81,24 +81,24 @@
 
 void ConnectionPool::handleOpened(std::uint64_t Id,
                                   const Expected<HttpResponse> &Answer) {
-  std::unique_ptr<HttpConnection> Made = std::move(Opening[Id]);
+  std::unique_ptr<HttpConnection> Connection = std::move(Opening[Id]);
   Opening.erase(Id);
   if (Answer && Answer->Status == StatusOk) {
-    Idle.push_back(std::move(Made));
+    Idle.push_back(std::move(Connection));
     serveWaiters();
     return;
   }
   OpeningFailed = true;
   if (total() != 0)
     return;
-  // Nothing is open and nothing will come back: whoever waits would wait for
-  // ever.
-  const Error Why = Answer
-                        ? Error{ErrorCode::Unavailable,
-                                "the target takes no more connections"}
-                        : Error{ErrorCode::System, "the target doesn't answer"};
+  // No connection is open and none will be released, so the waiters would wait
+  // for ever.
+  const Error Failure =
+      Answer ? Error{ErrorCode::Unavailable,
+                     "the target takes no more connections"}
+             : Error{ErrorCode::System, "the target doesn't answer"};
   for (const Waiter &Each : std::exchange(Waiting, {}))
-    Each.OnReady(tl::unexpected(Why));
+    Each.OnReady(tl::unexpected(Failure));
 }
 
 } // namespace corianderdyke
--- a/Source/Proxy/ConnectionPool.h
+++ b/Source/Proxy/ConnectionPool.h
@@ -14,12 +14,12 @@
 
 class PooledConnection;
 
-/// Hands out connections, to one user at a time. Opening one costs the target
-/// milliseconds, so they are kept; the number is bounded by what this proxy
-/// may use of the server's limit.
+/// Lends each connection to one user at a time. Opening a connection costs the
+/// target milliseconds, so idle connections are kept open. Their number is
+/// bounded by this proxy's share of the server's limit.
 ///
-/// Invariant: Busy + Idle + Opening is at most the limit, but for connections
-/// that were in use when the limit was lowered.
+/// Invariant: Busy + Idle + Opening is at most the limit, except for
+/// connections that were in use when the limit was lowered.
 class ConnectionPool : public std::enable_shared_from_this<ConnectionPool> {
 public:
   using Handler = std::function<void(Expected<PooledConnection>)>;
@@ -28,18 +28,18 @@
   ConnectionPool(HttpConnector &Connector, Endpoint To, std::size_t Limit)
       : Connector(Connector), To(std::move(To)), Limit(Limit) {}
 
-  /// Asks for a connection. An error means that none could be opened:
-  /// nothing of a statement has gone out. It's Unavailable where the server
-  /// is full and System where it didn't answer. The handler may run at once.
+  /// Requests a connection. An error means that none could be opened, so no
+  /// part of a statement was sent. It is Unavailable if the server is full and
+  /// System if it did not answer. The handler may run before this returns.
   Ticket acquire(Handler OnReady);
 
-  /// Takes a request for a connection back; one that was served is ignored.
+  /// Cancels a request for a connection; does nothing if it was served.
   void cancel(Ticket Id);
 
   void setLimit(std::size_t NewLimit);
 
   std::size_t inUse() const { return Busy; }
-  /// Connections at the target, also those being opened.
+  /// Connections to the target, including those being opened.
   std::size_t total() const { return open() + Opening.size(); }
   std::size_t limit() const { return Limit; }
   std::size_t open() const { return Busy + Idle.size(); }
@@ -66,15 +66,15 @@
   std::map<std::uint64_t, std::unique_ptr<HttpConnection>> Opening;
   std::deque<Waiter> Waiting;
   std::uint64_t NextId = 1;
-  /// The target refused the last opening: the server is full whatever our
-  /// limit says. Waiters then wait for a connection that comes back.
+  /// The last attempt to open a connection failed: the server may be full even
+  /// below Limit. Waiters then wait for a connection to be released.
   bool OpeningFailed = false;
 };
 
-/// A connection in use. It's closed when this ends, unless its user marked it
-/// reusable: one whose last answer didn't come whole could deliver that
-/// answer, late, to the next statement's caller, and one with a transaction
-/// open would mix two callers' statements.
+/// A connection in use. The destructor closes it unless its user marked it
+/// reusable: after an incomplete answer, the rest of that answer could be
+/// delivered to the next statement's caller, and an open transaction would mix
+/// two callers' statements.
 class PooledConnection {
 public:
   PooledConnection(std::shared_ptr<ConnectionPool> Pool,
@@ -86,10 +86,12 @@
 
   HttpConnection *operator->() const { return Connection.get(); }
 
-  /// Says whether the connection is clean at the moment.
+  /// Sets whether the connection may be returned to the pool in its current
+  /// state.
   void setReusable(bool IsReusable) { Reusable = IsReusable; }
 
-  /// Gives the connection back, or closes it. Once is enough.
+  /// Returns the connection to the pool, or closes it. Further calls do
+  /// nothing.
   void close();
 
 private:
--- a/Source/Proxy/DurabilityGate.cpp
+++ b/Source/Proxy/DurabilityGate.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Holds the answers of writes until enough targets have them.
+/// Holds the answers to writes until enough targets have the writes.
 
 #include "Proxy/DurabilityGate.h"
 
--- a/Source/Proxy/DurabilityGate.h
+++ b/Source/Proxy/DurabilityGate.h
@@ -1,5 +1,5 @@
 /// \file
-/// Holds the answers of writes until enough targets have them.
+/// Holds the answers to writes until enough targets have the writes.
 
 #ifndef CORIANDERDYKE_PROXY_DURABILITYGATE_H
 #define CORIANDERDYKE_PROXY_DURABILITYGATE_H
@@ -10,25 +10,26 @@
 
 namespace corianderdyke {
 
-/// A write that ran on a primary, now or, by its key, in an earlier term.
+/// A write that ran on a primary, either now or, according to its idempotency
+/// key, in an earlier term.
 struct PendingWrite {
   std::string Database;
-  std::uint64_t Term = 0; ///< In which the primary answered.
+  std::uint64_t Term = 0; ///< The term in which the primary answered.
   std::uint64_t Position = 0;
 
   auto operator<=>(const PendingWrite &) const = default;
 };
 
 enum class Durability : std::uint8_t {
-  Pending,   ///< Too few targets are known to have it.
-  Durable,   ///< It survives any promotion.
-  Superseded ///< The term ended first: no promise is possible.
+  Pending,   ///< Too few targets are known to have the write.
+  Durable,   ///< The write survives any promotion.
+  Superseded ///< The term ended first, so durability is unknown.
 };
 
-/// Replication is asynchronous: a primary that dies right after its answer
-/// takes the write with it, and the caller would have been told that it was
-/// done. A write counts once so many targets have it that any later
-/// promotion finds it.
+/// Replication is asynchronous: if a primary fails right after its answer, the
+/// write may be lost although the caller received an acknowledgement. A write
+/// is therefore acknowledged only when enough targets have it for any later
+/// promotion to include it.
 class DurabilityGate {
 public:
   using Handler = std::function<void(Durability)>;
@@ -37,13 +38,15 @@
   DurabilityGate(const ClusterView &View, const TargetTable &Table)
       : View(View), Table(Table) {}
 
-  /// Runs \p OnSettled once, perhaps at once, with Durable or Superseded.
+  /// Calls \p OnSettled once with Durable or Superseded, possibly before this
+  /// returns.
   Ticket hold(PendingWrite Write, Handler OnSettled);
 
-  /// Forgets a write whose caller waits no more.
+  /// Removes a write whose caller no longer waits.
   void cancel(Ticket Id) { Held.erase(Id); }
 
-  /// Settles what can be settled after news from targets or a new view.
+  /// Settles the writes whose durability is known after a new observation of a
+  /// target or a new view.
   void resolveHeldWrites();
 
   std::size_t size() const { return Held.size(); }
--- a/Source/Proxy/GracefulStop.cpp
+++ b/Source/Proxy/GracefulStop.cpp
@@ -1,15 +1,15 @@
 /// \file
-/// Decides the steps of a proxy's planned stop.
+/// Computes the stages of a proxy's graceful stop.
 
 #include "Proxy/GracefulStop.h"
 
 namespace corianderdyke {
 
-bool GracefulStop::update(OpenWork Left, Millis Now) {
-  if (intake(Now) != Intake::Closed || Left.Statements != 0 ||
-      Left.Transactions != 0)
-    LastWork = Now;
-  return Now - LastWork >= QuietPeriod;
+bool GracefulStop::update(OpenWork Remaining, Millis Now) {
+  if (intake(Now) != Intake::Closed || Remaining.Statements != 0 ||
+      Remaining.Transactions != 0)
+    LastWorkAt = Now;
+  return Now - LastWorkAt >= QuietPeriod;
 }
 
 } // namespace corianderdyke
--- a/Source/Proxy/GracefulStop.h
+++ b/Source/Proxy/GracefulStop.h
@@ -1,5 +1,5 @@
 /// \file
-/// Decides the steps of a proxy's planned stop.
+/// Computes the stages of a proxy's graceful stop.
 
 #ifndef CORIANDERDYKE_PROXY_GRACEFULSTOP_H
 #define CORIANDERDYKE_PROXY_GRACEFULSTOP_H
@@ -11,33 +11,33 @@
 
 namespace corianderdyke {
 
-/// What a proxy takes in.
+/// The statements that a proxy accepts.
 enum class Intake : std::uint8_t {
   Open,
-  NoNewTransactions, ///< Statements still, until the balancer has noticed.
-  Closed,            ///< Only what is here, and what its transactions send.
+  NoNewTransactions, ///< Statements are accepted until the balancer notices.
+  Closed,            ///< Only statements of open transactions are accepted.
 };
 
-/// What a proxy still has to do for its callers.
+/// The work that a proxy still has for its callers.
 struct OpenWork {
   std::size_t Statements = 0;
   std::size_t Transactions = 0;
 };
 
-/// A stop that cut a statement would leave its caller with an unknown
-/// outcome, and one at once would cut the callers whom the balancer still
-/// sends. So the proxy isn't ready from the first moment, serves for a while
-/// as before, then refuses what is new and ends when nothing is left.
-/// Transactions may go on for as long as they may idle; then they are rolled
-/// back, since a caller could hold one open for ever. The stop lasts at most
-/// the longer of the two bounds and one deadline.
+/// Interrupting a statement would leave its caller with an unknown outcome, and
+/// an immediate stop would fail the callers that the balancer still sends. So
+/// the proxy reports that it is not ready, serves as before for a while, then
+/// refuses new work and ends when nothing is left. Transactions may continue
+/// for the idle timeout and are then rolled back, since a caller could hold one
+/// open for ever. The stop lasts at most the longer of the two bounds plus one
+/// deadline.
 class GracefulStop {
 public:
-  /// Without work for this long the last answers have left the process.
+  /// After this long without work, the last answers have left the process.
   static constexpr Millis QuietPeriod = Millis(50);
 
-  /// \p ReadinessDelay is how long the balancer may take to see that the proxy
-  /// isn't ready.
+  /// \p ReadinessDelay is how long the balancer may take to notice that the
+  /// proxy is not ready.
   GracefulStop(Millis Now, Millis ReadinessDelay, Millis TransactionBound)
       : ClosesAt(Now + ReadinessDelay),
         TransactionsEndAt(Now + TransactionBound) {}
@@ -46,19 +46,20 @@
     return Now < ClosesAt ? Intake::NoNewTransactions : Intake::Closed;
   }
 
-  /// True when open transactions are to be rolled back as they fall idle.
+  /// True if open transactions are to be rolled back when they become idle.
   bool rollsBackIdleTransactions(Millis Now) const {
     return Now >= TransactionsEndAt;
   }
 
-  /// Takes in what is open; true once the process may end.
-  bool update(OpenWork Left, Millis Now);
+  /// Updates the stop with the remaining work; returns true if the process may
+  /// end.
+  bool update(OpenWork Remaining, Millis Now);
 
 private:
   Millis ClosesAt;
   Millis TransactionsEndAt;
   /// The last moment at which there was work.
-  Millis LastWork;
+  Millis LastWorkAt;
 };
 
 } // namespace corianderdyke
--- a/Source/Proxy/IdempotencyKey.cpp
+++ b/Source/Proxy/IdempotencyKey.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr std::size_t MaxOpaqueBytes = 100;
-/// The year 5138; more would overflow sums.
+/// In the year 5138; later times could overflow sums.
 constexpr std::uint64_t LatestIssue = 100000000000000;
 
-bool isPlain(char Each) {
+bool isPrintable(char Each) {
   return std::isgraph(static_cast<unsigned char>(Each)) != 0;
 }
 
@@ -29,7 +29,7 @@
   Out.Opaque = Dash == Text.size() ? "" : Text.substr(Dash + 1);
   if (Issued == 0 || Issued > LatestIssue || Out.Opaque.empty() ||
       Out.Opaque.size() > MaxOpaqueBytes ||
-      !std::all_of(Out.Opaque.begin(), Out.Opaque.end(), isPlain))
+      !std::all_of(Out.Opaque.begin(), Out.Opaque.end(), isPrintable))
     return fail(ErrorCode::BadInput,
                 "'" + Text.substr(0, MaxOpaqueBytes) +
                     "' isn't of the form <milliseconds since 1970>-<1 to " +
--- a/Source/Proxy/IdempotencyKey.h
+++ b/Source/Proxy/IdempotencyKey.h
@@ -13,27 +13,28 @@
 
 /// "<milliseconds since 1970>-<up to 100 of the caller's own characters>".
 ///
-/// The target writes the key in the transaction of the statement that it
-/// stands for, so that neither a proxy's nor a primary's death parts the two.
-/// It can't keep keys for ever. A key that was forgotten would run again, so
-/// each carries the time of its issue, and one that may have been forgotten
-/// is refused.
+/// The target stores the key in the same transaction as the statement, so that
+/// a failure of a proxy or a primary cannot separate the two. Targets discard
+/// old keys, and a request with a discarded key would run again. So each key
+/// contains the time of its issue, and a key that may have been discarded is
+/// refused.
 class IdempotencyKey {
 public:
-  /// How far the clocks of callers, proxies and targets may be from the true
-  /// time. Targets keep keys for the manifest's retention and twice this, so
-  /// that no proxy accepts a key that a target has forgotten.
+  /// How far the clocks of callers, proxies and targets may deviate from the
+  /// true time. Targets keep keys for the manifest's retention plus twice this,
+  /// so that no proxy accepts a key that a target has discarded.
   static constexpr Millis ClockTolerance = Millis(60000);
 
-  /// BadInput where \p Text isn't of that form.
+  /// Parses the form above; BadInput if \p Text has another form.
   static Expected<IdempotencyKey> parse(const std::string &Text);
 
-  /// Conflict where the key was issued before the retention, or in the
+  /// Conflict if the key is older than \p Retention or was issued in the
   /// future.
   Expected<void> check(Millis WallTime, Millis Retention) const;
 
-  /// As the target sees it. Two organisations may choose the same characters;
-  /// without its name one would get the other's answer.
+  /// The key as sent to the target. It includes the organisation's name, since
+  /// two organisations may choose the same characters and one would get the
+  /// other's answer.
   std::string textFor(const std::string &Organisation) const;
 
   auto operator<=>(const IdempotencyKey &) const = default;
--- a/Source/Proxy/PrimaryWaitLimit.cpp
+++ b/Source/Proxy/PrimaryWaitLimit.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Decides how long a statement may wait for a change of primary.
+/// Limits how long a statement may wait for a change of primary.
 
 #include "Proxy/PrimaryWaitLimit.h"
 
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Twice the longest ordinary change: detection and the end of all leases.
-constexpr std::int64_t OrdinaryChanges = 2;
+/// The limit is twice the longest ordinary failover, which consists of the
+/// detection and the expiry of all leases.
+constexpr std::int64_t FailoverTimeFactor = 2;
 
 } // namespace
 
@@ -30,7 +31,7 @@
     return Now;
   const Millis Span = (View.CurrentManifest->Failover.SuspectAfter +
                        View.CurrentManifest->Failover.LeaseDuration) *
-                      OrdinaryChanges;
+                      FailoverTimeFactor;
   const auto Since = WithoutPrimarySince.find(Database);
   return (Since == WithoutPrimarySince.end() ? Now : Since->second) + Span;
 }
--- a/Source/Proxy/PrimaryWaitLimit.h
+++ b/Source/Proxy/PrimaryWaitLimit.h
@@ -1,5 +1,5 @@
 /// \file
-/// Decides how long a statement may wait for a change of primary.
+/// Limits how long a statement may wait for a change of primary.
 
 #ifndef CORIANDERDYKE_PROXY_PRIMARYWAITLIMIT_H
 #define CORIANDERDYKE_PROXY_PRIMARYWAITLIMIT_H
@@ -8,18 +8,18 @@
 
 namespace corianderdyke {
 
-/// Waiting is useful while a primary is being replaced: that ends within the
-/// time of detection, of the leases and of a few round trips, and a caller
-/// that waits sees a slow answer in place of a refusal. Once the change takes
-/// much longer than that, something is missing that waiting doesn't bring,
-/// and every caller would wait its whole patience for a refusal.
+/// Waiting is useful while a primary is being replaced: the change takes the
+/// time of the detection, of the leases and of a few round trips, and a waiting
+/// caller gets a slow answer instead of a refusal. Once a change takes much
+/// longer, it lacks something that waiting does not provide, and every caller
+/// would wait until its deadline for a refusal.
 class PrimaryWaitLimit {
 public:
-  /// Notes which databases have no primary.
+  /// Records which databases have no primary.
   void update(const ClusterView &View, Millis Now);
 
-  /// Until when a statement that can't reach the primary at \p Now may wait;
-  /// not after \p Now where it's better refused at once.
+  /// Returns until when a statement that cannot reach the primary at \p Now may
+  /// wait; a time not after \p Now means that it should be refused at once.
   Millis waitDeadline(const ClusterView &View, const std::string &Database,
                       Millis Now) const;
 
--- a/Source/Proxy/ProxyNode.cpp
+++ b/Source/Proxy/ProxyNode.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A proxy: its lease, its view of the decisions, and its callers.
+/// A proxy process: its lease, its cluster view and the service for callers.
 
 #include "Proxy/ProxyNode.h"
 
@@ -12,19 +12,19 @@
 namespace {
 
 constexpr Millis TickInterval(10);
-/// A lease is asked for this many times in its duration, so that one lost
-/// datagram or a change of the control leader doesn't end it.
+/// A lease is renewed this many times in its duration, so that one lost
+/// datagram or a change of the control leader does not end it.
 constexpr std::int64_t RequestsPerLease = 5;
 constexpr Millis RequestIntervalWithoutManifest(100);
-/// How often the targets' silence is looked at in the time after which one is
-/// suspected: a twentieth of it is added to the failover gap at the most.
-constexpr std::int64_t SilenceChecks = 20;
-/// Another control host is asked after this long without an answer.
-constexpr Millis LeaderPatience(250);
-/// Rights are asked for twenty times in their duration, and within the time
-/// that a new connection costs four times over where callers wait for them.
+/// The number of reachability checks in the time after which a target is
+/// suspected. The check adds at most a twentieth of that time to a failover.
+constexpr std::int64_t ReachabilityChecks = 20;
+/// After this long without an answer, requests go to another control host.
+constexpr Millis LeaderAnswerTimeout(250);
+/// Rights are requested twenty times in their duration or, while callers wait
+/// for connections, at an interval of about four times the cost of opening one.
 constexpr Millis RightsInterval(500);
-constexpr Millis RightsIntervalWhenShort(50);
+constexpr Millis RightsIntervalWhenWaiting(50);
 constexpr int StatusAccepted = 202;
 constexpr int StatusBadRequest = 400;
 constexpr int StatusForbidden = 403;
@@ -42,8 +42,8 @@
 void ProxyNode::start() {
   Deps.Peers.signalReceived().connect(
       sigc::mem_fun(*this, &ProxyNode::receive));
-  // A dead primary is reported at once, not with the next renewal: it's the
-  // first part of the failover gap.
+  // A failed primary is reported at once, not with the next renewal, because
+  // the detection time is part of the failover time.
   Watcher.signalRefused().connect(
       sigc::hide(sigc::mem_fun(*this, &ProxyNode::requestLease)));
   tick();
@@ -55,7 +55,8 @@
       View.CurrentManifest
           ? View.CurrentManifest->Failover.LeaseDuration / RequestsPerLease
           : RequestIntervalWithoutManifest;
-  if (Now - LastAnswer > LeaderPatience && Now - LastLeaseRequest >= Interval)
+  if (Now - LastAnswer > LeaderAnswerTimeout &&
+      Now - LastLeaseRequest >= Interval)
     LeaderIndex = (LeaderIndex + 1) % Options.ControlHosts.size();
   if (Now - LastLeaseRequest >= Interval)
     requestLease();
@@ -73,19 +74,20 @@
 }
 
 void ProxyNode::reportUnreachable(Millis Now) {
-  // Left to the next renewal, a silent primary would be missed later by up to
-  // the whole interval of renewals.
+  // Reporting a silent primary only with the next renewal would delay its
+  // detection by up to the whole renewal interval.
   if (!View.CurrentManifest)
     return;
   const Millis SuspectAfter = View.CurrentManifest->Failover.SuspectAfter;
-  if (Now - LastReachabilityCheck < SuspectAfter / SilenceChecks)
+  if (Now - LastReachabilityCheck < SuspectAfter / ReachabilityChecks)
     return;
   LastReachabilityCheck = Now;
-  std::set<std::string> Found = Table.unreachable(SuspectAfter, Now);
-  const bool News = !std::includes(Unreachable.begin(), Unreachable.end(),
-                                   Found.begin(), Found.end());
-  Unreachable = std::move(Found);
-  if (News)
+  std::set<std::string> NowUnreachable = Table.unreachable(SuspectAfter, Now);
+  const bool HasNewUnreachable =
+      !std::includes(Unreachable.begin(), Unreachable.end(),
+                     NowUnreachable.begin(), NowUnreachable.end());
+  Unreachable = std::move(NowUnreachable);
+  if (HasNewUnreachable)
     requestLease();
 }
 
@@ -108,8 +110,9 @@
     HeldRights = false;
     Statements.rightsChanged();
   }
-  const Millis Interval =
-      Statements.needsConnections() ? RightsIntervalWhenShort : RightsInterval;
+  const Millis Interval = Statements.needsConnections()
+                              ? RightsIntervalWhenWaiting
+                              : RightsInterval;
   if (View.CurrentManifest && Now - LastRightsRequest >= Interval)
     requestRights();
 }
@@ -137,8 +140,8 @@
     Statements.rightsChanged();
 }
 
-void ProxyNode::receive(const Envelope &Arrived) {
-  std::visit([&](const auto &Body) { on(Arrived, Body); }, Arrived.Body);
+void ProxyNode::receive(const Envelope &Message) {
+  std::visit([&](const auto &Body) { on(Message, Body); }, Message.Body);
 }
 
 void ProxyNode::on(const Envelope &, const LeaseGrant &Body) {
@@ -172,11 +175,11 @@
     View = New;
     Watcher.update(View);
     Statements.viewChanged();
-    // A new target has no connections here yet.
+    // This proxy has no connection rights for new targets yet.
     requestRights();
   }
-  // Also for one that was known: the control host may have missed the
-  // confirmation.
+  // A known revision is confirmed again, since the control host may have missed
+  // the confirmation.
   Deps.Peers.send(Sender, Delivery::Datagram,
                   ViewApplied{Id, Lease.appliedRevision()});
 }
@@ -201,16 +204,16 @@
   Statements.setIntake(Stop->intake(Now));
   if (Stop->rollsBackIdleTransactions(Now))
     Statements.endIdleTransactions();
-  const OpenWork Left{Statements.openStatements(),
-                      Statements.openTransactions()};
-  if (OnStopped && Stop->update(Left, Now))
+  const OpenWork Remaining{Statements.openStatements(),
+                           Statements.openTransactions()};
+  if (OnStopped && Stop->update(Remaining, Now))
     std::exchange(OnStopped, nullptr)();
 }
 
 void ProxyNode::handle(const HttpRequest &Request,
                        std::shared_ptr<HttpExchange> Exchange) {
-  if (const auto What = operationFor(Request.Path))
-    Statements.handle(*What, Request, std::move(Exchange));
+  if (const auto Operation = operationFor(Request.Path))
+    Statements.handle(*Operation, Request, std::move(Exchange));
   else if (Request.Path == "/announce")
     announce(Request, *Exchange);
   else
@@ -227,17 +230,17 @@
     return;
   }
   const auto Address = Endpoint::parse(Request.header("Target-Address"));
-  TargetAnnouncement Said{Request.header("Target-Name"),
-                          Request.header("Target-Database"),
-                          {Request.header("Target-Region"),
-                           Request.header("Target-Failure-Domain"),
-                           Request.header("Target-Host")},
-                          Address.value_or(Endpoint()),
-                          numberOr(Request.header("Target-Sequence"), 0),
-                          Request.header("Target-Leaving") == "true",
-                          Request.header("Target-Log")};
-  if (!Address || Said.Name.empty() || Said.Database.empty() ||
-      Said.Sequence == 0) {
+  TargetAnnouncement Announcement{
+      Request.header("Target-Name"),
+      Request.header("Target-Database"),
+      {Request.header("Target-Region"), Request.header("Target-Failure-Domain"),
+       Request.header("Target-Host")},
+      Address.value_or(Endpoint()),
+      numberOr(Request.header("Target-Sequence"), 0),
+      Request.header("Target-Leaving") == "true",
+      Request.header("Target-Log")};
+  if (!Address || Announcement.Name.empty() || Announcement.Database.empty() ||
+      Announcement.Sequence == 0) {
     Exchange.respond({StatusBadRequest,
                       {},
                       "Target-Name, Target-Database, Target-Address and "
@@ -245,7 +248,7 @@
     return;
   }
   Deps.Peers.send(leader().PeerEndpoint, Delivery::Stream,
-                  ForwardedAnnouncement{std::move(Said)});
+                  ForwardedAnnouncement{std::move(Announcement)});
   Exchange.respond({StatusAccepted, {}, "passed on\n"});
 }
 
--- a/Source/Proxy/ProxyNode.h
+++ b/Source/Proxy/ProxyNode.h
@@ -1,5 +1,5 @@
 /// \file
-/// A proxy: its lease, its view of the decisions, and its callers.
+/// A proxy process: its lease, its cluster view and the service for callers.
 
 #ifndef CORIANDERDYKE_PROXY_PROXYNODE_H
 #define CORIANDERDYKE_PROXY_PROXYNODE_H
@@ -34,16 +34,16 @@
     return Statements.isBound(Peer);
   }
 
-  /// Closes what isn't in use and gives the rights to it back, before a
-  /// planned stop. Otherwise nobody could use them until they expire.
+  /// Closes idle connections and returns the rights to them before a planned
+  /// stop. Otherwise no proxy could use them until the rights expire.
   void releaseRights();
 
   /// True while the balancer may send callers here.
   bool isReady() const;
 
-  /// Begins a planned stop: not ready from now on, serves what is in flight
-  /// and queued, ends open transactions by their idle bound, then calls
-  /// \p OnDone once. A second call does nothing.
+  /// Begins a planned stop: the proxy is not ready any more, serves the
+  /// statements in flight and queued, ends open transactions by their idle
+  /// timeout and then calls \p OnDone once. A second call does nothing.
   void drain(std::function<void()> OnDone);
 
   const ClusterView &view() const { return View; }
@@ -64,7 +64,7 @@
   void requestRights();
   void renewRights(Millis Now);
   void reportUnreachable(Millis Now);
-  void receive(const Envelope &Arrived);
+  void receive(const Envelope &Message);
   void on(const Envelope &From, const LeaseGrant &Body);
   void on(const Envelope &From, const NotLeader &Body);
   void on(const Envelope &From, const RightsGrant &Body);
@@ -87,7 +87,7 @@
   std::optional<GracefulStop> Stop;
   std::function<void()> OnStopped;
   WriteGapMeter WriteGaps;
-  /// Index in Options.Controls of the host that is asked for leases.
+  /// Index in Options.ControlHosts of the host that receives the requests.
   std::size_t LeaderIndex = 0;
   Millis LastLeaseRequest = Millis(-1000000);
   Millis LastAnswer;
--- a/Source/Proxy/StatementJob.h
+++ b/Source/Proxy/StatementJob.h
@@ -1,5 +1,5 @@
 /// \file
-/// A caller's statement on its way through the proxy.
+/// The state of a caller's statement while the proxy processes it.
 
 #ifndef CORIANDERDYKE_PROXY_STATEMENTJOB_H
 #define CORIANDERDYKE_PROXY_STATEMENTJOB_H
@@ -15,7 +15,7 @@
 namespace corianderdyke {
 
 struct StatementJob {
-  /// How far it is; what a refusal may say depends on it.
+  /// The stage of processing, which determines the outcome of a refusal.
   enum class Stage : std::uint8_t {
     Choosing,
     Queued,
@@ -34,12 +34,12 @@
   Scheduler::TimerId PrimaryWaitTimer = 0;
   Stage CurrentStage = Stage::Choosing;
   unsigned Attempts = 0;
-  bool IsAdmitted = false; ///< Its turn has come.
-  /// Some try went out and got no answer: it may have run whatever the later
-  /// tries say.
+  bool IsAdmitted = false; ///< Admission has let it run.
+  /// Some attempt was sent and got no answer: the statement may have run,
+  /// whatever the result of later attempts.
   bool AnswerLost = false;
-  std::set<std::string>
-      ExcludedTargets; ///< Targets that failed this statement.
+  /// Targets that failed this statement.
+  std::set<std::string> ExcludedTargets;
   std::weak_ptr<ConnectionPool> Pool;
   ConnectionPool::Ticket PoolTicket = 0;
   DurabilityGate::Ticket GateTicket = 0;
--- a/Source/Proxy/StatementReply.cpp
+++ b/Source/Proxy/StatementReply.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a caller is told of its statement.
+/// The proxy's replies to callers and their outcomes.
 
 #include "Proxy/StatementReply.h"
 
@@ -22,11 +22,11 @@
   return "unknown";
 }
 
-Millis RetryAfterJitter::next(Millis Least) {
+Millis RetryAfterJitter::next(Millis Minimum) {
   State = XXH64(&State, sizeof(State), 0);
   const auto Span =
-      static_cast<std::uint64_t>(std::max<std::int64_t>(Least.count(), 1));
-  return Least + Millis(static_cast<std::int64_t>(State % Span));
+      static_cast<std::uint64_t>(std::max<std::int64_t>(Minimum.count(), 1));
+  return Minimum + Millis(static_cast<std::int64_t>(State % Span));
 }
 
 HttpResponse plainReply(int Status, const std::string &Reason) {
--- a/Source/Proxy/StatementReply.h
+++ b/Source/Proxy/StatementReply.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a caller is told of its statement.
+/// The proxy's replies to callers and their outcomes.
 
 #ifndef CORIANDERDYKE_PROXY_STATEMENTREPLY_H
 #define CORIANDERDYKE_PROXY_STATEMENTREPLY_H
@@ -9,17 +9,17 @@
 
 namespace corianderdyke {
 
-/// What became of one try of a statement, as far as the caller may rely on
-/// it. It speaks of this try alone: after an unknown outcome only a later
-/// "done", or an answer of the target about the key, settles the statement.
+/// The outcome of one attempt of a statement, as far as the caller may rely on
+/// it. It applies to this attempt alone: after an unknown outcome, only a later
+/// "done" or a target's answer about the key settles the statement.
 enum class Outcome : std::uint8_t {
-  Done,    ///< It ran; what it wrote survives a failover.
+  Done,    ///< It ran; its writes survive a failover.
   NotRun,  ///< No byte of it reached a target, or the target itself refused
            ///< it before running it.
-  Unknown, ///< It may have run; ask again with the same key.
+  Unknown, ///< It may have run; retry with the same key.
 };
 
-/// The outcome as it stands in the header.
+/// The value of the outcome header.
 std::string outcomeHeader(Outcome Value);
 
 namespace reply_status {
@@ -32,23 +32,23 @@
 constexpr int Unknown = 504;
 } // namespace reply_status
 
-/// Says when refused callers should come back. Those refused together would
-/// come back together and be refused again; so each is told a little more
-/// than the least, spread evenly up to twice as much.
+/// Computes the retry delay of refused callers. Callers that are refused
+/// together would retry together and be refused again, so the delays are
+/// uniformly distributed between the minimum and twice the minimum.
 class RetryAfterJitter {
 public:
   explicit RetryAfterJitter(std::uint64_t Seed) : State(Seed) {}
 
-  Millis next(Millis Least);
+  Millis next(Millis Minimum);
 
 private:
   std::uint64_t State;
 };
 
-/// An answer that the proxy gives itself.
+/// A reply that does not come from a target.
 HttpResponse plainReply(int Status, const std::string &Reason);
 
-/// Such an answer with the time to come back.
+/// A reply that does not come from a target, with a retry delay.
 HttpResponse refusalReply(int Status, const std::string &Why,
                           Millis RetryAfter);
 
--- a/Source/Proxy/StatementRequest.cpp
+++ b/Source/Proxy/StatementRequest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A caller's statement, as its headers say it.
+/// A caller's statement, parsed from its HTTP headers.
 
 #include "Proxy/StatementRequest.h"
 
@@ -14,18 +14,18 @@
   return fail(ErrorCode::BadInput, Name + ": " + Why);
 }
 
-/// Statements inside a transaction take effect with its commit, which carries
-/// the key for all of them.
-bool needsKey(const StatementRequest &Of) {
-  if (Of.Operation == StatementOperation::Commit)
+/// Statements inside a transaction take effect with its commit, which has the
+/// key for all of them.
+bool needsKey(const StatementRequest &Statement) {
+  if (Statement.Operation == StatementOperation::Commit)
     return true;
-  return Of.Operation == StatementOperation::Run && Of.Transaction.empty() &&
-         !Of.Kind.Idempotent;
+  return Statement.Operation == StatementOperation::Run &&
+         Statement.Transaction.empty() && !Statement.Kind.Idempotent;
 }
 
-bool needsTransaction(StatementOperation What) {
-  return What == StatementOperation::Commit ||
-         What == StatementOperation::Rollback;
+bool needsTransaction(StatementOperation Operation) {
+  return Operation == StatementOperation::Commit ||
+         Operation == StatementOperation::Rollback;
 }
 
 } // namespace
@@ -84,16 +84,16 @@
     return badHeader(caller_header::Session, Session.error().Message);
   Out.Session = *Session;
   Out.Timeout = Kind->Deadline;
-  const std::string &Asked = Request.header(caller_header::DeadlineMs);
-  if (!Asked.empty()) {
-    const std::uint64_t Span = numberOr(Asked, 0);
-    if (Span == 0)
+  const std::string &DeadlineText = Request.header(caller_header::DeadlineMs);
+  if (!DeadlineText.empty()) {
+    const std::uint64_t Requested = numberOr(DeadlineText, 0);
+    if (Requested == 0)
       return badHeader(caller_header::DeadlineMs,
-                       "'" + Asked + "' isn't a number of milliseconds");
-    // Compared before it's converted: a span beyond the signed range would
-    // turn negative, and the caller that waits longest were refused at once.
-    if (Span < static_cast<std::uint64_t>(Out.Timeout.count()))
-      Out.Timeout = Millis(static_cast<std::int64_t>(Span));
+                       "'" + DeadlineText + "' isn't a number of milliseconds");
+    // The comparison precedes the conversion: a value beyond the signed range
+    // would become negative, and the longest timeout would expire at once.
+    if (Requested < static_cast<std::uint64_t>(Out.Timeout.count()))
+      Out.Timeout = Millis(static_cast<std::int64_t>(Requested));
   }
   Out.Body = Request.Body;
   return Out;
--- a/Source/Proxy/StatementRequest.h
+++ b/Source/Proxy/StatementRequest.h
@@ -1,5 +1,5 @@
 /// \file
-/// A caller's statement, as its headers say it.
+/// A caller's statement, parsed from its HTTP headers.
 
 #ifndef CORIANDERDYKE_PROXY_STATEMENTREQUEST_H
 #define CORIANDERDYKE_PROXY_STATEMENTREQUEST_H
@@ -25,24 +25,24 @@
 constexpr const char *Target = "Corianderdyke-Target";
 } // namespace caller_header
 
-/// What a caller wants done, by the path that it asked.
+/// The operation that a caller requests by its path.
 enum class StatementOperation : std::uint8_t { Run, Begin, Commit, Rollback };
 
-/// The verb of a path; nothing where the path is no statement's.
+/// The operation of a path; nothing if the path is not one of a statement.
 std::optional<StatementOperation> operationFor(const std::string &Path);
 
-/// Everything that the proxy needs of a statement; the body passes through
-/// unread.
+/// The attributes of a statement that the proxy uses. The body is forwarded
+/// without being parsed.
 struct StatementRequest {
   StatementOperation Operation = StatementOperation::Run;
   std::string Database;
   std::string Organisation;
   RequestKindPolicy Kind;
-  /// Nothing where the kind is repeatable and none was sent.
+  /// Nothing if the kind is idempotent and no key was sent.
   std::optional<IdempotencyKey> Key;
-  std::string Transaction; ///< Empty where it belongs to none.
+  std::string Transaction; ///< Empty if it belongs to none.
   SessionToken Session;
-  Millis Timeout; ///< A span from the arrival.
+  Millis Timeout; ///< Counted from the arrival.
   std::string Body;
   std::string CallerConnection; ///< The caller's connection.
 
--- a/Source/Proxy/StatementService.cpp
+++ b/Source/Proxy/StatementService.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Carries callers' statements to targets and the answers back.
+/// Forwards callers' statements to targets and returns their answers.
 
 #include "Proxy/StatementService.h"
 
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// The least that a refused caller is told to wait.
+/// The minimum retry delay of refused callers.
 constexpr Millis RetryAfter(100);
-/// Targets that one statement is tried at before it's given up. A read that
-/// every target loses would otherwise go round until its deadline and load
-/// each of them.
-constexpr unsigned MaxTries = 3;
+/// The number of attempts before a statement is refused. A read that fails at
+/// every target would otherwise be retried until its deadline and load each of
+/// them.
+constexpr unsigned MaxAttempts = 3;
 
 } // namespace
 
@@ -30,7 +30,7 @@
                                    std::string SessionKey)
     : Deps(Deps), View(View), Lease(Lease), Table(Table),
       SessionKey(std::move(SessionKey)), Rights(Rights), Pools(Deps.Connector),
-      Queues(Self.Incarnation), Plan(View, Pools, Queues), Gate(View, Table),
+      Queues(Self.Incarnation), Limiter(View, Pools, Queues), Gate(View, Table),
       Transactions(Deps.Timers, Self), RetryDelays(Self.Incarnation) {
   Watcher.signalChanged().connect(
       sigc::mem_fun(*this, &StatementService::handleTargetChange));
@@ -44,38 +44,41 @@
         Deps.Timers.cancel(Timer);
 }
 
-void StatementService::handle(StatementOperation What,
+void StatementService::handle(StatementOperation Operation,
                               const HttpRequest &Request,
                               std::shared_ptr<HttpExchange> Exchange) {
-  auto Each = std::make_shared<Job>();
-  Each->Id = NextId++;
-  Each->Exchange = std::move(Exchange);
-  Jobs[Each->Id] = Each;
-  // Without a lease this proxy may be cut off from a newer manifest or a
-  // newer primary; whatever it served could be forbidden by now.
+  auto CurrentJob = std::make_shared<Job>();
+  CurrentJob->Id = NextId++;
+  CurrentJob->Exchange = std::move(Exchange);
+  Jobs[CurrentJob->Id] = CurrentJob;
+  // A proxy without a lease may not have received a newer manifest or the
+  // change to a newer primary, so serving may not be allowed any more.
   if (!hasLease() || !View.CurrentManifest)
-    return rejectWithRetry(Each, "this proxy holds no lease at the moment");
+    return rejectWithRetry(CurrentJob,
+                           "this proxy holds no lease at the moment");
   auto Parsed =
-      parseStatement(What, Request, *View.CurrentManifest, SessionKey);
+      parseStatement(Operation, Request, *View.CurrentManifest, SessionKey);
   if (!Parsed)
-    return reject(Each, reply_status::BadRequest, Parsed.error().Message);
-  Each->Statement = std::move(*Parsed);
-  if (Each->Statement.Key)
-    if (const auto Good = Each->Statement.Key->check(
+    return reject(CurrentJob, reply_status::BadRequest, Parsed.error().Message);
+  CurrentJob->Statement = std::move(*Parsed);
+  if (CurrentJob->Statement.Key)
+    if (const auto Valid = CurrentJob->Statement.Key->check(
             Deps.Time.wallTime(),
             View.CurrentManifest->Limits.IdempotencyKeyRetention);
-        !Good)
-      return reject(Each, reply_status::Gone, Good.error().Message);
-  if (!isAccepted(Each->Statement))
-    return rejectWithRetry(Each, "this proxy is about to stop");
-  Each->DeadlineAt = Deps.Time.now() + Each->Statement.Timeout;
-  Each->DeadlineTimer = Deps.Timers.after(
-      Each->Statement.Timeout, [this, Each] { handleDeadline(Each); });
-  Each->Exchange->onDisconnect([this, Weak = std::weak_ptr<Job>(Each)] {
-    if (const JobPtr Left = Weak.lock())
-      handleCallerAbort(Left);
-  });
-  start(Each);
+        !Valid)
+      return reject(CurrentJob, reply_status::Gone, Valid.error().Message);
+  if (!isAccepted(CurrentJob->Statement))
+    return rejectWithRetry(CurrentJob, "this proxy is about to stop");
+  CurrentJob->DeadlineAt = Deps.Time.now() + CurrentJob->Statement.Timeout;
+  CurrentJob->DeadlineTimer =
+      Deps.Timers.after(CurrentJob->Statement.Timeout,
+                        [this, CurrentJob] { handleDeadline(CurrentJob); });
+  CurrentJob->Exchange->onDisconnect(
+      [this, Weak = std::weak_ptr<Job>(CurrentJob)] {
+        if (const JobPtr Aborted = Weak.lock())
+          handleCallerAbort(Aborted);
+      });
+  start(CurrentJob);
 }
 
 bool StatementService::isAccepted(const StatementRequest &Statement) const {
@@ -86,10 +89,10 @@
           Statement.Operation != StatementOperation::Begin);
 }
 
-void StatementService::start(const JobPtr &Each) {
-  if (Each->Statement.Transaction.empty())
-    return dispatch(Each);
-  startInTransaction(Each);
+void StatementService::start(const JobPtr &CurrentJob) {
+  if (CurrentJob->Statement.Transaction.empty())
+    return dispatch(CurrentJob);
+  startInTransaction(CurrentJob);
 }
 
 std::set<std::string> StatementService::databasesInUse() const {
@@ -100,72 +103,76 @@
   return Out;
 }
 
-void StatementService::dispatch(const JobPtr &Each) {
-  if (Each->CurrentStage == Job::Stage::Finished)
+void StatementService::dispatch(const JobPtr &CurrentJob) {
+  if (CurrentJob->CurrentStage == Job::Stage::Finished)
     return;
-  Each->CurrentStage = Job::Stage::Choosing;
+  CurrentJob->CurrentStage = Job::Stage::Choosing;
   if (!hasLease())
-    return rejectWithRetry(Each, "the lease of this proxy ran out");
-  const auto Found = choose(*Each);
+    return rejectWithRetry(CurrentJob, "the lease of this proxy ran out");
+  const auto Found = choose(*CurrentJob);
   if (!Found && Found.error().Code != ErrorCode::Unavailable)
-    return reject(Each, reply_status::Conflict, Found.error().Message);
+    return reject(CurrentJob, reply_status::Conflict, Found.error().Message);
   if (!Found)
-    return waitForPrimary(Each, Found.error().Message);
-  if (!Each->IsAdmitted)
-    return enqueue(Each);
-  Each->ChosenRoute = *Found;
-  acquire(Each);
+    return waitForPrimary(CurrentJob, Found.error().Message);
+  if (!CurrentJob->IsAdmitted)
+    return enqueue(CurrentJob);
+  CurrentJob->ChosenRoute = *Found;
+  acquire(CurrentJob);
 }
 
-Expected<Route> StatementService::choose(const Job &Each) const {
-  const StatementRequest &Statement = Each.Statement;
+Expected<Route> StatementService::choose(const Job &CurrentJob) const {
+  const StatementRequest &Statement = CurrentJob.Statement;
   const auto Floor = Statement.Session.floor(Statement.Database);
   const RouteQuery Query{Statement.Database,
                          Statement.isWrite() ? Access::Write : Access::Read,
                          Statement.Kind.MaxStaleness,
                          Floor,
                          Statement.Session.isPartial() && !Floor,
-                         Each.ExcludedTargets};
+                         CurrentJob.ExcludedTargets};
   return route(
       View, Table, Query,
       [this](const std::string &Target) { return Pools.load(Target); },
       Deps.Time.now());
 }
 
-void StatementService::enqueue(const JobPtr &Each) {
-  Each->CurrentStage = Job::Stage::Queued;
-  const StatementRequest &Of = Each->Statement;
-  rejectRefused(Queues.admit({Each->Id, Of.Database,
-                              Of.isWrite() ? Access::Write : Access::Read,
-                              Of.Organisation, Of.Kind.Name, Each->DeadlineAt},
-                             Deps.Time.now()));
-  dispatchQueued(Of.Database);
+void StatementService::enqueue(const JobPtr &CurrentJob) {
+  CurrentJob->CurrentStage = Job::Stage::Queued;
+  const StatementRequest &Statement = CurrentJob->Statement;
+  rejectRefused(Queues.admit(
+      {CurrentJob->Id, Statement.Database,
+       Statement.isWrite() ? Access::Write : Access::Read,
+       Statement.Organisation, Statement.Kind.Name, CurrentJob->DeadlineAt},
+      Deps.Time.now()));
+  dispatchQueued(Statement.Database);
 }
 
 void StatementService::dispatchQueued(const std::string &Database) {
-  // What is sent may end at once and call back here; the outer call goes on.
+  // A statement may end while it is being sent and call this again; the outer
+  // call continues.
   if (IsDispatching)
     return;
   IsDispatching = true;
   std::vector<Refusal> GivenUp;
-  const auto Fits = [this](std::uint64_t Id) { return canRun(Id); };
+  const auto CanRun = [this](std::uint64_t Id) { return canRun(Id); };
   while (const auto Id =
-             Queues.next(Database, Fits, Deps.Time.now(), GivenUp)) {
-    const JobPtr Each = Jobs.at(*Id);
-    Each->IsAdmitted = true;
-    dispatch(Each);
+             Queues.next(Database, CanRun, Deps.Time.now(), GivenUp)) {
+    const JobPtr CurrentJob = Jobs.at(*Id);
+    CurrentJob->IsAdmitted = true;
+    dispatch(CurrentJob);
   }
   IsDispatching = false;
   rejectRefused(GivenUp);
 }
 
 bool StatementService::canRun(std::uint64_t Id) const {
-  const Job &Each = *Jobs.at(Id);
-  const auto Found = choose(Each);
-  // What can't be routed at all is told so, and doesn't wait for a turn.
-  return !Found || Plan.hasCapacity(Found->Target, Each.Statement.Database,
-                                    Each.Statement.Operation ==
-                                        StatementOperation::Begin);
+  const Job &CurrentJob = *Jobs.at(Id);
+  const auto Found = choose(CurrentJob);
+  // A statement without a route is refused at once instead of waiting in the
+  // queue.
+  return !Found ||
+         Limiter.hasCapacity(Found->Target, CurrentJob.Statement.Database,
+                             CurrentJob.Statement.Operation ==
+                                 StatementOperation::Begin);
 }
 
 void StatementService::rejectRefused(const std::vector<Refusal> &All) {
@@ -173,9 +180,9 @@
     const auto Found = Jobs.find(Each.Request.Id);
     if (Found == Jobs.end())
       continue;
-    const JobPtr Of = Found->second;
-    Of->CurrentStage = Job::Stage::Choosing;
-    rejectWithRetry(Of, refusalText(Each.Reason), Each.RetryAfter);
+    const JobPtr Refused = Found->second;
+    Refused->CurrentStage = Job::Stage::Choosing;
+    rejectWithRetry(Refused, refusalText(Each.Reason), Each.RetryAfter);
   }
 }
 
@@ -195,10 +202,10 @@
 void StatementService::rightsChanged() {
   Pools.setLimits(limits());
   if (Deps.Time.now() >= Rights.end()) {
-    // Another proxy may be given these connections from now on; one more than
-    // the server takes would be refused there, and its caller's statement
-    // with it. The lease of this proxy ended long before, so nobody here
-    // could be answered with success any more.
+    // These connections may be granted to another proxy from now on. Kept open,
+    // they would make the server refuse the other proxy's connections and its
+    // callers' statements. The lease of this proxy expired long before, so no
+    // caller here could get a successful answer any more.
     Transactions.abandonIdle();
     while (!Calls.empty())
       handleAnswer(
@@ -209,68 +216,69 @@
     dispatchQueued(Each.Database);
 }
 
-void StatementService::acquire(const JobPtr &Each) {
-  const auto Pool = Pools.find(Each->ChosenRoute.Target);
+void StatementService::acquire(const JobPtr &CurrentJob) {
+  const auto Pool = Pools.find(CurrentJob->ChosenRoute.Target);
   if (!Pool)
-    return waitForPrimary(Each, "the target isn't known here yet");
-  Each->Pool = Pool;
-  Each->CurrentStage = Job::Stage::Acquiring;
+    return waitForPrimary(CurrentJob, "the target isn't known here yet");
+  CurrentJob->Pool = Pool;
+  CurrentJob->CurrentStage = Job::Stage::Acquiring;
   const ConnectionPool::Ticket Ticket =
-      Pool->acquire([this, Each](Expected<PooledConnection> Connection) {
-        Each->PoolTicket = 0;
+      Pool->acquire([this, CurrentJob](Expected<PooledConnection> Connection) {
+        CurrentJob->PoolTicket = 0;
         if (Connection)
-          send(Each, std::move(*Connection));
+          send(CurrentJob, std::move(*Connection));
         else
-          handleAcquireFailure(Each, Connection.error());
+          handleAcquireFailure(CurrentJob, Connection.error());
       });
-  if (Each->CurrentStage == Job::Stage::Acquiring)
-    Each->PoolTicket = Ticket;
+  if (CurrentJob->CurrentStage == Job::Stage::Acquiring)
+    CurrentJob->PoolTicket = Ticket;
 }
 
-void StatementService::handleAcquireFailure(const JobPtr &Each,
+void StatementService::handleAcquireFailure(const JobPtr &CurrentJob,
                                             const Error &Why) {
-  if (!Each->ChosenRoute.IsPrimary)
-    return retryAtAnotherTarget(Each, Why.Message);
-  // A full server doesn't become free by a change of primary; one that
-  // doesn't answer is about to be replaced.
+  if (!CurrentJob->ChosenRoute.IsPrimary)
+    return retryAtAnotherTarget(CurrentJob, Why.Message);
+  // A full server does not get free connections by a change of primary, but a
+  // primary that does not answer is about to be replaced.
   if (Why.Code == ErrorCode::Unavailable)
-    return rejectWithRetry(Each, Why.Message);
-  waitForPrimary(Each, Why.Message);
+    return rejectWithRetry(CurrentJob, Why.Message);
+  waitForPrimary(CurrentJob, Why.Message);
 }
 
-void StatementService::retryAtAnotherTarget(const JobPtr &Each,
+void StatementService::retryAtAnotherTarget(const JobPtr &CurrentJob,
                                             const std::string &Why) {
-  Each->ExcludedTargets.insert(Each->ChosenRoute.Target);
-  if (++Each->Attempts >= MaxTries)
-    return rejectWithRetry(Each, Why);
-  dispatch(Each);
+  CurrentJob->ExcludedTargets.insert(CurrentJob->ChosenRoute.Target);
+  if (++CurrentJob->Attempts >= MaxAttempts)
+    return rejectWithRetry(CurrentJob, Why);
+  dispatch(CurrentJob);
 }
 
-void StatementService::waitForPrimary(const JobPtr &Each,
+void StatementService::waitForPrimary(const JobPtr &CurrentJob,
                                       const std::string &Why) {
   const Millis Now = Deps.Time.now();
   const Millis Until =
-      PrimaryWait.waitDeadline(View, Each->Statement.Database, Now);
+      PrimaryWait.waitDeadline(View, CurrentJob->Statement.Database, Now);
   if (Until <= Now)
-    return rejectWithRetry(Each, Why);
-  Each->CurrentStage = Job::Stage::Choosing;
-  // Its turn is for another meanwhile.
-  Each->IsAdmitted = false;
-  Queues.remove(Each->Id, false, Now);
-  WaitingForPrimary[Each->Id] = Each;
-  if (Each->PrimaryWaitTimer == 0)
-    Each->PrimaryWaitTimer = Deps.Timers.after(Until - Now, [this, Each, Why] {
-      Each->PrimaryWaitTimer = 0;
-      if (WaitingForPrimary.count(Each->Id) != 0)
-        rejectWithRetry(Each, Why);
-    });
+    return rejectWithRetry(CurrentJob, Why);
+  CurrentJob->CurrentStage = Job::Stage::Choosing;
+  // Another statement may run meanwhile.
+  CurrentJob->IsAdmitted = false;
+  Queues.remove(CurrentJob->Id, false, Now);
+  WaitingForPrimary[CurrentJob->Id] = CurrentJob;
+  if (CurrentJob->PrimaryWaitTimer == 0)
+    CurrentJob->PrimaryWaitTimer =
+        Deps.Timers.after(Until - Now, [this, CurrentJob, Why] {
+          CurrentJob->PrimaryWaitTimer = 0;
+          if (WaitingForPrimary.count(CurrentJob->Id) != 0)
+            rejectWithRetry(CurrentJob, Why);
+        });
 }
 
 void StatementService::handleTargetChange(const std::string &Target) {
   Gate.resolveHeldWrites();
   const TargetAnnouncement *Known = View.target(Target);
-  const auto Woken = WaitingForPrimary;
-  for (const auto &[Id, Each] : Woken) {
+  const auto Waiting = WaitingForPrimary;
+  for (const auto &[Id, Each] : Waiting) {
     if (Known != nullptr && Known->Database != Each->Statement.Database)
       continue;
     WaitingForPrimary.erase(Id);
@@ -286,260 +294,273 @@
   Gate.resolveHeldWrites();
   const auto Known = Jobs;
   for (const auto &[Id, Each] : Known) {
-    // One that waits for a connection to a former primary would wait until
-    // the opening times out, though the new one could serve it.
+    // A statement that waits for a connection to a former primary would wait
+    // until the connection attempt times out, although the new primary could
+    // serve it.
     const GroupRecord *Group = View.group(Each->Statement.Database);
     const auto Pool = Pools.find(Each->ChosenRoute.Target);
-    const bool Moved =
+    const bool IsOutdated =
         Each->CurrentStage == Job::Stage::Acquiring &&
         (Group == nullptr || Group->Term != Each->ChosenRoute.Term || !Pool ||
          Pool != Each->Pool.lock());
-    if (WaitingForPrimary.count(Id) == 0 && !Moved)
+    if (WaitingForPrimary.count(Id) == 0 && !IsOutdated)
       continue;
     removeFromQueues(Each);
     dispatch(Each);
   }
 }
 
-void StatementService::send(const JobPtr &Each, PooledConnection Connection) {
-  const GroupRecord *Group = View.group(Each->Statement.Database);
-  const bool Draining = Group != nullptr && Each->ChosenRoute.IsPrimary &&
+void StatementService::send(const JobPtr &CurrentJob,
+                            PooledConnection Connection) {
+  const GroupRecord *Group = View.group(CurrentJob->Statement.Database);
+  const bool Draining = Group != nullptr && CurrentJob->ChosenRoute.IsPrimary &&
                         Group->Phase == GroupPhase::Draining;
-  if (Group == nullptr || Group->Term != Each->ChosenRoute.Term || Draining ||
-      !hasLease()) {
+  if (Group == nullptr || Group->Term != CurrentJob->ChosenRoute.Term ||
+      Draining || !hasLease()) {
     Connection.setReusable(true);
     Connection.close();
-    return dispatch(Each);
+    return dispatch(CurrentJob);
   }
-  Each->CurrentStage = Job::Stage::Sent;
-  Each->SentAt = Deps.Time.now();
+  CurrentJob->CurrentStage = Job::Stage::Sent;
+  CurrentJob->SentAt = Deps.Time.now();
   const std::uint64_t Id = NextId++;
-  const auto Made = Calls.emplace(Id, Call{Each, std::move(Connection)}).first;
-  Plan.recordSent(Each->ChosenRoute.Target,
-                  Each->Statement.Operation == StatementOperation::Begin);
-  if (Each->Attempts == 0)
+  const auto Made =
+      Calls.emplace(Id, Call{CurrentJob, std::move(Connection)}).first;
+  Limiter.recordSent(CurrentJob->ChosenRoute.Target,
+                     CurrentJob->Statement.Operation ==
+                         StatementOperation::Begin);
+  if (CurrentJob->Attempts == 0)
     Budget.recordFirstAttempt();
   Made->second.Connection->request(
-      requestFor(Each->Statement, Each->ChosenRoute, false), timeLeft(Each),
-      [this, Id](const Expected<HttpResponse> &Answer) {
+      requestFor(CurrentJob->Statement, CurrentJob->ChosenRoute, false),
+      timeLeft(CurrentJob), [this, Id](const Expected<HttpResponse> &Answer) {
         handleAnswer(Id, Answer);
       });
 }
 
-Millis StatementService::timeLeft(const JobPtr &Each) const {
-  // The deadline's own timer answers the caller first.
-  return std::max(Each->DeadlineAt - Deps.Time.now(), Millis()) + Millis(1);
+Millis StatementService::timeLeft(const JobPtr &CurrentJob) const {
+  // One millisecond more, so that the deadline timer answers the caller first.
+  return std::max(CurrentJob->DeadlineAt - Deps.Time.now(), Millis()) +
+         Millis(1);
 }
 
-void StatementService::recordObservation(const JobPtr &Each,
+void StatementService::recordObservation(const JobPtr &CurrentJob,
                                          const HttpResponse &Answer) {
-  Table.observe(Each->ChosenRoute.Target, parseObservation(Answer),
-                Each->SentAt, Deps.Time.now());
+  Table.observe(CurrentJob->ChosenRoute.Target, parseObservation(Answer),
+                CurrentJob->SentAt, Deps.Time.now());
 }
 
 void StatementService::handleAnswer(std::uint64_t CallId,
                                     const Expected<HttpResponse> &Answer) {
   auto Taken = Calls.extract(CallId);
-  const JobPtr Each = Taken.mapped().Owner;
-  const std::string Database = Each->Statement.Database;
-  Plan.recordAnswered(Each->ChosenRoute.Target,
-                      Each->Statement.Operation == StatementOperation::Begin);
-  const AnswerClass What = classifyAnswer(Answer);
-  Each->IsAdmitted = false;
-  Queues.remove(Each->Id, What != AnswerClass::NoAnswer, Deps.Time.now());
-  processAnswer(Each, std::move(Taken.mapped().Connection), Answer, What);
+  const JobPtr CurrentJob = Taken.mapped().Owner;
+  const std::string Database = CurrentJob->Statement.Database;
+  Limiter.recordAnswered(CurrentJob->ChosenRoute.Target,
+                         CurrentJob->Statement.Operation ==
+                             StatementOperation::Begin);
+  const AnswerClass Class = classifyAnswer(Answer);
+  CurrentJob->IsAdmitted = false;
+  Queues.remove(CurrentJob->Id, Class != AnswerClass::NoAnswer,
+                Deps.Time.now());
+  processAnswer(CurrentJob, std::move(Taken.mapped().Connection), Answer,
+                Class);
   dispatchQueued(Database);
 }
 
-void StatementService::processAnswer(const JobPtr &Each,
+void StatementService::processAnswer(const JobPtr &CurrentJob,
                                      PooledConnection Connection,
                                      const Expected<HttpResponse> &Answer,
-                                     AnswerClass What) {
-  if (What != AnswerClass::NoAnswer)
-    recordObservation(Each, *Answer);
-  Connection.setReusable(What != AnswerClass::NoAnswer &&
-                         What != AnswerClass::NotConnected);
-  // A transaction that began for a caller who has left must not stay open.
-  if (Each->CurrentStage == Job::Stage::Finished) {
-    if (Each->Statement.Operation == StatementOperation::Begin)
+                                     AnswerClass Class) {
+  if (Class != AnswerClass::NoAnswer)
+    recordObservation(CurrentJob, *Answer);
+  Connection.setReusable(Class != AnswerClass::NoAnswer &&
+                         Class != AnswerClass::NotConnected);
+  // A transaction must not stay open if its caller has disconnected.
+  if (CurrentJob->CurrentStage == Job::Stage::Finished) {
+    if (CurrentJob->Statement.Operation == StatementOperation::Begin)
       Connection.setReusable(false);
     return;
   }
-  if (What == AnswerClass::Ran &&
-      Each->Statement.Operation == StatementOperation::Begin)
-    return openTransaction(Each, std::move(Connection));
+  if (Class == AnswerClass::Ran &&
+      CurrentJob->Statement.Operation == StatementOperation::Begin)
+    return openTransaction(CurrentJob, std::move(Connection));
   Connection.close();
-  switch (What) {
+  switch (Class) {
   case AnswerClass::Ran:
-    return afterRun(Each, *Answer);
+    return afterRun(CurrentJob, *Answer);
   case AnswerClass::Failed:
-    return finishDone(Each, {Answer->Status, {}, Answer->Body});
+    return finishDone(CurrentJob, {Answer->Status, {}, Answer->Body});
   case AnswerClass::NoAnswer:
-    return afterLoss(Each);
+    return afterLostAnswer(CurrentJob);
   default:
-    return afterRefusal(Each, What, *Answer);
+    return afterRefusal(CurrentJob, Class, *Answer);
   }
 }
 
-void StatementService::afterRun(const JobPtr &Each,
+void StatementService::afterRun(const JobPtr &CurrentJob,
                                 const HttpResponse &Answer) {
-  if (Each->Statement.isWrite())
-    return holdWrite(Each, Answer);
-  ++(Each->ChosenRoute.IsPrimary ? Counts.ReadsByPrimary
-                                 : Counts.ReadsByReplica);
-  finishDone(Each, {Answer.Status, {}, Answer.Body});
+  if (CurrentJob->Statement.isWrite())
+    return holdWrite(CurrentJob, Answer);
+  ++(CurrentJob->ChosenRoute.IsPrimary ? Counts.ReadsByPrimary
+                                       : Counts.ReadsByReplica);
+  finishDone(CurrentJob, {Answer.Status, {}, Answer.Body});
 }
 
-void StatementService::afterRefusal(const JobPtr &Each, AnswerClass What,
+void StatementService::afterRefusal(const JobPtr &CurrentJob, AnswerClass Class,
                                     const HttpResponse &Answer) {
   const std::string &Reason = Answer.header(target_header::Reason);
-  Each->CurrentStage = Job::Stage::Choosing;
-  switch (What) {
+  CurrentJob->CurrentStage = Job::Stage::Choosing;
+  switch (Class) {
   case AnswerClass::TermMismatch:
-    if (Each->ChosenRoute.IsPrimary)
-      return waitForPrimary(Each, "the primary refused: " + Reason);
+    if (CurrentJob->ChosenRoute.IsPrimary)
+      return waitForPrimary(CurrentJob, "the primary refused: " + Reason);
     [[fallthrough]];
   case AnswerClass::BehindFloor:
-    return retryAtAnotherTarget(Each, "the target refused: " + Reason);
+    return retryAtAnotherTarget(CurrentJob, "the target refused: " + Reason);
   case AnswerClass::NotConnected:
-    if (++Each->Attempts >= MaxTries)
-      return rejectWithRetry(Each, "the target refused: " + Reason);
-    return dispatch(Each);
+    if (++CurrentJob->Attempts >= MaxAttempts)
+      return rejectWithRetry(CurrentJob, "the target refused: " + Reason);
+    return dispatch(CurrentJob);
   default:
-    return reject(Each, Answer.Status, Reason);
+    return reject(CurrentJob, Answer.Status, Reason);
   }
 }
 
-void StatementService::afterLoss(const JobPtr &Each) {
+void StatementService::afterLostAnswer(const JobPtr &CurrentJob) {
   const std::string Why = "the connection to the target was lost before its "
                           "answer";
-  Each->AnswerLost = true;
-  // What is sent again may have taken a target's time before; without a
-  // budget a failing target's load would come twice to those that are left.
-  if (Each->Statement.isWrite() || !Budget.tryTake())
-    return rejectWithRetry(Each, Why);
-  retryAtAnotherTarget(Each, Why);
+  CurrentJob->AnswerLost = true;
+  // The failed attempt may have used a target's time already. Without a budget,
+  // retries could double the load on the remaining targets.
+  if (CurrentJob->Statement.isWrite() || !Budget.tryTake())
+    return rejectWithRetry(CurrentJob, Why);
+  retryAtAnotherTarget(CurrentJob, Why);
 }
 
-void StatementService::holdWrite(const JobPtr &Each,
+void StatementService::holdWrite(const JobPtr &CurrentJob,
                                  const HttpResponse &Answer) {
   const PendingWrite Write{
-      Each->Statement.Database, numberOr(Answer.header(target_header::Term), 0),
+      CurrentJob->Statement.Database,
+      numberOr(Answer.header(target_header::Term), 0),
       numberOr(Answer.header(target_header::WritePosition), 0)};
-  const DurabilityGate::Ticket Ticket =
-      Gate.hold(Write, [this, Each, Write, Body = Answer.Body](Durability Now) {
-        finishWrite(Each, Write, Now, Body);
+  const DurabilityGate::Ticket Ticket = Gate.hold(
+      Write, [this, CurrentJob, Write, Body = Answer.Body](Durability Now) {
+        finishWrite(CurrentJob, Write, Now, Body);
       });
-  if (Each->CurrentStage != Job::Stage::Finished)
-    Each->GateTicket = Ticket;
+  if (CurrentJob->CurrentStage != Job::Stage::Finished)
+    CurrentJob->GateTicket = Ticket;
 }
 
-void StatementService::finishWrite(const JobPtr &Each,
+void StatementService::finishWrite(const JobPtr &CurrentJob,
                                    const PendingWrite &Write, Durability Result,
                                    const std::string &Body) {
   if (Result == Durability::Superseded)
     return rejectWithRetry(
-        Each, "the primary was replaced before the write was safe");
+        CurrentJob, "the primary was replaced before the write was safe");
   HttpResponse Out{reply_status::Ok, {}, Body};
   Out.Headers[caller_header::Session] =
-      signToken(Each->Statement.Session.withWrite(Write.Database, Write.Term,
-                                                  Write.Position),
+      signToken(CurrentJob->Statement.Session.withWrite(
+                    Write.Database, Write.Term, Write.Position),
                 SessionKey);
   if (hasLease())
     ++Counts.Writes;
-  finishDone(Each, std::move(Out));
+  finishDone(CurrentJob, std::move(Out));
 }
 
-void StatementService::finishDone(const JobPtr &Each, HttpResponse Response) {
-  // Two safeguards meet here. The copies make a write survive any promotion,
-  // so its answer stays true even if this process is stopped between this
-  // check and the sending. The lease makes sure that no proxy goes on
-  // acknowledging for a primary that others have replaced; a read is judged
-  // like a write, since a newer manifest may forbid it by now.
+void StatementService::finishDone(const JobPtr &CurrentJob,
+                                  HttpResponse Response) {
+  // An acknowledgement depends on two conditions. The copies make a write
+  // survive any promotion, so its answer stays true even if this process is
+  // suspended between this check and the sending. The lease ensures that no
+  // proxy keeps acknowledging for a primary that has been replaced; it applies
+  // to reads too, since a newer manifest may forbid them.
   if (!hasLease())
-    return rejectWithRetry(Each, "the lease ran out before the answer came");
-  finish(Each, Outcome::Done, std::move(Response));
+    return rejectWithRetry(CurrentJob,
+                           "the lease ran out before the answer came");
+  finish(CurrentJob, Outcome::Done, std::move(Response));
 }
 
-void StatementService::handleDeadline(const JobPtr &Each) {
-  Each->DeadlineTimer = 0;
-  if (Each->OwnTransaction)
-    Transactions.abandon(Each->OwnTransaction);
-  rejectWithRetry(Each, "no answer before the deadline");
+void StatementService::handleDeadline(const JobPtr &CurrentJob) {
+  CurrentJob->DeadlineTimer = 0;
+  if (CurrentJob->OwnTransaction)
+    Transactions.abandon(CurrentJob->OwnTransaction);
+  rejectWithRetry(CurrentJob, "no answer before the deadline");
 }
 
-void StatementService::handleCallerAbort(const JobPtr &Each) {
-  if (Each->CurrentStage == Job::Stage::Finished)
+void StatementService::handleCallerAbort(const JobPtr &CurrentJob) {
+  if (CurrentJob->CurrentStage == Job::Stage::Finished)
     return;
   ++Counts.CallerAborts;
-  if (Each->OwnTransaction)
-    Transactions.abandon(Each->OwnTransaction);
-  close(Each);
+  if (CurrentJob->OwnTransaction)
+    Transactions.abandon(CurrentJob->OwnTransaction);
+  close(CurrentJob);
 }
 
 void StatementService::handleDisconnect(const std::string &Peer) {
   Transactions.handleDisconnect(Peer);
 }
 
-void StatementService::rejectWithRetry(const JobPtr &Each,
+void StatementService::rejectWithRetry(const JobPtr &CurrentJob,
                                        const std::string &Why) {
-  rejectWithRetry(Each, Why, RetryDelays.next(RetryAfter));
+  rejectWithRetry(CurrentJob, Why, RetryDelays.next(RetryAfter));
 }
 
-void StatementService::rejectWithRetry(const JobPtr &Each,
+void StatementService::rejectWithRetry(const JobPtr &CurrentJob,
                                        const std::string &Why,
                                        Millis RetryAfter) {
-  const bool MayHaveRun = Each->mayHaveRun();
-  finish(Each, MayHaveRun ? Outcome::Unknown : Outcome::NotRun,
+  const bool MayHaveRun = CurrentJob->mayHaveRun();
+  finish(CurrentJob, MayHaveRun ? Outcome::Unknown : Outcome::NotRun,
          refusalReply(MayHaveRun ? reply_status::Unknown
                                  : reply_status::Unavailable,
                       Why, RetryAfter));
 }
 
-void StatementService::reject(const JobPtr &Each, int Status,
+void StatementService::reject(const JobPtr &CurrentJob, int Status,
                               const std::string &Why) {
-  finish(Each, Each->mayHaveRun() ? Outcome::Unknown : Outcome::NotRun,
+  finish(CurrentJob,
+         CurrentJob->mayHaveRun() ? Outcome::Unknown : Outcome::NotRun,
          plainReply(Status, Why));
 }
 
-void StatementService::finish(const JobPtr &Each, Outcome What,
+void StatementService::finish(const JobPtr &CurrentJob, Outcome Result,
                               HttpResponse Response) {
-  if (Each->CurrentStage == Job::Stage::Finished)
+  if (CurrentJob->CurrentStage == Job::Stage::Finished)
     return;
-  close(Each);
-  if (What == Outcome::NotRun)
+  close(CurrentJob);
+  if (Result == Outcome::NotRun)
     ++Counts.NotRun;
-  if (What == Outcome::Unknown)
+  if (Result == Outcome::Unknown)
     ++Counts.Unknown;
-  Response.Headers[caller_header::Outcome] = outcomeHeader(What);
-  if (!Each->ChosenRoute.Target.empty()) {
-    Response.Headers[caller_header::Target] = Each->ChosenRoute.Target;
+  Response.Headers[caller_header::Outcome] = outcomeHeader(Result);
+  if (!CurrentJob->ChosenRoute.Target.empty()) {
+    Response.Headers[caller_header::Target] = CurrentJob->ChosenRoute.Target;
     Response.Headers[caller_header::ServedBy] =
-        Each->ChosenRoute.IsPrimary ? "primary" : "replica";
+        CurrentJob->ChosenRoute.IsPrimary ? "primary" : "replica";
   }
-  Each->Exchange->respond(std::move(Response));
+  CurrentJob->Exchange->respond(std::move(Response));
 }
 
-void StatementService::removeFromQueues(const JobPtr &Each) {
-  WaitingForPrimary.erase(Each->Id);
-  const ConnectionPool::Ticket Asked = std::exchange(Each->PoolTicket, 0);
-  if (const auto Pool = Each->Pool.lock())
-    Pool->cancel(Asked);
+void StatementService::removeFromQueues(const JobPtr &CurrentJob) {
+  WaitingForPrimary.erase(CurrentJob->Id);
+  const ConnectionPool::Ticket Ticket =
+      std::exchange(CurrentJob->PoolTicket, 0);
+  if (const auto Pool = CurrentJob->Pool.lock())
+    Pool->cancel(Ticket);
 }
 
-void StatementService::close(const JobPtr &Each) {
-  removeFromQueues(Each);
-  // One that was sent holds its connection until its answer comes.
-  if (Each->CurrentStage != Job::Stage::Sent)
-    Queues.remove(Each->Id, false, Deps.Time.now());
-  Gate.cancel(Each->GateTicket);
+void StatementService::close(const JobPtr &CurrentJob) {
+  removeFromQueues(CurrentJob);
+  // A statement that was sent holds its connection until its answer arrives.
+  if (CurrentJob->CurrentStage != Job::Stage::Sent)
+    Queues.remove(CurrentJob->Id, false, Deps.Time.now());
+  Gate.cancel(CurrentJob->GateTicket);
   for (Scheduler::TimerId *Timer :
-       {&Each->DeadlineTimer, &Each->PrimaryWaitTimer})
+       {&CurrentJob->DeadlineTimer, &CurrentJob->PrimaryWaitTimer})
     if (*Timer != 0)
       Deps.Timers.cancel(std::exchange(*Timer, 0));
-  Each->CurrentStage = Job::Stage::Finished;
-  const std::string Database = Each->Statement.Database;
-  Jobs.erase(Each->Id);
+  CurrentJob->CurrentStage = Job::Stage::Finished;
+  const std::string Database = CurrentJob->Statement.Database;
+  Jobs.erase(CurrentJob->Id);
   dispatchQueued(Database);
 }
 
--- a/Source/Proxy/StatementService.h
+++ b/Source/Proxy/StatementService.h
@@ -1,5 +1,5 @@
 /// \file
-/// Carries callers' statements to targets and the answers back.
+/// Forwards callers' statements to targets and returns their answers.
 
 #ifndef CORIANDERDYKE_PROXY_STATEMENTSERVICE_H
 #define CORIANDERDYKE_PROXY_STATEMENTSERVICE_H
@@ -23,14 +23,14 @@
   std::uint64_t Writes = 0;
   std::uint64_t NotRun = 0;
   std::uint64_t Unknown = 0;
-  std::uint64_t CallerAborts = 0; ///< Callers that left before their answer.
+  std::uint64_t CallerAborts = 0; ///< Callers that disconnected early.
 
   auto operator<=>(const StatementCounts &) const = default;
 };
 
-/// Takes each statement through its stages: choose a target, wait for its
-/// turn, get a connection, send, judge the answer, hold a write for its copies,
-/// answer. The stages' decisions live in classes of their own.
+/// Processes each statement in stages: choose a target, wait for admission,
+/// acquire a connection, send, classify the answer, hold a write for its
+/// copies, reply. The decisions of the stages are made by separate classes.
 class StatementService : public sigc::trackable {
 public:
   struct Dependencies {
@@ -45,42 +45,44 @@
                    const ConnectionRights &Rights, std::string SessionKey);
   ~StatementService();
 
-  void handle(StatementOperation What, const HttpRequest &Request,
+  void handle(StatementOperation Operation, const HttpRequest &Request,
               std::shared_ptr<HttpExchange> Exchange);
 
-  /// A caller's connection is gone.
+  /// Handles the end of a caller's connection.
   void handleDisconnect(const std::string &Peer);
 
-  /// Takes a new view in: pools, writes of ended terms, and statements that
-  /// wait for a change or at a primary that is none any more.
+  /// Applies a new view to the pools, to writes of ended terms, and to
+  /// statements that wait for a change or for a connection to a former primary.
   void viewChanged();
 
-  /// Takes changed connection rights in. Where they have ended, everything
-  /// that is open is closed.
+  /// Applies changed connection rights. If they have expired, all connections
+  /// are closed.
   void rightsChanged();
 
-  /// Gives up what can't be served in time any more; to be called often.
+  /// Refuses statements that can no longer be served in time; must be called at
+  /// short intervals.
   void tick();
 
-  /// What this proxy does with each target, for its request for rights.
+  /// This proxy's use of each target, for its requests for connection rights.
   std::map<std::string, ConnectionUse> connectionUse() const {
-    return Plan.connectionUse();
+    return Limiter.connectionUse();
   }
 
-  /// True where callers wait for connections that it has no right to.
-  bool needsConnections() const { return Plan.needsConnections(); }
+  /// True if callers wait for connections that the proxy has no rights to.
+  bool needsConnections() const { return Limiter.needsConnections(); }
 
   std::vector<QueueStatus> queues() const { return Queues.status(); }
   const RetryBudget &retryBudget() const { return Budget; }
   void setIntake(Intake Now) { CurrentIntake = Now; }
-  /// Rolls back the transactions that wait for their callers.
+  /// Rolls back the transactions without a statement in flight.
   void endIdleTransactions() { Transactions.abandonIdle(); }
 
   const StatementCounts &counts() const { return Counts; }
   std::size_t openStatements() const { return Jobs.size(); }
-  /// Databases at whose primary something still runs.
+  /// Databases with a statement in flight at the primary or an open
+  /// transaction.
   std::set<std::string> databasesInUse() const;
-  /// True while a transaction lives on a caller's connection.
+  /// True while a transaction of the caller's connection \p Peer is open.
   bool isBound(const std::string &Peer) const {
     return Transactions.isBound(Peer);
   }
@@ -89,58 +91,58 @@
 private:
   using Job = StatementJob;
   using JobPtr = std::shared_ptr<Job>;
-  /// A statement under way on a connection of the pool. Its connection must
-  /// outlast a caller who leaves: it's clean again only with the answer.
+  /// A statement in flight on a pooled connection. The connection must outlive
+  /// a caller that disconnects, since it is reusable only after the answer.
   struct Call {
     JobPtr Owner;
     PooledConnection Connection;
   };
 
   bool isAccepted(const StatementRequest &Statement) const;
-  void start(const JobPtr &Each);
-  void startInTransaction(const JobPtr &Each);
-  void dispatch(const JobPtr &Each);
-  Expected<Route> choose(const Job &Each) const;
-  void enqueue(const JobPtr &Each);
+  void start(const JobPtr &CurrentJob);
+  void startInTransaction(const JobPtr &CurrentJob);
+  void dispatch(const JobPtr &CurrentJob);
+  Expected<Route> choose(const Job &CurrentJob) const;
+  void enqueue(const JobPtr &CurrentJob);
   bool canRun(std::uint64_t Id) const;
-  /// Sends what may be sent now.
+  /// Sends the queued statements that may run now.
   void dispatchQueued(const std::string &Database);
   void rejectRefused(const std::vector<Refusal> &All);
   TargetPools::LimitFunction limits() const;
-  void acquire(const JobPtr &Each);
-  void handleAcquireFailure(const JobPtr &Each, const Error &Why);
-  void waitForPrimary(const JobPtr &Each, const std::string &Why);
+  void acquire(const JobPtr &CurrentJob);
+  void handleAcquireFailure(const JobPtr &CurrentJob, const Error &Why);
+  void waitForPrimary(const JobPtr &CurrentJob, const std::string &Why);
   void handleTargetChange(const std::string &Target);
-  void send(const JobPtr &Each, PooledConnection Connection);
-  void sendInTransaction(const JobPtr &Each);
-  Millis timeLeft(const JobPtr &Each) const;
+  void send(const JobPtr &CurrentJob, PooledConnection Connection);
+  void sendInTransaction(const JobPtr &CurrentJob);
+  Millis timeLeft(const JobPtr &CurrentJob) const;
   void handleAnswer(std::uint64_t CallId, const Expected<HttpResponse> &Answer);
-  void processAnswer(const JobPtr &Each, PooledConnection Connection,
-                     const Expected<HttpResponse> &Answer, AnswerClass What);
-  void handleTransactionAnswer(const JobPtr &Each,
+  void processAnswer(const JobPtr &CurrentJob, PooledConnection Connection,
+                     const Expected<HttpResponse> &Answer, AnswerClass Class);
+  void handleTransactionAnswer(const JobPtr &CurrentJob,
                                const Expected<HttpResponse> &Answer);
-  void recordObservation(const JobPtr &Each, const HttpResponse &Answer);
-  void afterRun(const JobPtr &Each, const HttpResponse &Answer);
-  void afterRefusal(const JobPtr &Each, AnswerClass What,
+  void recordObservation(const JobPtr &CurrentJob, const HttpResponse &Answer);
+  void afterRun(const JobPtr &CurrentJob, const HttpResponse &Answer);
+  void afterRefusal(const JobPtr &CurrentJob, AnswerClass Class,
                     const HttpResponse &Answer);
-  void afterLoss(const JobPtr &Each);
-  void retryAtAnotherTarget(const JobPtr &Each, const std::string &Why);
-  void openTransaction(const JobPtr &Each, PooledConnection Connection);
-  void holdWrite(const JobPtr &Each, const HttpResponse &Answer);
-  void finishWrite(const JobPtr &Each, const PendingWrite &Write,
+  void afterLostAnswer(const JobPtr &CurrentJob);
+  void retryAtAnotherTarget(const JobPtr &CurrentJob, const std::string &Why);
+  void openTransaction(const JobPtr &CurrentJob, PooledConnection Connection);
+  void holdWrite(const JobPtr &CurrentJob, const HttpResponse &Answer);
+  void finishWrite(const JobPtr &CurrentJob, const PendingWrite &Write,
                    Durability Result, const std::string &Body);
-  void handleDeadline(const JobPtr &Each);
-  void handleCallerAbort(const JobPtr &Each);
-  void finishDone(const JobPtr &Each, HttpResponse Response);
-  void rejectWithRetry(const JobPtr &Each, const std::string &Why);
-  void rejectWithRetry(const JobPtr &Each, const std::string &Why,
+  void handleDeadline(const JobPtr &CurrentJob);
+  void handleCallerAbort(const JobPtr &CurrentJob);
+  void finishDone(const JobPtr &CurrentJob, HttpResponse Response);
+  void rejectWithRetry(const JobPtr &CurrentJob, const std::string &Why);
+  void rejectWithRetry(const JobPtr &CurrentJob, const std::string &Why,
                        Millis RetryAfter);
-  void reject(const JobPtr &Each, int Status, const std::string &Why);
-  void finish(const JobPtr &Each, Outcome What, HttpResponse Response);
-  /// Takes the job out of wherever it waits.
-  void removeFromQueues(const JobPtr &Each);
-  /// Ends its stages; nothing calls back for it any more.
-  void close(const JobPtr &Each);
+  void reject(const JobPtr &CurrentJob, int Status, const std::string &Why);
+  void finish(const JobPtr &CurrentJob, Outcome Result, HttpResponse Response);
+  /// Removes a job from the queues and pools in which it waits.
+  void removeFromQueues(const JobPtr &CurrentJob);
+  /// Ends a job; no callback runs for it any more.
+  void close(const JobPtr &CurrentJob);
   bool hasLease() const { return Lease.isHeld(Deps.Time.now()); }
 
   Dependencies Deps;
@@ -151,14 +153,14 @@
   const ConnectionRights &Rights;
   TargetPools Pools;
   DatabaseQueues Queues;
-  ConcurrencyLimiter Plan;
+  ConcurrencyLimiter Limiter;
   RetryBudget Budget;
   DurabilityGate Gate;
   TransactionTable Transactions;
   PrimaryWaitLimit PrimaryWait;
   RetryAfterJitter RetryDelays;
-  std::map<std::uint64_t, JobPtr> Jobs;              ///< By arrival.
-  std::map<std::uint64_t, JobPtr> WaitingForPrimary; ///< Of Jobs, for a change.
+  std::map<std::uint64_t, JobPtr> Jobs; ///< By id, in order of arrival.
+  std::map<std::uint64_t, JobPtr> WaitingForPrimary; ///< Subset of Jobs.
   std::map<std::uint64_t, Call> Calls;
   bool IsDispatching = false;
   std::uint64_t NextId = 1;
--- a/Source/Proxy/TargetPools.h
+++ b/Source/Proxy/TargetPools.h
@@ -16,26 +16,26 @@
   /// Connections that may be open to a target.
   using LimitFunction = std::function<std::size_t(const std::string &Target)>;
 
-  /// Takes a view in. A target that announced itself anew is another process,
-  /// perhaps on another address: its former connections are dead.
+  /// Applies a view. A target with a new announcement is another process,
+  /// perhaps at another address, so its old connections are unusable.
   void update(const ClusterView &View, const LimitFunction &Limit);
 
   void setLimits(const LimitFunction &Limit);
 
-  /// The pool of a target; null where the view has no such target, which may
-  /// happen between a choice and its use.
+  /// The pool of a target; null if the view has no such target, which may have
+  /// been removed since it was chosen.
   std::shared_ptr<ConnectionPool> find(const std::string &Target) const;
 
   std::vector<std::string> targets() const;
 
-  /// Statements under way at a target or waiting for one of its connections.
+  /// Statements that run at a target or wait for one of its connections.
   std::size_t load(const std::string &Target) const;
 
 private:
   struct Entry {
     Endpoint Address;
     std::uint64_t Sequence = 0;
-    /// Shared, since statements under way outlast a target's entry.
+    /// Shared, since statements in flight may outlive a target's entry.
     std::shared_ptr<ConnectionPool> Pool;
   };
 
--- a/Source/Proxy/TargetProtocol.h
+++ b/Source/Proxy/TargetProtocol.h
@@ -13,10 +13,10 @@
 constexpr const char *Term = "Target-Term";
 constexpr const char *LogTerm = "Target-Log-Term";
 constexpr const char *Position = "Target-Position";
-/// Position of the write that the answer is about: of an earlier one where
-/// the key was known.
+/// Position of the write that the answer refers to, which is an earlier write
+/// if the key was known.
 constexpr const char *WritePosition = "Target-Write-Position";
-/// How long a watch was held before its answer, in milliseconds.
+/// How long the target held a watch before its answer, in milliseconds.
 constexpr const char *HeldMs = "Target-Held-Ms";
 constexpr const char *Role = "Target-Role";
 constexpr const char *Reason = "Target-Reason";
@@ -41,11 +41,11 @@
 constexpr const char *Floor = "Statement-Floor";
 constexpr const char *Key = "Statement-Key";
 constexpr const char *Term = "Statement-Term";
-/// "open" where the statement belongs to the connection's transaction.
+/// "open" if the statement belongs to the connection's transaction.
 constexpr const char *Transaction = "Statement-Transaction";
 } // namespace statement_header
 
-/// What an answer of a target says of its term, position and role.
+/// Parses a target's term, position and role from its answer.
 inline TargetObservation parseObservation(const HttpResponse &Answer) {
   return {numberOr(Answer.header(target_header::Term), 0),
           numberOr(Answer.header(target_header::LogTerm), 0),
--- a/Source/Proxy/TargetRequest.cpp
+++ b/Source/Proxy/TargetRequest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A statement as it goes out to a target.
+/// The HTTP request that sends a statement to a target.
 
 #include "Proxy/TargetRequest.h"
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-const char *pathOf(StatementOperation What) {
-  switch (What) {
+const char *pathOf(StatementOperation Operation) {
+  switch (Operation) {
   case StatementOperation::Begin:
     return "/v1/begin";
   case StatementOperation::Commit:
--- a/Source/Proxy/TargetRequest.h
+++ b/Source/Proxy/TargetRequest.h
@@ -1,5 +1,5 @@
 /// \file
-/// A statement as it goes out to a target.
+/// The HTTP request that sends a statement to a target.
 
 #ifndef CORIANDERDYKE_PROXY_TARGETREQUEST_H
 #define CORIANDERDYKE_PROXY_TARGETREQUEST_H
@@ -9,8 +9,8 @@
 
 namespace corianderdyke {
 
-/// The request by the targets' published protocol. \p InTransaction tells
-/// that it belongs to the transaction of its connection.
+/// Builds the request in the targets' published protocol. \p InTransaction is
+/// true if it belongs to the transaction of its connection.
 HttpRequest requestFor(const StatementRequest &Statement, const Route &Chosen,
                        bool InTransaction);
 
--- a/Source/Proxy/TargetWatcher.cpp
+++ b/Source/Proxy/TargetWatcher.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps the target table up to date by asking each target all the time.
+/// Keeps the target table up to date with a pending watch at each target.
 
 #include "Proxy/TargetWatcher.h"
 
@@ -11,18 +11,19 @@
 
 namespace {
 
-/// A target without news answers after this long; it's also how often a
-/// silent target would be missed.
-constexpr Millis HoldFor(50);
+/// A target whose state does not change answers after this long, so this is
+/// also the interval at which a silent target can be noticed.
+constexpr Millis WatchHoldTime(50);
 constexpr Millis WatchTimeout(2000);
-constexpr Millis AskAgainAfter(25);
+constexpr Millis RetryInterval(25);
 
-/// How long a target held the question, by its own count. It's a span, so
-/// that no two clocks are compared; the time that the answer took bounds it.
-Millis heldBy(const HttpResponse &Answer, Millis Taken) {
-  const std::uint64_t Said = numberOr(Answer.header(target_header::HeldMs), 0);
-  const auto Most = static_cast<std::uint64_t>(Taken.count());
-  return Millis(static_cast<std::int64_t>(std::min(Said, Most)));
+/// How long a target held the request, as it reports. This is a duration, so no
+/// two clocks are compared; it is bounded by the time that the answer took.
+Millis holdTime(const HttpResponse &Answer, Millis Elapsed) {
+  const std::uint64_t Reported =
+      numberOr(Answer.header(target_header::HeldMs), 0);
+  const auto MaxHeld = static_cast<std::uint64_t>(Elapsed.count());
+  return Millis(static_cast<std::int64_t>(std::min(Reported, MaxHeld)));
 }
 
 } // namespace
@@ -48,13 +49,13 @@
   Watch &To = Found->second;
   if (!To.Connection)
     To.Connection = Connector.connect(To.Address);
-  HttpRequest Question;
-  Question.Path = "/v1/watch";
-  Question.Query["after"] = std::to_string(To.Position);
-  Question.Query["term"] = std::to_string(To.Term);
-  Question.Query["wait_ms"] = std::to_string(HoldFor.count());
+  HttpRequest Request;
+  Request.Path = "/v1/watch";
+  Request.Query["after"] = std::to_string(To.Position);
+  Request.Query["term"] = std::to_string(To.Term);
+  Request.Query["wait_ms"] = std::to_string(WatchHoldTime.count());
   To.Connection->request(
-      std::move(Question), WatchTimeout,
+      std::move(Request), WatchTimeout,
       [this, Name, Generation = To.Generation,
        AskedAt = Time.now()](const Expected<HttpResponse> &Answer) {
         handleAnswer(Name, Generation, AskedAt, Answer);
@@ -70,33 +71,34 @@
   Watch &From = Found->second;
   if (!Answer) {
     From.Connection.reset();
-    // An answer that failed at once means that nobody listens there any
-    // more; one that took the whole time says only that it's silent.
+    // A request that fails at once means that no process listens there any
+    // more; a timeout means only that the target is silent.
     if (Time.now() - AskedAt < WatchTimeout / 2) {
       Table.markRefused(Name);
       Refused.emit(Name);
     }
-    Timers.after(AskAgainAfter, [this, Name, Generation] {
+    Timers.after(RetryInterval, [this, Name, Generation] {
       const auto Again = Watches.find(Name);
       if (Again != Watches.end() && Again->second.Generation == Generation)
         sendWatch(Name);
     });
     return;
   }
-  const TargetObservation Seen = parseObservation(*Answer);
-  const Millis StoodUntil = AskedAt + heldBy(*Answer, Time.now() - AskedAt);
-  // A primary that held the question stood where the question said until the
-  // end of the hold. That makes a replica at that position as fresh as the
-  // end, not as the beginning. One that answered at once had moved before.
-  if (Seen.IsPrimary && StoodUntil > AskedAt && Seen.Term == From.Term &&
-      Seen.Position > From.Position) {
-    TargetObservation Before = Seen;
-    Before.Position = From.Position;
-    Table.observe(Name, Before, StoodUntil, Time.now());
+  const TargetObservation Observed = parseObservation(*Answer);
+  const Millis HeldUntil = AskedAt + holdTime(*Answer, Time.now() - AskedAt);
+  // A primary that held the request was at the requested position until the end
+  // of the hold, so a replica at that position is as fresh as the end of the
+  // hold, not its beginning. A primary that answered at once had advanced
+  // before.
+  if (Observed.IsPrimary && HeldUntil > AskedAt && Observed.Term == From.Term &&
+      Observed.Position > From.Position) {
+    TargetObservation BeforeChange = Observed;
+    BeforeChange.Position = From.Position;
+    Table.observe(Name, BeforeChange, HeldUntil, Time.now());
   }
-  From.Position = Seen.Position;
-  From.Term = Seen.Term;
-  Table.observe(Name, Seen, StoodUntil, Time.now());
+  From.Position = Observed.Position;
+  From.Term = Observed.Term;
+  Table.observe(Name, Observed, HeldUntil, Time.now());
   sendWatch(Name);
   Changed.emit(Name);
 }
--- a/Source/Proxy/TargetWatcher.h
+++ b/Source/Proxy/TargetWatcher.h
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps the target table up to date by asking each target all the time.
+/// Keeps the target table up to date with a pending watch at each target.
 
 #ifndef CORIANDERDYKE_PROXY_TARGETWATCHER_H
 #define CORIANDERDYKE_PROXY_TARGETWATCHER_H
@@ -13,9 +13,9 @@
 
 namespace corianderdyke {
 
-/// Holds one question open at each target: "tell me when your position or
-/// term changes, or after a while anyway". A write is known on a replica
-/// after one way there and back, without a question for each write.
+/// Keeps one long-poll request pending at each target, which the target answers
+/// when its position or term changes or after a timeout. So the proxy learns of
+/// a write on a replica within one round trip, without a request per write.
 class TargetWatcher {
 public:
   TargetWatcher(Clock &Time, Scheduler &Timers, HttpConnector &Connector,
@@ -35,7 +35,7 @@
     std::unique_ptr<HttpConnection> Connection;
     std::uint64_t Position = 0;
     std::uint64_t Term = 0;
-    /// Tells the answers of a former connection from the present one's.
+    /// Distinguishes answers for a former address from current ones.
     std::uint64_t Generation = 0;
   };
 
--- a/Source/Proxy/TransactionTable.cpp
+++ b/Source/Proxy/TransactionTable.cpp
@@ -32,12 +32,13 @@
 }
 
 TransactionPtr TransactionTable::open(const std::string &Database,
-                                      const Route &Way, const std::string &Peer,
+                                      const Route &ChosenRoute,
+                                      const std::string &Peer,
                                       PooledConnection Connection,
                                       Millis IdleTimeout) {
   auto Made = std::make_shared<Transaction>(
-      Transaction{prefixOf(Self) + std::to_string(NextNumber++), Database, Way,
-                  Peer, std::move(Connection)});
+      Transaction{prefixOf(Self) + std::to_string(NextNumber++), Database,
+                  ChosenRoute, Peer, std::move(Connection)});
   Made->Connection.setReusable(false);
   Open[Made->Id] = Made;
   startIdleTimer(Made, IdleTimeout);
@@ -53,41 +54,42 @@
     return fail(ErrorCode::NotFound,
                 "the transaction lives at " + Id.substr(0, Id.find(':')));
   }
-  const TransactionPtr &Each = Found->second;
-  if (Each->CallerConnection != Peer)
+  const TransactionPtr &CurrentTransaction = Found->second;
+  if (CurrentTransaction->CallerConnection != Peer)
     return fail(ErrorCode::Conflict,
                 "the transaction belongs to another connection");
-  if (Each->Busy)
+  if (CurrentTransaction->Busy)
     return fail(ErrorCode::Conflict,
                 "another statement of the transaction is under way");
-  Each->Busy = true;
-  if (Each->IdleTimer != 0)
-    Timers.cancel(std::exchange(Each->IdleTimer, 0));
-  return Each;
+  CurrentTransaction->Busy = true;
+  if (CurrentTransaction->IdleTimer != 0)
+    Timers.cancel(std::exchange(CurrentTransaction->IdleTimer, 0));
+  return CurrentTransaction;
 }
 
-void TransactionTable::release(const TransactionPtr &Each, Millis IdleBound) {
-  if (!isOpen(Each->Id))
+void TransactionTable::release(const TransactionPtr &CurrentTransaction,
+                               Millis IdleTimeout) {
+  if (!isOpen(CurrentTransaction->Id))
     return;
-  Each->Busy = false;
-  startIdleTimer(Each, IdleBound);
+  CurrentTransaction->Busy = false;
+  startIdleTimer(CurrentTransaction, IdleTimeout);
 }
 
-void TransactionTable::complete(const TransactionPtr &Each) {
-  Each->Connection.setReusable(true);
-  forget(Each);
+void TransactionTable::complete(const TransactionPtr &CurrentTransaction) {
+  CurrentTransaction->Connection.setReusable(true);
+  forget(CurrentTransaction);
 }
 
-void TransactionTable::abandon(const TransactionPtr &Each) {
-  if (!isOpen(Each->Id))
+void TransactionTable::abandon(const TransactionPtr &CurrentTransaction) {
+  if (!isOpen(CurrentTransaction->Id))
     return;
-  forget(Each);
-  // With a statement under way the connection just closes when the last
-  // holder lets go of it.
-  if (!Each->Busy)
-    rollBack(Each);
+  forget(CurrentTransaction);
+  // While a statement is in flight, the connection closes when its last owner
+  // releases it.
+  if (!CurrentTransaction->Busy)
+    rollBack(CurrentTransaction);
   else
-    Each->Connection.close();
+    CurrentTransaction->Connection.close();
 }
 
 void TransactionTable::handleDisconnect(const std::string &Peer) {
@@ -110,24 +112,25 @@
       abandon(Each);
 }
 
-void TransactionTable::rollBack(const TransactionPtr &Each) {
-  HttpRequest Order;
-  Order.Method = HttpMethod::Post;
-  Order.Path = "/v1/rollback";
-  Ending[Each->Id] = Each;
-  Each->Connection->request(
-      std::move(Order), RollbackTimeout,
-      [this, Id = Each->Id](const Expected<HttpResponse> &Answer) {
+void TransactionTable::rollBack(const TransactionPtr &CurrentTransaction) {
+  HttpRequest Request;
+  Request.Method = HttpMethod::Post;
+  Request.Path = "/v1/rollback";
+  Ending[CurrentTransaction->Id] = CurrentTransaction;
+  CurrentTransaction->Connection->request(
+      std::move(Request), RollbackTimeout,
+      [this,
+       Id = CurrentTransaction->Id](const Expected<HttpResponse> &Answer) {
         const auto Found = Ending.extract(Id);
         Found.mapped()->Connection.setReusable(Answer &&
                                                Answer->Status == StatusOk);
       });
 }
 
-void TransactionTable::startIdleTimer(const TransactionPtr &Each,
-                                      Millis Bound) {
-  const std::weak_ptr<Transaction> Weak = Each;
-  Each->IdleTimer = Timers.after(Bound, [this, Weak] {
+void TransactionTable::startIdleTimer(const TransactionPtr &CurrentTransaction,
+                                      Millis IdleTimeout) {
+  const std::weak_ptr<Transaction> Weak = CurrentTransaction;
+  CurrentTransaction->IdleTimer = Timers.after(IdleTimeout, [this, Weak] {
     const TransactionPtr Idle = Weak.lock();
     if (!Idle)
       return;
@@ -136,10 +139,10 @@
   });
 }
 
-void TransactionTable::forget(const TransactionPtr &Each) {
-  if (Each->IdleTimer != 0)
-    Timers.cancel(std::exchange(Each->IdleTimer, 0));
-  Open.erase(Each->Id);
+void TransactionTable::forget(const TransactionPtr &CurrentTransaction) {
+  if (CurrentTransaction->IdleTimer != 0)
+    Timers.cancel(std::exchange(CurrentTransaction->IdleTimer, 0));
+  Open.erase(CurrentTransaction->Id);
 }
 
 } // namespace corianderdyke
--- a/Source/Proxy/TransactionTable.h
+++ b/Source/Proxy/TransactionTable.h
@@ -20,66 +20,68 @@
   Route ChosenRoute;
   std::string CallerConnection; ///< The caller's connection that began it.
   PooledConnection Connection;
-  bool Busy = false; ///< A statement of it is under way.
+  bool Busy = false; ///< A statement of it is in flight.
   Scheduler::TimerId IdleTimer = 0;
 };
 
 using TransactionPtr = std::shared_ptr<Transaction>;
 
-/// Every way in which a transaction ends without its commit ends it at the
-/// target too: by a rollback that the target confirmed, or by closing the
-/// connection, upon which the target rolls back by itself. Only a confirmed
-/// end lets the connection go to another caller.
+/// A transaction that ends without a commit is also ended at the target: either
+/// by a rollback that the target confirms, or by closing the connection, upon
+/// which the target rolls back by itself. Only after a confirmed end may
+/// another caller use the connection.
 class TransactionTable {
 public:
   TransactionTable(Scheduler &Timers, ProcessId Self)
       : Timers(Timers), Self(std::move(Self)) {}
   ~TransactionTable();
 
-  TransactionPtr open(const std::string &Database, const Route &Way,
+  TransactionPtr open(const std::string &Database, const Route &ChosenRoute,
                       const std::string &Peer, PooledConnection Connection,
                       Millis IdleTimeout);
 
-  /// Claims a transaction for one statement. NotFound where it isn't open
-  /// here, with the proxy where it lives; Conflict where another statement
-  /// of it is under way or another connection began it.
+  /// Claims a transaction for one statement. NotFound if it is not open here,
+  /// naming the proxy that opened it; Conflict if another statement of it is in
+  /// flight or another connection began it.
   Expected<TransactionPtr> claim(const std::string &Id,
                                  const std::string &Peer);
 
-  /// The claimed statement has its whole answer; the idle bound runs anew.
-  void release(const TransactionPtr &Each, Millis IdleBound);
+  /// Ends the claim after a complete answer and restarts the idle timer.
+  void release(const TransactionPtr &CurrentTransaction, Millis IdleTimeout);
 
-  /// The target has ended it: the connection is clean.
-  void complete(const TransactionPtr &Each);
+  /// Removes a transaction that the target has ended; its connection may be
+  /// reused.
+  void complete(const TransactionPtr &CurrentTransaction);
 
-  /// Rolls it back. Harmless where it ended before.
-  void abandon(const TransactionPtr &Each);
+  /// Rolls back a transaction. Does nothing if it has ended.
+  void abandon(const TransactionPtr &CurrentTransaction);
 
-  /// The caller's connection is gone, and its transactions with it.
+  /// Rolls back the transactions of a caller's connection that was closed.
   void handleDisconnect(const std::string &Peer);
 
-  /// Rolls back those that wait for their caller; a statement under way is
-  /// left to end, and its transaction is rolled back with the next call.
+  /// Rolls back the transactions without a statement in flight. The others are
+  /// rolled back by a later call, after their statement has ended.
   void abandonIdle();
 
-  /// True while a transaction waits for a caller's connection.
+  /// True while a transaction of the caller's connection \p Peer is open.
   bool isBound(const std::string &Peer) const;
 
   bool isOpen(const std::string &Id) const { return Open.count(Id) != 0; }
-  /// Databases on which some transaction is open.
+  /// Databases with an open transaction.
   std::set<std::string> databases() const;
   std::size_t size() const { return Open.size() + Ending.size(); }
 
 private:
-  void rollBack(const TransactionPtr &Each);
-  void startIdleTimer(const TransactionPtr &Each, Millis Bound);
-  void forget(const TransactionPtr &Each);
+  void rollBack(const TransactionPtr &CurrentTransaction);
+  void startIdleTimer(const TransactionPtr &CurrentTransaction,
+                      Millis IdleTimeout);
+  void forget(const TransactionPtr &CurrentTransaction);
 
   Scheduler &Timers;
   ProcessId Self;
   std::uint64_t NextNumber = 1;
   std::map<std::string, TransactionPtr> Open;
-  /// Rolled back, and not yet confirmed by the target.
+  /// Transactions whose rollback the target has not confirmed yet.
   std::map<std::string, TransactionPtr> Ending;
 };
 
--- a/Source/Proxy/WriteGapMeter.cpp
+++ b/Source/Proxy/WriteGapMeter.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Measures how long databases weren't writable, as one proxy sees it.
+/// Measures how long databases were not writable through one proxy.
 
 #include "Proxy/WriteGapMeter.h"
 
@@ -13,19 +13,19 @@
   for (TargetReport &Each : Table.reports(View, Now))
     Reports[Each.Target] = std::move(Each);
   for (const auto &[Name, Group] : View.Groups) {
-    Database &Known = Databases[Name];
+    DatabaseState &State = Databases[Name];
     const auto Primary = Reports.find(Group.Primary);
     const bool Writable = MayServe && Group.isWritable() &&
                           Primary != Reports.end() && Primary->second.Reachable;
     if (!Writable) {
-      Known.IsInGap = Known.WasWritable;
+      State.IsInGap = State.WasWritable;
       continue;
     }
-    // A quick failover may begin and end between two updates; the new term
-    // tells of it.
-    if (Known.IsInGap || (Known.WasWritable && Known.Term != Group.Term))
-      Gaps.observe(Now - Known.LastWritable);
-    Known = {true, Now - Primary->second.SilentFor, false, Group.Term};
+    // A quick failover may begin and end between two updates; the changed term
+    // shows it.
+    if (State.IsInGap || (State.WasWritable && State.Term != Group.Term))
+      Gaps.observe(Now - State.LastWritable);
+    State = {true, Now - Primary->second.SilentFor, false, Group.Term};
   }
 }
 
--- a/Source/Proxy/WriteGapMeter.h
+++ b/Source/Proxy/WriteGapMeter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Measures how long databases weren't writable, as one proxy sees it.
+/// Measures how long databases were not writable through one proxy.
 
 #ifndef CORIANDERDYKE_PROXY_WRITEGAPMETER_H
 #define CORIANDERDYKE_PROXY_WRITEGAPMETER_H
@@ -9,9 +9,9 @@
 
 namespace corianderdyke {
 
-/// A gap begins with the last moment at which the primary was known to
-/// answer, so that the time to notice a failure is part of it, and ends when
-/// a primary answers again and the proxy may serve.
+/// A gap begins at the last time at which the primary was known to answer, so
+/// that it includes the time to detect a failure, and ends when a primary
+/// answers again and the proxy may serve.
 class WriteGapMeter {
 public:
   void update(const ClusterView &View, const TargetTable &Table, bool MayServe,
@@ -21,14 +21,14 @@
   const DurationHistogram &gaps() const { return Gaps; }
 
 private:
-  struct Database {
-    bool WasWritable = false; ///< Once; before that there's no gap to end.
+  struct DatabaseState {
+    bool WasWritable = false; ///< At any time; no gap begins before.
     Millis LastWritable;
     bool IsInGap = false;
-    std::uint64_t Term = 0; ///< At that moment.
+    std::uint64_t Term = 0; ///< At LastWritable.
   };
 
-  std::map<std::string, Database> Databases;
+  std::map<std::string, DatabaseState> Databases;
   DurationHistogram Gaps;
 };
 
