--- a/Source/Relay/BrokerLink.cpp
+++ b/Source/Relay/BrokerLink.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// One link of a broker.
+/// A link of a TargetBroker.
 
 #include "Relay/BrokerLink.h"
 
@@ -46,7 +46,7 @@
 }
 
 void TargetBroker::Link::sendOrWait() {
-  // What needs the success of a command that isn't answered yet stays here.
+  // A command that requires the success of an unanswered one is not sent yet.
   if (!BoundConnection->Awaited.empty() && Pending.front().NeedsPrevious)
     return;
   BoundConnection->Turn.remove();
@@ -57,7 +57,7 @@
 }
 
 void TargetBroker::Link::run(const TargetConnectionPtr &On) {
-  Waiting.remove();
+  ConnectionQueueEntry.remove();
   BoundConnection.emplace(HeldConnection{On});
   sendPending();
 }
@@ -71,17 +71,17 @@
   const TargetConnectionPtr On = BoundConnection->Connection;
   std::vector<TargetConnection::Step> Steps;
   On->appendValueSteps(Values, Steps);
-  const auto Count = std::distance(Pending.cbegin(), nextStop());
+  const auto Count = std::distance(Pending.cbegin(), endOfBatch());
   for (auto Next = Pending.begin(); Next != Pending.begin() + Count; ++Next) {
     TargetCommand &Each = *Next;
     const bool TakesSlot = takesSlot(Each.Operation);
     if (Each.Operation == TargetCommand::Kind::Execute)
       Each.Name = On->prepare(Prepared[Each.Name], Steps);
-    Steps.push_back(
-        {std::move(Each), [this, Still = Alive](const StatementAnswer &Answer) {
-           if (*Still)
-             handleAnswer(Answer);
-         }});
+    Steps.push_back({std::move(Each),
+                     [this, AliveFlag = Alive](const StatementAnswer &Answer) {
+                       if (*AliveFlag)
+                         handleAnswer(Answer);
+                     }});
     BoundConnection->Awaited.push_back(TakesSlot);
     if (TakesSlot)
       ++Owner.targetOf(To).InFlight;
@@ -96,30 +96,31 @@
     --Owner.targetOf(To).InFlight;
   BoundConnection->Awaited.pop_front();
   Owner.recordAnswer(BoundConnection->Connection);
-  const bool Opens = !Answer.Refusal && Answer.Phase != SessionPhase::Idle;
+  const bool IsTransactionOpen =
+      !Answer.Refusal && Answer.Phase != SessionPhase::Idle;
   const bool IsLast = BoundConnection->Awaited.empty();
-  if (IsLast && !Pending.empty() && Opens) {
+  if (IsLast && !Pending.empty() && IsTransactionOpen) {
     DeferredAnswers.push_back(Answer);
     return sendOrWait();
   }
-  // What needed this one's success isn't sent.
+  // Commands that require the success of this one are not sent.
   std::size_t Dropped = 0;
-  TargetConnectionPtr Free;
+  TargetConnectionPtr Released;
   if (IsLast) {
     BoundConnection->Turn.remove();
     Dropped = std::exchange(Pending, {}).size();
     if (Answer.Phase == SessionPhase::Idle)
-      Free = detachConnection();
+      Released = detachConnection();
   }
-  const std::shared_ptr<bool> Still = Alive;
+  const std::shared_ptr<bool> AliveFlag = Alive;
   TargetBroker &Broker = Owner;
   const std::string Id = To.Id;
   deliver(Answer);
-  for (std::size_t Each = 0; Each < Dropped && *Still; ++Each)
+  for (std::size_t Each = 0; Each < Dropped && *AliveFlag; ++Each)
     deliver(refusal(Answer.Refusal ? Answer.Refusal->Code : RefusalCode::Busy,
                     "what it needs first didn't succeed"));
-  if (Free)
-    Broker.release(Free);
+  if (Released)
+    Broker.release(Released);
   else if (Target *At = Broker.find(Id))
     Broker.dispatch(*At);
 }
@@ -128,22 +129,22 @@
   while (!Unanswered.empty() && Unanswered.front()) {
     Unanswered.pop_front();
     const auto Handler = Handlers.OnAnswer;
-    const std::shared_ptr<bool> Still = Alive;
+    const std::shared_ptr<bool> AliveFlag = Alive;
     Handler({});
-    if (!*Still)
+    if (!*AliveFlag)
       return;
   }
 }
 
 void TargetBroker::Link::deliver(const StatementAnswer &Answer) {
-  const std::shared_ptr<bool> Still = Alive;
+  const std::shared_ptr<bool> AliveFlag = Alive;
   for (const StatementAnswer &Each : std::exchange(DeferredAnswers, {}))
-    if (*Still)
+    if (*AliveFlag)
       deliver(Each);
-  if (!*Still)
+  if (!*AliveFlag)
     return;
   answerStateChanges();
-  if (!*Still || Unanswered.empty())
+  if (!*AliveFlag || Unanswered.empty())
     return;
   Unanswered.pop_front();
   const auto Handler = Handlers.OnAnswer;
@@ -151,13 +152,13 @@
 }
 
 void TargetBroker::Link::refuse(RefusalCode Code, const std::string &Why) {
-  // One that holds a connection has sent something, or is about to.
+  // A link that holds a connection has sent commands or is about to.
   if (BoundConnection)
     return;
-  Waiting.remove();
-  const std::shared_ptr<bool> Still = Alive;
+  ConnectionQueueEntry.remove();
+  const std::shared_ptr<bool> AliveFlag = Alive;
   const std::size_t Count = std::exchange(Pending, {}).size();
-  for (std::size_t Each = 0; Each < Count && *Still; ++Each)
+  for (std::size_t Each = 0; Each < Count && *AliveFlag; ++Each)
     deliver(refusal(Code, Why));
 }
 
@@ -181,14 +182,14 @@
     Handler(std::nullopt);
 }
 
-// Whoever used the link has left in the middle of something.
+// The link is destroyed while a transaction or statement is in progress.
 void TargetBroker::Link::releaseConnection() {
   if (!BoundConnection)
     return;
-  const bool IsAnswered = BoundConnection->Awaited.empty();
+  const bool IsAllAnswered = BoundConnection->Awaited.empty();
   const TargetConnectionPtr Used = detachConnection();
-  // Answers that are still due may never come.
-  if (!IsAnswered)
+  // Outstanding answers may never arrive.
+  if (!IsAllAnswered)
     return Owner.discard(Used);
   TargetBroker &Broker = Owner;
   Used->send({{{.Operation = TargetCommand::Kind::Rollback},
--- a/Source/Relay/BrokerLink.h
+++ b/Source/Relay/BrokerLink.h
@@ -1,6 +1,6 @@
 /// \file
-/// One link of a broker: its state, and the connection that it holds for the
-/// moment.
+/// A link of a TargetBroker: its session state and the connection that it
+/// currently holds.
 
 #ifndef CORIANDERDYKE_RELAY_BROKERLINK_H
 #define CORIANDERDYKE_RELAY_BROKERLINK_H
@@ -12,11 +12,11 @@
 
 namespace corianderdyke {
 
-/// True for commands that a target works on; the others only change what it
-/// holds for the connection.
-inline bool takesSlot(TargetCommand::Kind What) {
-  return What == TargetCommand::Kind::Run ||
-         What == TargetCommand::Kind::Execute;
+/// True for commands that the target executes in a slot; the others only change
+/// the state of the connection.
+inline bool takesSlot(TargetCommand::Kind Operation) {
+  return Operation == TargetCommand::Kind::Run ||
+         Operation == TargetCommand::Kind::Execute;
 }
 
 class TargetBroker::Link final : public TargetLink {
@@ -40,65 +40,67 @@
   const TargetAddress &to() const { return To; }
   const SessionValues &values() const { return Values; }
   std::uint32_t priority() const { return Priority; }
-  /// True where anything that waits takes one of the target's slots. A
-  /// transaction that begins while those that hold connections wait for their
-  /// turns would only make all of them late.
+  /// True if any pending command takes one of the target's slots. A transaction
+  /// that begins while links with connections wait to send would only delay all
+  /// of them.
   bool hasSlotCommands() const {
     return std::any_of(
         Pending.begin(), Pending.end(),
         [](const TargetCommand &Each) { return takesSlot(Each.Operation); });
   }
-  /// True where what is sent next takes one of the target's slots.
+  /// True if the next batch of commands takes one of the target's slots.
   bool needsSlot() const {
     return std::any_of(
-        Pending.begin(), nextStop(),
+        Pending.begin(), endOfBatch(),
         [](const TargetCommand &Each) { return takesSlot(Each.Operation); });
   }
   Millis queuedAt() const { return QueuedAt; }
   Millis deadline() const { return Deadline; }
   bool holdsConnection() const { return BoundConnection.has_value(); }
-  bool holds(const TargetConnectionPtr &Which) const {
-    return BoundConnection && BoundConnection->Connection == Which;
+  bool holds(const TargetConnectionPtr &Candidate) const {
+    return BoundConnection && BoundConnection->Connection == Candidate;
   }
-  /// Since when an answer is due; nothing where none is.
+  /// When the unanswered commands were sent; nothing if all are answered.
   std::optional<Millis> awaitingSince() const {
     return BoundConnection && !BoundConnection->Awaited.empty()
                ? std::optional(BoundConnection->SentAt)
                : std::nullopt;
   }
 
-  bool isWaiting() const { return Waiting.isQueued(); }
-  /// Waits for a connection.
-  void setConnectionQueueEntry(QueueEntry<Link> At) { Waiting = std::move(At); }
-  /// Waits for its turn on the connection that it holds.
+  bool isWaiting() const { return ConnectionQueueEntry.isQueued(); }
+  /// Queues the link for a connection.
+  void setConnectionQueueEntry(QueueEntry<Link> At) {
+    ConnectionQueueEntry = std::move(At);
+  }
+  /// Queues the link to send on the connection that it holds.
   void setTurnQueueEntry(QueueEntry<Link> At) {
     BoundConnection->Turn = std::move(At);
   }
-  /// A connection came free.
+  /// Binds the link to a connection and sends the pending commands.
   void run(const TargetConnectionPtr &On);
-  /// Its turn has come on the connection that it holds.
+  /// Sends the pending commands on the connection that it holds.
   void takeTurn();
-  /// Nothing that waits was sent: answers it all.
+  /// Answers all pending commands, none of which was sent, with a refusal.
   void refuse(RefusalCode Code, const std::string &Why);
-  /// The connection that it holds has ended.
+  /// Handles the end of the connection that the link holds.
   void handleConnectionLoss();
 
 private:
-  /// Behind what may be sent together: a command that needs the success of
-  /// the one before it waits for that.
-  std::deque<TargetCommand>::const_iterator nextStop() const {
+  /// Returns the end of the commands that may be sent together: a command that
+  /// requires the success of the previous one waits for its answer.
+  std::deque<TargetCommand>::const_iterator endOfBatch() const {
     if (Pending.empty())
       return Pending.end();
     return std::find_if(
         std::next(Pending.begin()), Pending.end(),
         [](const TargetCommand &Each) { return Each.NeedsPrevious; });
   }
-  /// A connection that the link holds, with all that ends with it.
+  /// A connection that the link holds, with the state bound to it.
   struct HeldConnection {
     TargetConnectionPtr Connection;
-    /// Answers due; true for one that takes a slot.
+    /// Outstanding answers; true for a command that takes a slot.
     std::deque<bool> Awaited = {};
-    /// Values changed inside a transaction may return with its rollback.
+    /// Values changed inside a transaction may revert when it rolls back.
     bool HasSetValues = false;
     Millis SentAt = {};
     QueueEntry<Link> Turn = {};
@@ -110,7 +112,8 @@
   void deliver(const StatementAnswer &Answer);
   void answerStateChanges();
   void releaseConnection();
-  /// Ends what it holds: the connection, which nobody else knows to be free.
+  /// Gives up the held connection and returns it; the caller releases or
+  /// discards it.
   TargetConnectionPtr detachConnection();
 
   TargetBroker &Owner;
@@ -120,13 +123,13 @@
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
   SessionValues Values;
   std::map<std::string, PreparedStatement> Prepared; ///< By the link's name.
-  std::deque<TargetCommand> Pending; ///< Statements that weren't sent yet.
-  std::deque<bool> Unanswered;       ///< In order; true for a change of state.
-  /// Delivered together with the next one, which is on its way.
+  std::deque<TargetCommand> Pending;                 ///< Commands not yet sent.
+  std::deque<bool> Unanswered; ///< In order; true for a state change.
+  /// Held back and delivered together with the next answer.
   std::vector<StatementAnswer> DeferredAnswers;
   std::optional<HeldConnection> BoundConnection;
-  QueueEntry<Link> Waiting;
-  std::uint32_t Priority = 0; ///< Of the transaction or statement under way.
+  QueueEntry<Link> ConnectionQueueEntry;
+  std::uint32_t Priority = 0; ///< Of the current transaction or statement.
   Millis QueuedAt;
   Millis Deadline;
 };
--- a/Source/Relay/GatewayTable.cpp
+++ b/Source/Relay/GatewayTable.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which proxies hold the connections to which target.
+/// Assigns to each target the proxies that hold its connections.
 
 #include "Relay/GatewayTable.h"
 
@@ -11,30 +11,32 @@
 
 namespace {
 
-constexpr std::size_t FewestGateways = 2;
-/// More would divide the target's connections, and the order of those that
-/// wait for one, without need: one gateway carries a third of the statements
-/// of a busy primary on a small part of its processor and its network.
-constexpr std::size_t MostGateways = 4;
-/// Proxies that take over where a cut or a restart leaves none of the
-/// gateways.
+constexpr std::size_t MinGateways = 2;
+/// More gateways would split the target's connections and its queue without
+/// benefit: one gateway carries a third of the statements of a busy primary
+/// with a small part of its processor time and bandwidth.
+constexpr std::size_t MaxGateways = 4;
+/// Proxies that take over if a partition or a restart makes all gateways
+/// unavailable.
 constexpr std::size_t SpareGateways = 2;
-/// Targets that one proxy may be a gateway of, in parts of the mean: at the
-/// mean itself each change of the list would move nearly all of them.
-constexpr std::size_t LoadParts = 2;
+/// Limit of the targets for which one proxy is a gateway, as a multiple of the
+/// mean: with the mean itself as limit each change of the list would move
+/// nearly all assignments.
+constexpr std::size_t MaxLoadFactor = 2;
 
-/// A proxy in the order of one target: the same at all proxies, whatever
-/// others join or leave (rendezvous hashing, Thaler and Ravishankar 1998).
+/// A proxy ranked for one target. All proxies compute the same ranking, and it
+/// does not change when others join or leave (rendezvous hashing, Thaler and
+/// Ravishankar 1998).
 struct Candidate {
   std::size_t Index = 0;
-  bool IsNear = false;
+  bool IsSameDomain = false;
   std::uint64_t Score = 0;
 };
 
-/// The \p Most first proxies of a target's order.
-std::vector<Candidate> firstInOrder(const std::vector<ProxyRecord> &Proxies,
-                                    const TargetRecord &Target,
-                                    std::size_t Most) {
+/// Returns the \p Limit highest-ranked proxies for a target.
+std::vector<Candidate> rankProxies(const std::vector<ProxyRecord> &Proxies,
+                                   const TargetRecord &Target,
+                                   std::size_t Limit) {
   std::vector<Candidate> Out;
   Out.reserve(Proxies.size());
   const std::uint64_t Seed = hashText(Target.Id);
@@ -43,25 +45,25 @@
     Out.push_back({Index, Each.FailureDomain == Target.FailureDomain,
                    hashText(Each.Name, Seed)});
   }
-  // A gateway beside its target costs bytes between failure domains once on
-  // the way, one elsewhere twice.
-  Most = std::min(Most, Out.size());
+  // With a gateway in the target's failure domain a statement crosses failure
+  // domains once, otherwise twice.
+  Limit = std::min(Limit, Out.size());
   std::partial_sort(Out.begin(),
-                    Out.begin() + static_cast<std::ptrdiff_t>(Most), Out.end(),
+                    Out.begin() + static_cast<std::ptrdiff_t>(Limit), Out.end(),
                     [](const Candidate &Left, const Candidate &Right) {
-                      if (Left.IsNear != Right.IsNear)
-                        return Left.IsNear;
+                      if (Left.IsSameDomain != Right.IsSameDomain)
+                        return Left.IsSameDomain;
                       return Left.Score > Right.Score;
                     });
-  Out.resize(Most);
+  Out.resize(Limit);
   return Out;
 }
 
 } // namespace
 
 std::size_t gatewayCount(std::size_t Connections) {
-  return std::clamp(Connections / ConnectionsPerGateway, FewestGateways,
-                    MostGateways);
+  return std::clamp(Connections / ConnectionsPerGateway, MinGateways,
+                    MaxGateways);
 }
 
 GatewayTable::GatewayTable(const std::vector<ProxyRecord> &Proxies,
@@ -69,38 +71,38 @@
                            const std::map<std::string, std::size_t> &Gateways) {
   if (Proxies.empty())
     return;
-  std::size_t Wanted = 0;
-  std::vector<TargetRecord> Shared;
+  std::size_t Total = 0;
+  std::vector<TargetRecord> SharedTargets;
   for (const TargetRecord &Each : Targets) {
     const auto Count = Gateways.find(Each.Group);
     if (Count == Gateways.end() || Each.IsGone)
       continue;
-    Wanted += Count->second;
-    Shared.push_back(Each);
+    Total += Count->second;
+    SharedTargets.push_back(Each);
   }
-  std::sort(Shared.begin(), Shared.end(),
+  std::sort(SharedTargets.begin(), SharedTargets.end(),
             [](const TargetRecord &Left, const TargetRecord &Right) {
               return Left.Id < Right.Id;
             });
-  const std::size_t Mean = (Wanted + Proxies.size() - 1) / Proxies.size();
+  const std::size_t Mean = (Total + Proxies.size() - 1) / Proxies.size();
   std::vector<std::size_t> Load(Proxies.size(), 0);
-  for (const TargetRecord &Each : Shared) {
+  for (const TargetRecord &Each : SharedTargets) {
     const std::size_t Count = Gateways.at(Each.Group);
     std::vector<ProxyRecord> &Chosen = ByTarget[Each.Id];
-    std::vector<ProxyRecord> Others;
-    // Enough of them for nearly all targets; where too many are fully loaded
-    // all are looked at.
-    for (const std::size_t Most :
-         {Count * LoadParts + SpareGateways, Proxies.size()}) {
+    std::vector<ProxyRecord> Spares;
+    // The first limit suffices for nearly all targets; if too many of these
+    // proxies are fully loaded, all proxies are considered.
+    for (const std::size_t Limit :
+         {Count * MaxLoadFactor + SpareGateways, Proxies.size()}) {
       std::vector<std::size_t> Taken;
-      Others.clear();
-      for (const Candidate &Next : firstInOrder(Proxies, Each, Most)) {
-        if (Taken.size() < Count && Load[Next.Index] < Mean * LoadParts)
+      Spares.clear();
+      for (const Candidate &Next : rankProxies(Proxies, Each, Limit)) {
+        if (Taken.size() < Count && Load[Next.Index] < Mean * MaxLoadFactor)
           Taken.push_back(Next.Index);
-        else if (Others.size() < SpareGateways)
-          Others.push_back(Proxies[Next.Index]);
+        else if (Spares.size() < SpareGateways)
+          Spares.push_back(Proxies[Next.Index]);
       }
-      if (Taken.size() < Count && Most < Proxies.size())
+      if (Taken.size() < Count && Limit < Proxies.size())
         continue;
       for (const std::size_t Index : Taken) {
         ++Load[Index];
@@ -108,7 +110,7 @@
       }
       break;
     }
-    Chosen.insert(Chosen.end(), Others.begin(), Others.end());
+    Chosen.insert(Chosen.end(), Spares.begin(), Spares.end());
   }
 }
 
--- a/Source/Relay/GatewayTable.h
+++ b/Source/Relay/GatewayTable.h
@@ -1,11 +1,11 @@
 /// \file
-/// Which proxies hold the connections to which target.
+/// Assigns to each target the proxies that hold its connections.
 ///
-/// Load pattern: more proxies than a target takes connections. If every proxy
-/// opened its own, most would be refused for good, and the few connections
-/// that stand would be idle at one proxy while statements wait at another.
+/// There may be more proxies than a target accepts connections. If every proxy
+/// opened its own, most would be refused permanently, and the few open
+/// connections would be idle at one proxy while statements wait at another.
 /// Instead a few proxies, the target's gateways, hold all of its connections,
-/// and the others send their statements through them.
+/// and the other proxies send their statements through them.
 
 #ifndef CORIANDERDYKE_RELAY_GATEWAYTABLE_H
 #define CORIANDERDYKE_RELAY_GATEWAYTABLE_H
@@ -18,10 +18,10 @@
 
 namespace corianderdyke {
 
-/// A proxy that other proxies may send statements through.
+/// A proxy through which other proxies may send statements.
 struct ProxyRecord {
   std::string Name;
-  Endpoint RelayEndpoint; ///< Where it takes other proxies' statements.
+  Endpoint RelayEndpoint; ///< Accepts other proxies' statements.
   std::string FailureDomain;
 
   auto operator<=>(const ProxyRecord &) const = default;
@@ -31,27 +31,29 @@
 };
 
 /// Connections that a gateway should hold to one target: enough that a
-/// transaction which idles between its statements rarely makes another wait.
+/// transaction that is idle between statements rarely makes another wait.
 constexpr std::size_t ConnectionsPerGateway = 8;
 
-/// Gateways of a target that takes \p Connections from all proxies together.
-/// Never one alone, so that one proxy's end or cut leaves a way.
+/// Returns the number of gateways for a target that accepts \p Connections from
+/// all proxies together. It is at least two, so that the target stays reachable
+/// when one proxy ends or is partitioned.
 std::size_t gatewayCount(std::size_t Connections);
 
-/// Computed by each proxy from what control told everybody. Where two proxies
-/// know different lists, a target gets some connections too many, and refuses
-/// them; nothing worse.
+/// Each proxy computes the table from the lists that control sends to all. If
+/// two proxies have different lists, the only effect is that a target receives
+/// some surplus connections and refuses them.
 class GatewayTable {
 public:
   GatewayTable() = default;
-  /// \p Gateways: how many a target of a group has, by group. Targets of
-  /// other groups have none.
+  /// \p Gateways is the number of gateways per target, by group. Targets of
+  /// groups not listed have none.
   GatewayTable(const std::vector<ProxyRecord> &Proxies,
                const std::vector<TargetRecord> &Targets,
                const std::map<std::string, std::size_t> &Gateways);
 
-  /// Those that hold the target's connections, then those that take over
-  /// where none of the former reaches it. Empty where the target is unknown.
+  /// Returns the proxies that hold the target's connections, followed by the
+  /// spares that take over if none of these reaches it. Empty if the target is
+  /// unknown.
   const std::vector<ProxyRecord> &gatewaysOf(const std::string &Target) const;
 
 private:
--- a/Source/Relay/Messages.h
+++ b/Source/Relay/Messages.h
@@ -1,6 +1,5 @@
 /// \file
-/// What two proxies tell each other when one sends statements through the
-/// other.
+/// Messages between two proxies when one sends statements through the other.
 
 #ifndef CORIANDERDYKE_RELAY_MESSAGES_H
 #define CORIANDERDYKE_RELAY_MESSAGES_H
@@ -31,8 +30,8 @@
 /// A floor that the gateway knows for the answer's group.
 struct RelayFloor {
   LogPosition Shown;
-  /// From asking the leader to sending this. Ages travel, never times: clocks
-  /// of two hosts have nothing in common.
+  /// Time from the request to the leader until this message was sent. Messages
+  /// carry ages, not times, because the clocks of two hosts are unrelated.
   Millis Age;
 
   auto operator<=>(const RelayFloor &) const = default;
@@ -42,11 +41,11 @@
 /// The answer to a link's oldest unanswered command.
 struct RelayAnswer {
   std::uint32_t Link = 0;
-  /// Counts the link's answers from 0. One that is left out or comes twice
-  /// would give each later statement another one's answer.
+  /// Counts the link's answers from 0. It detects a missing or duplicate
+  /// answer, which would assign each later answer to the wrong statement.
   std::uint64_t Index = 0;
   StatementAnswer Answer;
-  std::optional<RelayFloor> Floor; ///< Where it's news for this proxy.
+  std::optional<RelayFloor> Floor; ///< If newer than the last one sent.
 
   bool operator==(const RelayAnswer &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
@@ -54,8 +53,8 @@
   }
 };
 
-/// From the gateway: no answer will come any more. To it: none is wanted, and
-/// what is open on the link is rolled back.
+/// Closes a link. From the gateway: no further answers follow. To the gateway:
+/// answers are no longer needed, and an open transaction is rolled back.
 struct RelayClose {
   std::uint32_t Link = 0;
 
@@ -74,7 +73,8 @@
   template <class Archive> void serialize(Archive &) {}
 };
 
-/// The gateway stops soon: it ends what it has begun and takes nothing new.
+/// The gateway is about to stop: it completes what has begun and should get
+/// nothing new.
 struct RelayLeaving {
   bool operator==(const RelayLeaving &) const = default;
   template <class Archive> void serialize(Archive &) {}
--- a/Source/Relay/QueueEntry.h
+++ b/Source/Relay/QueueEntry.h
@@ -1,5 +1,5 @@
 /// \file
-/// An entry of a list that ends with its owner.
+/// A list entry that is removed when its owner is destroyed.
 
 #ifndef CORIANDERDYKE_RELAY_QUEUEENTRY_H
 #define CORIANDERDYKE_RELAY_QUEUEENTRY_H
@@ -9,16 +9,16 @@
 
 namespace corianderdyke {
 
-/// Whoever waits owns its place, so that no list names one that has stopped
-/// waiting. The list outlives its places.
+/// The waiting object owns its entry, so that no list refers to an object that
+/// has stopped waiting. The list must outlive its entries.
 template <class Waiter> class QueueEntry {
 public:
   using Queue = std::list<Waiter *>;
 
   QueueEntry() = default;
-  /// Puts \p Who before \p Next.
-  QueueEntry(Queue &Into, typename Queue::iterator Next, Waiter &Who)
-      : In(&Into), At(Into.insert(Next, &Who)) {}
+  /// Inserts \p Owner before \p Next.
+  QueueEntry(Queue &Into, typename Queue::iterator Next, Waiter &Owner)
+      : In(&Into), At(Into.insert(Next, &Owner)) {}
   ~QueueEntry() { remove(); }
   QueueEntry(QueueEntry &&Other) noexcept
       : In(std::exchange(Other.In, nullptr)), At(Other.At) {}
@@ -31,12 +31,12 @@
 
   bool isQueued() const { return In != nullptr; }
   void remove() {
-    if (Queue *Left = std::exchange(In, nullptr))
-      Left->erase(At);
+    if (Queue *Current = std::exchange(In, nullptr))
+      Current->erase(At);
   }
 
 private:
-  Queue *In = nullptr; ///< Null while it waits in none.
+  Queue *In = nullptr; ///< Null while not queued.
   typename Queue::iterator At = {};
 };
 
--- a/Source/Relay/RelayClient.cpp
+++ b/Source/Relay/RelayClient.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sends statements through one other proxy.
+/// Sends statements through another proxy.
 
 #include "Relay/RelayClient.h"
 
@@ -7,23 +7,25 @@
 
 namespace {
 
-/// A gateway that owes answers and was silent for this long is sent a
-/// keepalive: longer than most statements take.
+/// A gateway with outstanding answers that has sent nothing for this long gets
+/// a keepalive. Most statements take less.
 constexpr Millis PingAfter(60);
-/// Silent for this long although asked, those that wait for reads are told.
-constexpr Millis DoubtAfter(120);
-/// Silent for this long although asked, it gets nothing new. It may still be a
-/// live one on a slow host, so what it holds isn't given up yet.
+/// After this much silence despite a ping, links with outstanding answers are
+/// notified for the sake of waiting reads.
+constexpr Millis NotifyAfter(120);
+/// After this much silence despite a ping a gateway gets no new statements. It
+/// may still run on a slow host, so its links are not closed yet.
 constexpr Millis SuspectAfter(200);
-/// Silent for this long, it's given up: a frozen or cut off gateway would
-/// else hold what it has until callers' times are over. It's a few times the
-/// longest that a live one on a slow host takes to answer a ping.
-constexpr Millis GiveUpAfter(400);
-/// How often a silence is looked at, so that none of the bounds is overrun by
-/// more than half of what lies between them.
-constexpr Millis WatchInterval(30);
-/// After it couldn't be reached others are asked for this long: restarts take
-/// about that, and each try costs its caller a few milliseconds.
+/// The stream is closed after this much silence. Otherwise statements at a
+/// frozen or partitioned gateway would be stuck until their callers time out.
+/// It is a few times the longest ping response time of a gateway on a slow
+/// host.
+constexpr Millis CloseAfter(400);
+/// Interval of the liveness check. Each of the limits above is exceeded by at
+/// most half of the distance between two limits.
+constexpr Millis CheckInterval(30);
+/// After the stream ended, other gateways are used for this long: a restart
+/// takes about as long, and each attempt costs the caller a few milliseconds.
 constexpr Millis AvoidFor(300);
 
 } // namespace
@@ -53,12 +55,12 @@
 
   bool awaitsAnswers() const { return !SentAt.empty(); }
 
-  /// False where it can't be the answer to the oldest command.
-  bool answered(const RelayAnswer &Body) {
+  /// Returns false if \p Body is not the answer to the oldest command.
+  bool handleAnswer(const RelayAnswer &Body) {
     if (SentAt.empty() || Body.Index != NextAnswer++)
       return false;
-    // The gateway answered after this was sent, and asked the leader by the
-    // floor's age before that.
+    // The gateway answered after the command was sent and had asked the leader
+    // the floor's age before, so this is no later than that request.
     if (Body.Floor)
       Owner.Floors.record(Group, Body.Floor->Shown,
                           SentAt.front() - Body.Floor->Age, Owner.Time.now());
@@ -68,13 +70,13 @@
     return true;
   }
 
-  void closed() {
+  void handleClose() {
     IsClosed = true;
     const auto Handler = Handlers.OnClose;
     Handler(std::nullopt);
   }
 
-  void silent() {
+  void handleSilence() {
     const auto Handler = Handlers.OnKeepaliveTimeout;
     if (Handler)
       Handler();
@@ -85,7 +87,7 @@
   std::uint32_t Number;
   std::string Group;
   Events Handlers;
-  std::deque<Millis> SentAt; ///< Of commands without an answer.
+  std::deque<Millis> SentAt; ///< Of unanswered commands.
   std::uint64_t NextAnswer = 0;
   bool IsClosed = false;
 };
@@ -105,10 +107,10 @@
   if (!Outbox.isOpen())
     connect();
   const std::uint32_t Number = NextLink++;
-  auto Made =
+  auto Created =
       std::make_unique<Link>(*this, Number, To.Group, std::move(Events));
   send(RelayOpen{Number, To});
-  return Made;
+  return Created;
 }
 
 bool RelayClient::isAvailable() const {
@@ -132,7 +134,7 @@
   LastReceived = Time.now();
   IsPingPending = false;
   const auto Messages = Frames.read(Frame);
-  // The order of answers can't be trusted behind one that can't be read.
+  // After an undecodable frame the order of answers is unknown.
   if (!Messages)
     return closeStream();
   for (const RelayMessage &Each : *Messages)
@@ -141,9 +143,9 @@
 
 void RelayClient::on(const RelayAnswer &Body) {
   const auto Found = Links.find(Body.Link);
-  if (Found == Links.end() || Found->second->answered(Body))
+  if (Found == Links.end() || Found->second->handleAnswer(Body))
     return;
-  // Whatever else comes on this link can't be trusted either.
+  // Later answers on this link would be misassigned too.
   send(RelayClose{Body.Link});
   on(RelayClose{Body.Link});
 }
@@ -154,25 +156,26 @@
     return;
   Link *Closed = Found->second;
   Links.erase(Found);
-  Closed->closed();
+  Closed->handleClose();
 }
 
 void RelayClient::on(const RelayLeaving &) { IsLeaving = true; }
 
 void RelayClient::closeStream() {
-  // The process that listens there next is another one.
+  // A process that accepts the next stream is a new one.
   IsLeaving = false;
   AvoidUntil = Time.now() + AvoidFor;
   Outbox.reset(nullptr);
   // Handlers may destroy any of the links.
   while (!Links.empty()) {
-    Link *Lost = Links.begin()->second;
+    Link *Closed = Links.begin()->second;
     Links.erase(Links.begin());
-    Lost->closed();
+    Closed->handleClose();
   }
 }
 
-// Handlers may close links, and open others elsewhere.
+// Handlers may close links and open others elsewhere, so links are looked up
+// again by number.
 void RelayClient::notifySilent() {
   std::vector<std::uint32_t> Waiting;
   for (const auto &[Number, Each] : Links)
@@ -180,7 +183,7 @@
       Waiting.push_back(Number);
   for (const std::uint32_t Number : Waiting)
     if (const auto Found = Links.find(Number); Found != Links.end())
-      Found->second->silent();
+      Found->second->handleSilence();
 }
 
 bool RelayClient::awaitsAnswers() const {
@@ -194,26 +197,27 @@
   if (LivenessTimer != 0)
     return;
   LastReceived = Time.now();
-  LivenessTimer = Timers.after(WatchInterval, [this] {
+  LivenessTimer = Timers.after(CheckInterval, [this] {
     LivenessTimer = 0;
     checkLiveness();
   });
 }
 
 void RelayClient::checkLiveness() {
-  // Callers give up sooner than the silence is long enough to tell.
+  // Callers may time out before the silence is conclusive, so a pending ping
+  // alone keeps the check running.
   if (!Outbox.isOpen() || (!awaitsAnswers() && !IsPingPending))
     return;
-  const Millis Silent = Time.now() - LastReceived;
-  if (Silent >= GiveUpAfter)
+  const Millis Silence = Time.now() - LastReceived;
+  if (Silence >= CloseAfter)
     return closeStream();
-  // Once: a gateway that is silent since it has too much to do would get
-  // another question from hundreds of proxies at each look.
-  if (Silent >= PingAfter && !std::exchange(IsPingPending, true))
+  // Sent once: an overloaded gateway would otherwise get another ping from
+  // hundreds of proxies at each check.
+  if (Silence >= PingAfter && !std::exchange(IsPingPending, true))
     send(RelayPing{});
-  if (Silent >= DoubtAfter)
+  if (Silence >= NotifyAfter)
     notifySilent();
-  LivenessTimer = Timers.after(WatchInterval, [this] {
+  LivenessTimer = Timers.after(CheckInterval, [this] {
     LivenessTimer = 0;
     checkLiveness();
   });
--- a/Source/Relay/RelayClient.h
+++ b/Source/Relay/RelayClient.h
@@ -1,5 +1,5 @@
 /// \file
-/// Sends statements through one other proxy.
+/// Sends statements through another proxy.
 
 #ifndef CORIANDERDYKE_RELAY_RELAYCLIENT_H
 #define CORIANDERDYKE_RELAY_RELAYCLIENT_H
@@ -15,8 +15,9 @@
 
 namespace corianderdyke {
 
-/// One stream to one gateway, opened with the first link and again after it
-/// has ended. Its links close when it ends: what was on its way may have run.
+/// One stream to one gateway, opened with the first link and reopened with the
+/// next link after it has ended. All links close when the stream ends, because
+/// unanswered statements may have run.
 class RelayClient final : public TargetConnector {
 public:
   RelayClient(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
@@ -28,8 +29,8 @@
   std::unique_ptr<TargetLink> open(const TargetAddress &To,
                                    TargetLink::Events Events) override;
 
-  /// False while it stops, while it owes answers and is silent, and for a
-  /// moment after it couldn't be reached.
+  /// False while the gateway is stopping, while answers are outstanding and
+  /// nothing arrives, and for a short time after the stream ended.
   bool isAvailable() const;
 
 private:
@@ -46,7 +47,7 @@
   void closeStream();
   void checkLiveness();
   void startLivenessCheck();
-  /// Tells those that wait for answers that none may come.
+  /// Notifies links with outstanding answers that the gateway is silent.
   void notifySilent();
   bool awaitsAnswers() const;
 
@@ -59,9 +60,9 @@
   RelayOutbox Outbox; ///< Open while there is a stream.
   std::map<std::uint32_t, Link *> Links;
   std::uint32_t NextLink = 1;
-  bool IsLeaving = false; ///< Until the stream is opened anew.
+  bool IsLeaving = false; ///< Until the stream is reopened.
   Millis LastReceived;
-  bool IsPingPending = false; ///< Of life, since it was asked for one.
+  bool IsPingPending = false; ///< Sent, and nothing received since.
   Millis AvoidUntil;
   Scheduler::TimerId LivenessTimer = 0;
 };
--- a/Source/Relay/RelayCodec.cpp
+++ b/Source/Relay/RelayCodec.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The frames in which messages between proxies travel.
+/// Encodes messages between proxies into compressed frames.
 
 #include "Relay/RelayCodec.h"
 
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// A frame unpacks to this much at most: the largest statement or answer that
-/// a stream carries, and some.
+/// Largest decompressed size of a frame: above the largest statement or answer
+/// that a stream carries.
 constexpr std::size_t MaxFrameContent = 8U << 20U; // bytes
 
-TargetCommand command(TargetCommand::Kind What, const char *Text = "") {
+TargetCommand command(TargetCommand::Kind Operation, const char *Text = "") {
   TargetCommand Out;
-  Out.Operation = What;
+  Out.Operation = Operation;
   Out.Text = Text;
   Out.Priority = 1;
   Out.MaxQueueTime = Millis(50);
@@ -27,8 +27,8 @@
 } // namespace
 
 std::string RelayCodec::compressionDictionary() {
-  TargetCommand Own = command(TargetCommand::Kind::Run, "STORE ");
-  Own.NeedsPrevious = true;
+  TargetCommand Write = command(TargetCommand::Kind::Run, "STORE ");
+  Write.NeedsPrevious = true;
   TargetCommand Read = command(TargetCommand::Kind::Run, "FETCH ");
   Read.MinPosition = LogPosition{1, 1};
   StatementAnswer Empty;
@@ -36,31 +36,31 @@
   StatementAnswer Rows = Empty;
   Rows.Rows = {""};
   Rows.Signature = " ";
-  StatementAnswer Lags = Empty;
-  Lags.Refusal = StatementRefusal{RefusalCode::Lagging, ""};
+  StatementAnswer LaggingAnswer = Empty;
+  LaggingAnswer.Refusal = StatementRefusal{RefusalCode::Lagging, ""};
   return encode(std::vector<RelayMessage>{
              RelayOpen{}, RelayCommands{1, {Read}},
              RelayCommands{1, {command(TargetCommand::Kind::Run, "COMMIT")}},
              RelayCommands{1,
-                           {command(TargetCommand::Kind::Begin), Own,
+                           {command(TargetCommand::Kind::Begin), Write,
                             command(TargetCommand::Kind::Rollback)}}}) +
          encode(std::vector<RelayMessage>{
-             RelayAnswer{1, 1, Lags, std::nullopt},
+             RelayAnswer{1, 1, LaggingAnswer, std::nullopt},
              RelayAnswer{1, 1, Empty, RelayFloor{{1, 1}, Millis(5)}},
              RelayAnswer{1, 1, Rows, std::nullopt},
              RelayAnswer{1, 1, Empty, std::nullopt}});
 }
 
-RelayCodec::RelayCodec() : Packer(compressionDictionary()) {}
+RelayCodec::RelayCodec() : Compressor(compressionDictionary()) {}
 
 std::string RelayCodec::write(const std::vector<RelayMessage> &Messages) {
-  return FormatVersion + Packer.compress(encode(Messages));
+  return FormatVersion + Compressor.compress(encode(Messages));
 }
 
 Expected<std::vector<RelayMessage>> RelayCodec::read(const std::string &Frame) {
   if (Frame.empty() || Frame.front() != FormatVersion)
     return fail(ErrorCode::Corrupt, "a frame of another format");
-  const auto Bytes = Packer.decompress(Frame.substr(1), MaxFrameContent);
+  const auto Bytes = Compressor.decompress(Frame.substr(1), MaxFrameContent);
   if (!Bytes)
     return tl::unexpected(Bytes.error());
   return decode<std::vector<RelayMessage>>(*Bytes);
@@ -76,10 +76,10 @@
   Stream = std::move(To);
 }
 
-void RelayOutbox::send(RelayMessage What) {
+void RelayOutbox::send(RelayMessage Message) {
   if (!Stream)
     return;
-  Batch.push_back(std::move(What));
+  Batch.push_back(std::move(Message));
   if (Batch.size() >= MaxBatch)
     return flush();
   if (FlushTimer == 0)
--- a/Source/Relay/RelayCodec.h
+++ b/Source/Relay/RelayCodec.h
@@ -1,5 +1,5 @@
 /// \file
-/// The frames in which messages between proxies travel.
+/// Encodes messages between proxies into compressed frames.
 
 #ifndef CORIANDERDYKE_RELAY_RELAYCODEC_H
 #define CORIANDERDYKE_RELAY_RELAYCODEC_H
@@ -11,33 +11,33 @@
 
 namespace corianderdyke {
 
-/// Load pattern: hosts with little bandwidth (2 Mbit/s: 4 ms for 1,000 bytes),
-/// and two more of their links on the way through a gateway. Each statement
-/// waits for its own bytes and for those of all others of the gateway, which
-/// for a busy primary are most of what its link carries.
+/// Hosts may have little bandwidth (2 Mbit/s: 4 ms for 1,000 bytes), and the
+/// path through a gateway uses two more network links. Each statement waits for
+/// the transmission of its own bytes and of all others of the gateway, which
+/// for a busy primary are most of the traffic on its network link.
 ///
-/// So frames are packed, against a sample of what they usually hold, and all
-/// that is said within one turn of the loop travels in one.
+/// Frames are therefore compressed with a dictionary of typical content, and
+/// all messages of one event loop iteration are sent in one frame.
 class RelayCodec {
 public:
   RelayCodec();
 
   std::string write(const std::vector<RelayMessage> &Messages);
-  /// Corrupt where \p Frame isn't a whole frame of this format.
+  /// Returns Corrupt if \p Frame is not a complete frame of this format.
   Expected<std::vector<RelayMessage>> read(const std::string &Frame);
 
-  /// The first byte of a frame. It changes with the messages and with the
-  /// sample: a frame that was packed against another would unpack to something
-  /// that nobody has said.
+  /// The first byte of a frame. It must change with the messages and with the
+  /// dictionary: a frame compressed with another dictionary would decompress to
+  /// wrong content.
   static constexpr char FormatVersion = 3;
-  /// What frames are packed against.
+  /// The dictionary for compression and decompression.
   static std::string compressionDictionary();
 
 private:
-  FrameCompressor Packer;
+  FrameCompressor Compressor;
 };
 
-/// One end's way to the other: keeps what is said until the turn is over.
+/// Collects messages for the peer until the end of the event loop iteration.
 class RelayOutbox {
 public:
   RelayOutbox(Scheduler &Timers, RelayCodec &Frames)
@@ -46,17 +46,17 @@
   RelayOutbox(const RelayOutbox &) = delete;
   RelayOutbox &operator=(const RelayOutbox &) = delete;
 
-  /// From now on messages go there; what was kept for the one before is gone.
+  /// Replaces the stream and discards messages queued for the previous one.
   void reset(std::shared_ptr<PeerStream> To);
   bool isOpen() const { return Stream != nullptr; }
-  /// Without a stream nothing is sent.
-  void send(RelayMessage What);
+  /// Discards the message if there is no stream.
+  void send(RelayMessage Message);
 
 private:
   void flush();
 
-  /// Messages that are kept at most: an answer of a slow turn shouldn't wait
-  /// for all others of it.
+  /// Most messages in a frame, so that in a long iteration an answer does not
+  /// wait for all others.
   static constexpr std::size_t MaxBatch = 16;
 
   Scheduler &Timers;
--- a/Source/Relay/RelayServer.cpp
+++ b/Source/Relay/RelayServer.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Takes statements of other proxies for the targets that this one is a
-/// gateway of.
+/// Accepts statements of other proxies for the targets for which this proxy is
+/// a gateway.
 
 #include "Relay/RelayServer.h"
 
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// A floor that is younger than the last one told by less isn't worth its
-/// bytes: callers accept ages of a second and more.
-constexpr Millis FloorSpacing(150);
+/// Least time between two floors that are sent for a group. A smaller update is
+/// not worth its bytes, because callers accept ages of a second and more.
+constexpr Millis FloorInterval(150);
 
 } // namespace
 
@@ -20,7 +20,7 @@
   RelayOutbox Outbox; ///< Open until the peer is dropped.
   std::map<std::uint32_t, std::unique_ptr<TargetLink>> Links;
   std::map<std::uint32_t, std::uint64_t> Answered; ///< Answers by link.
-  std::map<std::string, Millis> FloorTold; ///< By group: when it was proven.
+  std::map<std::string, Millis> LastFloors; ///< By group: when it was proven.
 
   void send(RelayMessage Body) { Outbox.send(std::move(Body)); }
 };
@@ -39,19 +39,19 @@
 
 PeerStreamEvents
 RelayServer::accepted(const std::shared_ptr<PeerStream> &Stream) {
-  auto Made = std::make_shared<Peer>(Timers, Frames);
-  Made->Outbox.reset(Stream);
-  Peers.insert(Made);
+  auto Created = std::make_shared<Peer>(Timers, Frames);
+  Created->Outbox.reset(Stream);
+  Peers.insert(Created);
   if (IsStopping)
-    Made->send(RelayLeaving{});
-  const std::weak_ptr<Peer> Weak = Made;
+    Created->send(RelayLeaving{});
+  const std::weak_ptr<Peer> Weak = Created;
   return {[this, Weak](const std::string &Frame) {
-            if (const auto Held = Weak.lock())
-              receive(*Held, Frame);
+            if (const auto Strong = Weak.lock())
+              receive(*Strong, Frame);
           },
           [this, Weak] {
-            if (const auto Held = Weak.lock())
-              drop(*Held);
+            if (const auto Strong = Weak.lock())
+              drop(*Strong);
           }};
 }
 
@@ -71,37 +71,38 @@
       {[] {},
        [this, Weak, Number,
         Group = Body.To.Group](const StatementAnswer &Answer) {
-         if (const auto Held = Weak.lock())
-           Held->send(RelayAnswer{Number, Held->Answered[Number]++, Answer,
-                                  floorUpdateFor(*Held, Group)});
+         if (const auto Strong = Weak.lock())
+           Strong->send(RelayAnswer{Number, Strong->Answered[Number]++, Answer,
+                                    floorUpdateFor(*Strong, Group)});
        },
        [Weak, Number](const std::optional<StatementRefusal> &) {
-         const auto Held = Weak.lock();
-         if (!Held || Held->Links.erase(Number) == 0)
+         const auto Strong = Weak.lock();
+         if (!Strong || Strong->Links.erase(Number) == 0)
            return;
-         Held->Answered.erase(Number);
-         Held->send(RelayClose{Number});
+         Strong->Answered.erase(Number);
+         Strong->send(RelayClose{Number});
        }});
 }
 
-// A proxy alone sees few answers of a group's leader, and without a young
-// floor each of its reads would have to go there.
+// A single proxy receives few answers from a group's leader, and without a
+// recent floor it would have to send each read to the leader.
 std::optional<RelayFloor>
 RelayServer::floorUpdateFor(Peer &To, const std::string &Group) const {
-  const auto Known = Floors.latest(Group);
-  if (!Known)
+  const auto Latest = Floors.latest(Group);
+  if (!Latest)
     return std::nullopt;
-  const auto Told = To.FloorTold.find(Group);
-  if (Told != To.FloorTold.end() && Known->SentAt - Told->second < FloorSpacing)
+  const auto LastFloor = To.LastFloors.find(Group);
+  if (LastFloor != To.LastFloors.end() &&
+      Latest->SentAt - LastFloor->second < FloorInterval)
     return std::nullopt;
-  To.FloorTold[Group] = Known->SentAt;
-  return RelayFloor{Known->Position, Time.now() - Known->SentAt};
+  To.LastFloors[Group] = Latest->SentAt;
+  return RelayFloor{Latest->Position, Time.now() - Latest->SentAt};
 }
 
 void RelayServer::on(Peer &From, const RelayCommands &Body) {
   const auto Found = From.Links.find(Body.Link);
-  // It ended here while the commands were on their way; the other side has
-  // been told.
+  // The link closed here while the commands were in transit; a RelayClose has
+  // been sent.
   if (Found == From.Links.end() || !Found->second)
     return;
   Found->second->send(Body.Commands);
@@ -114,12 +115,12 @@
 
 void RelayServer::on(Peer &From, const RelayPing &) { From.send(RelayPong{}); }
 
-void RelayServer::drop(Peer &Gone) {
-  const auto Held = Gone.shared_from_this();
-  Held->Outbox.reset(nullptr);
-  Peers.erase(Held);
-  // Outside the list, which their handlers look at.
-  const auto Ended = std::exchange(Held->Links, {});
+void RelayServer::drop(Peer &Closed) {
+  const auto Strong = Closed.shared_from_this();
+  Strong->Outbox.reset(nullptr);
+  Peers.erase(Strong);
+  // Moved out of the map, because the links' handlers access it.
+  const auto Ended = std::exchange(Strong->Links, {});
 }
 
 void RelayServer::announceStop() {
--- a/Source/Relay/RelayServer.h
+++ b/Source/Relay/RelayServer.h
@@ -1,6 +1,6 @@
 /// \file
-/// Takes statements of other proxies for the targets that this one is a
-/// gateway of.
+/// Accepts statements of other proxies for the targets for which this proxy is
+/// a gateway.
 
 #ifndef CORIANDERDYKE_RELAY_RELAYSERVER_H
 #define CORIANDERDYKE_RELAY_RELAYSERVER_H
@@ -15,8 +15,8 @@
 
 namespace corianderdyke {
 
-/// Every link of a stream ends with it: what another proxy left open is
-/// rolled back as soon as its process is gone.
+/// All links of a stream end with it, so open transactions of another proxy are
+/// rolled back as soon as its process has ended.
 class RelayServer {
 public:
   RelayServer(Clock &Time, Scheduler &Timers, PeerStreams &Streams,
@@ -26,7 +26,7 @@
   RelayServer(const RelayServer &) = delete;
   RelayServer &operator=(const RelayServer &) = delete;
 
-  /// Tells the others to send nothing new here.
+  /// Asks connected proxies to send nothing new to this gateway.
   void announceStop();
 
 private:
@@ -39,7 +39,7 @@
   void on(Peer &From, const RelayClose &Body);
   void on(Peer &From, const RelayPing &Body);
   template <class Other> void on(Peer &, const Other &) {}
-  void drop(Peer &Gone);
+  void drop(Peer &Closed);
 
   std::optional<RelayFloor> floorUpdateFor(Peer &To,
                                            const std::string &Group) const;
--- a/Source/Relay/SharedConnector.cpp
+++ b/Source/Relay/SharedConnector.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Decides through which gateway a statement goes.
+/// Selects the gateway through which a statement is sent.
 
 #include "Relay/SharedConnector.h"
 
@@ -11,31 +11,34 @@
 
 namespace {
 
-/// Fewer connections of its own to a target than this, in parts of ten, and
-/// a proxy shares: some proxies would have none. From one on, the way by a
-/// gateway costs callers more than waiting for the own one does (five halls
-/// 1.4 ms apart, 1.4 connections a proxy: 0.03 to 0.08 of the service).
+/// A group is shared if each proxy would have fewer connections to a target
+/// than this, in tenths, because some proxies would have none. From one
+/// connection on, the detour through a gateway costs callers more than waiting
+/// for the proxy's own connection (with 1.4 connections per proxy in five
+/// failure domains 1.4 ms apart: 0.03 to 0.08 of the service).
 constexpr std::size_t ShareBelow = 10;
-/// More than this, and it stops to share. Far above the former, so that a few
-/// restarts don't move every connection of the system there and back.
-constexpr std::size_t OwnAbove = 30;
-constexpr std::size_t Parts = 10;
-/// A proxy that has a plan and no list of proxies for this long opens
-/// connections of its own: well above what a new leader takes to know them.
-constexpr Millis ListPatience(2500);
-/// A gateway that doesn't reach a target isn't asked again for this long.
+/// Sharing ends at this many connections per proxy, in tenths. It is far above
+/// ShareBelow so that a few restarts do not move every connection of the system
+/// back and forth.
+constexpr std::size_t ShareUntil = 30;
+constexpr std::size_t PartsPerConnection = 10;
+/// A proxy that has had a plan but no list of proxies for this long opens its
+/// own connections. It is well above the time that a new leader needs to
+/// collect the list.
+constexpr Millis ProxyListTimeout(2500);
+/// A gateway that cannot reach a target is not used for it for this long.
 constexpr Millis AvoidFor(400);
 
 } // namespace
 
-/// A link that is bound to a gateway only while something is open on it, and
-/// takes its state along when it goes to another.
+/// A link that keeps its gateway while a transaction or statement is open, and
+/// replays its session state when it moves to another gateway.
 class SharedConnector::Link final : public TargetLink {
 public:
   Link(SharedConnector &Owner, TargetAddress To, Events Given)
       : Owner(Owner), To(std::move(To)), Handlers(std::move(Given)) {
-    Owner.Deps.Timers.after(Millis(0), [this, Still = Alive] {
-      if (!*Still)
+    Owner.Deps.Timers.after(Millis(0), [this, AliveFlag = Alive] {
+      if (!*AliveFlag)
         return;
       const auto Handler = Handlers.OnOpen;
       Handler();
@@ -47,53 +50,54 @@
   bool isShared() const override { return true; }
 
   void send(const std::vector<TargetCommand> &Commands) override {
-    const bool BeginsUnit = Unanswered == 0 && Phase == SessionPhase::Idle;
-    if (BeginsUnit && !rebind())
+    const bool IsIdle = Unanswered == 0 && Phase == SessionPhase::Idle;
+    if (IsIdle && !rebind())
       return refuseAll(Commands);
-    if (!Inner) {
-      // What was open ended with its gateway; the user of the link is told.
+    if (!GatewayLink) {
+      // The transaction ended with its gateway; OnClose has been called.
       return;
     }
     Unanswered += Commands.size();
     for (const TargetCommand &Each : Commands)
-      noteState(Each);
-    Inner->send(Commands);
+      recordState(Each);
+    GatewayLink->send(Commands);
   }
 
 private:
-  /// Binds to a gateway that is believed to reach the target.
+  /// Binds to a gateway that is considered able to reach the target.
   bool rebind() {
-    if (Inner && Owner.isUsable(Bound, To.Id))
+    if (GatewayLink && Owner.isUsable(Bound, To.Id))
       return true;
-    Inner.reset();
+    GatewayLink.reset();
     const auto Chosen = Owner.chooseGateway(To);
     if (!Chosen)
       return false;
     Bound = *Chosen;
-    Inner = Bound.Connector->open(
-        To, {[] {}, [this](const StatementAnswer &Answer) { answered(Answer); },
-             [this](const std::optional<StatementRefusal> &) { closed(); },
-             Handlers.OnKeepaliveTimeout});
+    GatewayLink = Bound.Connector->open(
+        To,
+        {[] {}, [this](const StatementAnswer &Answer) { handleAnswer(Answer); },
+         [this](const std::optional<StatementRefusal> &) { handleClose(); },
+         Handlers.OnKeepaliveTimeout});
     if (!State.empty()) {
       Replayed = State.size();
-      Inner->send(State);
+      GatewayLink->send(State);
     }
     return true;
   }
 
-  /// Remembers what the next gateway must know.
-  void noteState(const TargetCommand &What) {
-    if (What.Operation == TargetCommand::Kind::Reset)
+  /// Records session state for replay at the next gateway.
+  void recordState(const TargetCommand &Command) {
+    if (Command.Operation == TargetCommand::Kind::Reset)
       State.clear();
-    if (!isSessionStateCommand(What.Operation))
+    if (!isSessionStateCommand(Command.Operation))
       return;
-    std::erase_if(State, [&What](const TargetCommand &Each) {
-      return Each.Operation == What.Operation && Each.Name == What.Name;
+    std::erase_if(State, [&Command](const TargetCommand &Each) {
+      return Each.Operation == Command.Operation && Each.Name == Command.Name;
     });
-    State.push_back(What);
+    State.push_back(Command);
   }
 
-  void answered(const StatementAnswer &Answer) {
+  void handleAnswer(const StatementAnswer &Answer) {
     if (Replayed > 0) {
       --Replayed;
       return;
@@ -105,7 +109,7 @@
     StatementAnswer Out = Answer;
     if (Answer.Refusal && Answer.Refusal->Code == RefusalCode::Unreachable) {
       Owner.avoid(Bound.Name, To.Id);
-      // Another gateway may reach it.
+      // Another gateway may reach the target, so the refusal is temporary.
       if (Owner.chooseGateway(To))
         Out.Refusal->Code = RefusalCode::Busy;
     }
@@ -113,9 +117,9 @@
     Handler(Out);
   }
 
-  void closed() {
+  void handleClose() {
     const bool IsIdle = Unanswered == 0 && Phase == SessionPhase::Idle;
-    Owner.retire(std::move(Inner));
+    Owner.retire(std::move(GatewayLink));
     Replayed = 0;
     if (IsIdle)
       return;
@@ -123,13 +127,13 @@
     Handler(std::nullopt);
   }
 
-  /// Nothing was sent, so nothing ran.
+  /// Refuses commands of which none was sent, so none has run.
   void refuseAll(const std::vector<TargetCommand> &Commands) {
     for (const TargetCommand &Each : Commands)
-      noteState(Each);
-    Owner.Deps.Timers.after(Millis(0), [this, Still = Alive, Commands] {
+      recordState(Each);
+    Owner.Deps.Timers.after(Millis(0), [this, AliveFlag = Alive, Commands] {
       for (const TargetCommand &Each : Commands) {
-        if (!*Still)
+        if (!*AliveFlag)
           return;
         StatementAnswer Out;
         if (!isSessionStateCommand(Each.Operation))
@@ -145,10 +149,10 @@
   TargetAddress To;
   Events Handlers;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
-  std::unique_ptr<TargetLink> Inner;
+  std::unique_ptr<TargetLink> GatewayLink;
   Gateway Bound;
   std::vector<TargetCommand> State; ///< Since the last reset.
-  std::size_t Replayed = 0;         ///< Answers due to what was replayed.
+  std::size_t Replayed = 0;         ///< Outstanding answers to replayed state.
   std::size_t Unanswered = 0;
   SessionPhase Phase = SessionPhase::Idle;
 };
@@ -169,12 +173,12 @@
   return Gateways.count(Group) != 0;
 }
 
-// Load pattern: everything starts at the same moment. Proxies that
-// opened connections of their own before they know of each other would exceed
-// the targets' limits, and each opening takes a slot.
+// All processes may start at the same time. Proxies that opened their own
+// connections before they receive the list of proxies would exceed the targets'
+// limits, and each opening takes a slot.
 bool SharedConnector::knowsShares() const {
   return !Proxies.empty() ||
-         (FirstPlanAt && Deps.Time.now() - *FirstPlanAt >= ListPatience);
+         (FirstPlanAt && Deps.Time.now() - *FirstPlanAt >= ProxyListTimeout);
 }
 
 void SharedConnector::setPlan(const RoutePlan &New) {
@@ -192,9 +196,9 @@
 
 void SharedConnector::updateTargets(const TargetDirectory &Known) {
   std::vector<TargetRecord> New = Known.all();
-  const bool IsAlike = hasSamePlacement(New, Targets);
+  const bool IsSamePlacement = hasSamePlacement(New, Targets);
   Targets = std::move(New);
-  if (!IsAlike)
+  if (!IsSamePlacement)
     rebuildTable();
   Deps.Broker.update(Known);
 }
@@ -213,8 +217,8 @@
   for (const GroupPolicy &Each : Plan.Groups) {
     const std::size_t Usable = Each.usableConnections();
     const std::size_t Bound =
-        sharesConnections(Each.Name) ? OwnAbove : ShareBelow;
-    if (Usable * Parts >= Bound * Proxies.size()) {
+        sharesConnections(Each.Name) ? ShareUntil : ShareBelow;
+    if (Usable * PartsPerConnection >= Bound * Proxies.size()) {
       Gateways.erase(Each.Name);
       continue;
     }
@@ -245,35 +249,36 @@
   Deps.Broker.setGatewayTargets(std::move(Own));
 }
 
-SharedConnector::Gateway SharedConnector::gatewayOf(const ProxyRecord &Which) {
-  if (Which.Name == Self)
+SharedConnector::Gateway
+SharedConnector::gatewayOf(const ProxyRecord &Candidate) {
+  if (Candidate.Name == Self)
     return {&Deps.Broker, nullptr, Self};
-  std::unique_ptr<RelayClient> &Peer = Peers[Which.RelayEndpoint];
+  std::unique_ptr<RelayClient> &Peer = Peers[Candidate.RelayEndpoint];
   if (!Peer)
     Peer = std::make_unique<RelayClient>(Deps.Time, Deps.Timers, Deps.Streams,
                                          Deps.Frames, Deps.Floors,
-                                         Which.RelayEndpoint);
-  return {Peer.get(), Peer.get(), Which.Name};
+                                         Candidate.RelayEndpoint);
+  return {Peer.get(), Peer.get(), Candidate.Name};
 }
 
-bool SharedConnector::isUsable(const Gateway &Which,
+bool SharedConnector::isUsable(const Gateway &Candidate,
                                const std::string &Target) const {
-  if (Which.Peer != nullptr && !Which.Peer->isAvailable())
+  if (Candidate.Peer != nullptr && !Candidate.Peer->isAvailable())
     return false;
-  const auto Until = AvoidUntil.find({Which.Name, Target});
+  const auto Until = AvoidUntil.find({Candidate.Name, Target});
   if (Until != AvoidUntil.end() && Deps.Time.now() < Until->second)
     return false;
-  // Connections move with the gateways.
+  // The gateways may have changed since the link was bound.
   const std::vector<ProxyRecord> &Known = Table.gatewaysOf(Target);
   return std::any_of(Known.begin(), Known.end(), [&](const ProxyRecord &Each) {
-    return Each.Name == Which.Name;
+    return Each.Name == Candidate.Name;
   });
 }
 
-// Load pattern: many organisations, few connections. At the same gateway of a
-// target from all proxies, an organisation needs one connection where it would
-// need one at each gateway, and finds it open more often. Who belongs to no
-// organisation begins at another one each time, so that all carry the same.
+// There may be many organisations and few connections. If all proxies use the
+// same gateway of a target for an organisation, it needs one connection instead
+// of one at each gateway, and that connection is open more often. Links without
+// an organisation rotate through the gateways to balance the load.
 std::size_t SharedConnector::firstGatewayIndex(const TargetAddress &To) {
   if (To.Organisation.empty())
     return NextGateway++;
@@ -286,9 +291,9 @@
   const auto Count = Gateways.find(To.Group);
   const std::size_t First =
       std::min(Known.size(), Count == Gateways.end() ? 0 : Count->second);
-  const std::size_t Turn = firstGatewayIndex(To);
+  const std::size_t Start = firstGatewayIndex(To);
   for (std::size_t Each = 0; Each < First; ++Each) {
-    const Gateway Next = gatewayOf(Known[(Turn + Each) % First]);
+    const Gateway Next = gatewayOf(Known[(Start + Each) % First]);
     if (isUsable(Next, To.Id))
       return Next;
   }
@@ -304,8 +309,8 @@
   Retired.push_back(std::move(Ended));
   if (Retired.size() == 1)
     Deps.Timers.after(Millis(0), [this] {
-      // Outside the list, so that one which ends with them can be added.
-      const auto Ended = std::exchange(Retired, {});
+      // Moved out of the list, since destroying a link may retire another.
+      const auto Links = std::exchange(Retired, {});
     });
 }
 
--- a/Source/Relay/SharedConnector.h
+++ b/Source/Relay/SharedConnector.h
@@ -1,7 +1,7 @@
 /// \file
-/// Decides for each database group whether this proxy holds connections of
-/// its own to the targets or shares them with other proxies, and through
-/// which gateway a statement goes.
+/// Decides for each database group whether this proxy opens its own target
+/// connections or shares connections with other proxies, and selects the
+/// gateway for each statement.
 
 #ifndef CORIANDERDYKE_RELAY_SHAREDCONNECTOR_H
 #define CORIANDERDYKE_RELAY_SHAREDCONNECTOR_H
@@ -34,38 +34,40 @@
   bool sharesConnections(const std::string &Group) const override;
   bool knowsShares() const override;
 
-  /// What control said.
+  /// Apply the configuration and state received from control.
   void setPlan(const RoutePlan &New);
-  void updateTargets(const TargetDirectory &Known);
+  void updateTargets(const TargetDirectory &Directory);
   void setProxies(std::vector<ProxyRecord> All);
 
 private:
   class Link;
   friend class Link;
 
-  /// A gateway of one target; Peer is null for this process itself.
+  /// A gateway of one target; Peer is null for this process.
   struct Gateway {
     TargetConnector *Connector = nullptr;
     RelayClient *Peer = nullptr;
     std::string Name;
   };
 
-  /// The gateway that should carry the next statement of a link; nothing
-  /// where none is believed to reach the target.
+  /// Selects the gateway for the next statement of a link; nothing if no
+  /// gateway is considered able to reach the target.
   std::optional<Gateway> chooseGateway(const TargetAddress &To);
-  /// Where among a target's gateways the search for one begins.
+  /// Returns the index at which the search among a target's gateways begins.
   std::size_t firstGatewayIndex(const TargetAddress &To);
-  bool isUsable(const Gateway &Which, const std::string &Target) const;
-  /// The gateway said that it doesn't reach the target.
+  bool isUsable(const Gateway &Candidate, const std::string &Target) const;
+  /// Skips the gateway for this target for a while, after it reported the
+  /// target as unreachable.
   void avoid(const std::string &Gateway, const std::string &Target);
-  /// Destroys a link that ended once its callbacks have returned. It's kept
-  /// here, since it refers to the broker or a peer: held by a timer it would
-  /// outlive them in a process that stops.
+  /// Destroys an ended link after its callbacks have returned. The connector
+  /// owns it meanwhile because it refers to the broker or a peer: owned by a
+  /// timer it would outlive them when the process stops.
   void retire(std::unique_ptr<TargetLink> Ended);
-  Gateway gatewayOf(const ProxyRecord &Which);
+  Gateway gatewayOf(const ProxyRecord &Candidate);
   void decideSharing();
   void rebuildTable();
-  /// True where the list says the same of where targets are.
+  /// True if both lists agree on each target's group, failure domain and
+  /// presence.
   static bool hasSamePlacement(const std::vector<TargetRecord> &Left,
                                const std::vector<TargetRecord> &Right);
 
@@ -76,12 +78,12 @@
   std::vector<ProxyRecord> Proxies;
   std::optional<Millis> FirstPlanAt; ///< When the first plan was adopted.
   GatewayTable Table;
-  std::map<std::string, std::size_t> Gateways; ///< Of groups that share.
+  std::map<std::string, std::size_t> Gateways; ///< Count, by sharing group.
   std::map<Endpoint, std::unique_ptr<RelayClient>> Peers;
   /// By gateway and target.
   std::map<std::pair<std::string, std::string>, Millis> AvoidUntil;
-  std::vector<std::unique_ptr<TargetLink>> Retired; ///< After Peers.
-  std::size_t NextGateway; ///< Begins elsewhere at each proxy.
+  std::vector<std::unique_ptr<TargetLink>> Retired; ///< Destroyed before Peers.
+  std::size_t NextGateway; ///< Starts at a hash of Self.
 };
 
 } // namespace corianderdyke
--- a/Source/Relay/TargetBroker.cpp
+++ b/Source/Relay/TargetBroker.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Shares few connections to a target among many links.
+/// Shares a small number of target connections among many links.
 
 #include "Relay/BrokerLink.h"
 
@@ -9,34 +9,35 @@
 
 namespace {
 
-/// How often bounds are looked at: while links wait or connections open,
-/// while statements run, and while connections stand idle.
+/// Intervals between checks of the timeouts: while links wait or connections
+/// are being opened, while statements run, and while connections are idle.
 constexpr Millis WaitingInterval(20);
 constexpr Millis RunningInterval(50);
 constexpr Millis IdleInterval(250);
-/// An opening that takes longer than this isn't answered any more.
-constexpr Millis OpenPatience(400);
-/// A target from which nothing comes for this long, while answers are due, is
-/// reported as silent: ten times what most statements take.
-constexpr Millis SilenceNoticed(250);
-/// How long the first in the queue waits before another connection is opened:
-/// most statements end sooner, and a new connection costs the target a slot.
+/// Timeout for opening a connection.
+constexpr Millis OpenTimeout(400);
+/// A target that sends nothing for this long while answers are outstanding is
+/// reported as silent. Most statements take a tenth of this.
+constexpr Millis SilenceTimeout(250);
+/// How long the first link in the queue waits before another connection is
+/// opened: most statements end sooner, and opening a connection occupies a slot
+/// of the target.
 constexpr Millis WaitBeforeOpening(10);
-/// A target that had all the work it may get this lately is busy, though not at
-/// this moment.
-constexpr Millis PressureLasts(2000);
-/// Pause between two connections that are opened ahead of need. With 12 ms an
-/// opening four gateways together take a tenth of what two slots can do.
-constexpr Millis WarmPause(250);
-/// Statements that all gateways together send to a target beyond what it
-/// works on, in parts of that: enough that a slot which comes free finds the
-/// next one there, though each gateway counts only its own.
-constexpr std::size_t SentBeyondSlots = 2;
-/// Connections to one target that are opened at a time where each belongs to
-/// an organisation: several organisations wait then, none for the others'.
-constexpr std::size_t OpeningsWhereDivided = 3;
-/// Slots of a target that didn't say how many it has.
-constexpr std::size_t UsualSlots = 2;
+/// A target counts as saturated for this long after its statements in flight
+/// last reached the limit.
+constexpr Millis SaturationHold(2000);
+/// Pause between two connections that are opened in advance. An opening takes
+/// 12 ms, so four gateways together use a tenth of the capacity of two slots.
+constexpr Millis WarmUpInterval(250);
+/// Statements that all gateways together send to a target beyond its slots, as
+/// a multiple of the slots: enough that a slot that becomes free has a next
+/// statement, although each gateway counts only its own.
+constexpr std::size_t ExtraPerSlot = 2;
+/// Connections to one target that are opened concurrently if each belongs to
+/// an organisation, since several organisations may each wait for their own.
+constexpr std::size_t MaxOpeningsWhenPerOrganisation = 3;
+/// Assumed slots of a target that does not report their number.
+constexpr std::size_t DefaultSlots = 2;
 
 } // namespace
 
@@ -63,14 +64,14 @@
   Record.Id = To.Id;
   Record.Group = To.Group;
   Record.Address = To.Address;
-  Target &Made =
+  Target &Created =
       Targets
           .emplace(To.Id, Target{TargetPool(Record,
                                             GatewayShares[To.Group].Connections,
                                             Time.now())})
           .first->second;
-  applySharing(Made.Pool);
-  return Made;
+  applySharing(Created.Pool);
+  return Created;
 }
 
 TargetBroker::Target *TargetBroker::find(const std::string &Id) {
@@ -85,19 +86,19 @@
 
 std::size_t TargetBroker::maxInFlight(const Target &At) const {
   const TargetRecord &Of = At.Pool.record();
-  const std::size_t Slots = Of.Slots > 0 ? Of.Slots : UsualSlots;
-  const auto Among = GatewayShares.find(Of.Group);
+  const std::size_t Slots = Of.Slots > 0 ? Of.Slots : DefaultSlots;
+  const auto Share = GatewayShares.find(Of.Group);
   const std::size_t Gateways =
-      Among == GatewayShares.end() ? 1 : Among->second.Gateways;
-  return std::max<std::size_t>(
-      1, (Slots * (1 + SentBeyondSlots) + Gateways - 1) / Gateways);
+      Share == GatewayShares.end() ? 1 : Share->second.Gateways;
+  return std::max<std::size_t>(1, (Slots * (1 + ExtraPerSlot) + Gateways - 1) /
+                                      Gateways);
 }
 
-void TargetBroker::update(const TargetDirectory &Known) {
+void TargetBroker::update(const TargetDirectory &Directory) {
   const Millis Now = Time.now();
   for (auto Each = Targets.begin(); Each != Targets.end();) {
     TargetPool &Pool = Each->second.Pool;
-    if (const TargetRecord *Record = Known.find(Each->first)) {
+    if (const TargetRecord *Record = Directory.find(Each->first)) {
       if (Pool.isNewIncarnation(*Record))
         closeStaleConnections(Each->second);
       Pool.update(*Record, Now);
@@ -109,7 +110,7 @@
     Each = Ended ? Targets.erase(Each) : std::next(Each);
   }
   for (const std::string &Id : GatewayTargets)
-    if (const TargetRecord *Record = Known.find(Id))
+    if (const TargetRecord *Record = Directory.find(Id))
       targetOf({Record->Group, Record->Id, Record->Address})
           .Pool.update(*Record, Now);
   Ticker.requestWithin(WaitingInterval);
@@ -127,7 +128,7 @@
       Each.Pool.setShare(Connections);
 }
 
-// Where connections belong to organisations each gateway uses all of its share.
+// If connections belong to organisations, each gateway uses its whole share.
 void TargetBroker::applySharing(TargetPool &Pool) const {
   Pool.setPerOrganisation(IsPerOrganisation);
   Pool.limitToShare(IsPerOrganisation);
@@ -154,11 +155,11 @@
 
 QueueEntry<TargetBroker::Link> TargetBroker::enqueue(Link &New,
                                                      std::list<Link *> &In) {
-  auto Place = In.end();
-  while (Place != In.begin() &&
-         (*std::prev(Place))->priority() > New.priority())
-    --Place;
-  return {In, Place, New};
+  auto Position = In.end();
+  while (Position != In.begin() &&
+         (*std::prev(Position))->priority() > New.priority())
+    --Position;
+  return {In, Position, New};
 }
 
 void TargetBroker::waitForConnection(Link &New) {
@@ -175,29 +176,30 @@
   dispatch(At);
 }
 
-// One that holds a connection goes first among equals: others wait for it.
+// At equal priority a link that holds a connection goes first, because other
+// links wait for that connection.
 bool TargetBroker::runNext(Target &At) {
-  const bool MayWork = At.InFlight < maxInFlight(At);
-  Link *Inside = MayWork && !At.Ready.empty() ? At.Ready.front() : nullptr;
+  const bool MaySend = At.InFlight < maxInFlight(At);
+  Link *NextHolder = MaySend && !At.Ready.empty() ? At.Ready.front() : nullptr;
   for (Link *Next : At.Waiting) {
-    if (Inside != nullptr && Inside->priority() <= Next->priority())
+    if (NextHolder != nullptr && NextHolder->priority() <= Next->priority())
       break;
-    if (!MayWork && Next->hasSlotCommands())
+    if (!MaySend && Next->hasSlotCommands())
       continue;
     const TargetConnectionPtr Free =
         Next->to().IsInternal
             ? At.Pool.idleForInternalUse()
             : At.Pool.idle(Next->to().Organisation, Next->values());
-    // Another organisation's may be idle.
+    // Idle connections may all belong to other organisations.
     if (!Free)
       continue;
     Free->setBusy(true, Time.now());
     Next->run(Free);
     return true;
   }
-  if (Inside == nullptr)
+  if (NextHolder == nullptr)
     return false;
-  Inside->takeTurn();
+  NextHolder->takeTurn();
   return true;
 }
 
@@ -216,15 +218,16 @@
   openIfAllowed(At);
 }
 
-// Load pattern: everything was down and all callers come back at once. Each
-// opening takes a slot for as long as several statements do, and while as much
-// is at work as this gateway may send, another connection has nothing to carry.
-// It helps only where those that stand are held by transactions that rest.
+// After a full outage all callers reconnect at once. Each opening occupies a
+// slot for as long as several statements do, and while the statements in flight
+// are at this gateway's limit, another connection could not be used. It helps
+// only if the open connections are held by idle transactions.
 void TargetBroker::openIfAllowed(Target &At) {
   if (At.InFlight >= maxInFlight(At))
     return;
-  const std::size_t Most = IsPerOrganisation ? OpeningsWhereDivided : 1;
-  while (At.Pool.opening() < Most) {
+  const std::size_t MaxOpenings =
+      IsPerOrganisation ? MaxOpeningsWhenPerOrganisation : 1;
+  while (At.Pool.opening() < MaxOpenings) {
     const Link *Next = firstToOpenFor(At);
     if (Next == nullptr)
       return;
@@ -234,11 +237,12 @@
 
 TargetBroker::Link *TargetBroker::firstToOpenFor(const Target &At) const {
   const Millis Now = Time.now();
-  std::set<std::string> Seen;
+  std::set<std::string> Organisations;
   for (Link *Each : At.Waiting) {
     const std::string &Organisation = Each->to().Organisation;
-    // Who comes first waits for what is idle or on its way.
-    if (!Seen.insert(Organisation).second ||
+    // The first link of an organisation uses the connection that is idle or
+    // being opened.
+    if (!Organisations.insert(Organisation).second ||
         At.Pool.opening(Organisation) > 0 ||
         At.Pool.idle(Organisation, Each->values()) != nullptr)
       continue;
@@ -251,15 +255,16 @@
   return nullptr;
 }
 
-// The first one is opened at once, the others when the target has time.
+// Opens the first connection immediately and the others while the target is
+// idle.
 void TargetBroker::warmUp(Target &At) {
   const Millis Now = Time.now();
   if (GatewayTargets.count(At.Pool.record().Id) == 0 ||
       !At.Pool.needsWarmConnections() || At.Pool.opening() > 0 ||
       !At.Pool.mayOpen("", Now))
     return;
-  const bool IsQuiet = At.InFlight == 0 && At.Waiting.empty();
-  if (At.Pool.size() > 0 && (!IsQuiet || Now - At.OpenedAt < WarmPause))
+  const bool IsIdle = At.InFlight == 0 && At.Waiting.empty();
+  if (At.Pool.size() > 0 && (!IsIdle || Now - At.OpenedAt < WarmUpInterval))
     return;
   openConnection(At, "");
 }
@@ -274,25 +279,25 @@
                   Of.Pool.recordReachable(Time.now());
                   dispatch(Of);
                 },
-                [this](const TargetConnectionPtr &Gone,
+                [this](const TargetConnectionPtr &Closed,
                        const std::optional<StatementRefusal> &Why) {
-                  handleClose(Gone, Why);
+                  handleClose(Closed, Why);
                 }});
   Ticker.requestWithin(WaitingInterval);
 }
 
-void TargetBroker::handleClose(const TargetConnectionPtr &Gone,
+void TargetBroker::handleClose(const TargetConnectionPtr &Closed,
                                const std::optional<StatementRefusal> &Why) {
-  Target *At = find(Gone->address().Id);
+  Target *At = find(Closed->address().Id);
   if (At == nullptr)
     return;
   if (isAtLimit(Why))
     ++Openings.RefusedAtLimit;
-  if (At->Pool.handleClosed(Gone, Why, Time.now()))
-    TargetFailed.emit({Gone->address().Id, true});
+  if (At->Pool.handleClosed(Closed, Why, Time.now()))
+    TargetFailed.emit({Closed->address().Id, true});
   std::vector<std::uint64_t> Holders;
   for (const auto &[Number, Each] : Links)
-    if (Each->holds(Gone))
+    if (Each->holds(Closed))
       Holders.push_back(Number);
   for (const std::uint64_t Number : Holders)
     if (Link *Each = findLink(Number))
@@ -300,7 +305,7 @@
   dispatch(*At);
 }
 
-// As at a proxy with connections of its own: those of a former life are dead.
+// Connections to an earlier incarnation of the target no longer work.
 void TargetBroker::closeStaleConnections(Target &At) {
   for (const TargetConnectionPtr &Each : At.Pool.closeAll())
     handleClose(Each, std::nullopt);
@@ -325,7 +330,7 @@
   TargetPool &Pool = targetOf(From->address()).Pool;
   Pool.recordReachable(Time.now());
   if (Pool.record().IsPrimary)
-    Reached.emit(Pool.record().Id);
+    PrimaryAnswered.emit(Pool.record().Id);
 }
 
 void TargetBroker::refuseAll(Target &At, RefusalCode Code,
@@ -346,7 +351,7 @@
     detectSilence(Each);
     if (Each.InFlight >= maxInFlight(Each))
       Each.SaturatedAt = Now;
-    Each.Pool.setSaturated(Now - Each.SaturatedAt < PressureLasts);
+    Each.Pool.setSaturated(Now - Each.SaturatedAt < SaturationHold);
     Each.Pool.setRetiring(IsPerOrganisation && GatewayTargets.count(Id) == 0);
     Each.Pool.maintain(Now);
     warmUp(Each);
@@ -355,7 +360,7 @@
       if (Connection->stage() != TargetConnection::Stage::Opening)
         continue;
       IsUrgent = true;
-      if (Now - Connection->openedAt() <= OpenPatience)
+      if (Now - Connection->openedAt() <= OpenTimeout)
         continue;
       Connection->close();
       TargetFailed.emit({Id, false});
@@ -376,11 +381,11 @@
 
 void TargetBroker::expireWaiting(Target &At) {
   const Millis Now = Time.now();
-  std::vector<std::uint64_t> Late;
+  std::vector<std::uint64_t> Expired;
   for (const Link *Each : At.Waiting)
     if (Now >= Each->deadline())
-      Late.push_back(Each->number());
-  for (const std::uint64_t Number : Late)
+      Expired.push_back(Each->number());
+  for (const std::uint64_t Number : Expired)
     if (Link *Each = findLink(Number))
       Each->refuse(RefusalCode::Busy, "no connection came free");
 }
@@ -390,7 +395,7 @@
   for (const auto &[Number, Each] : Links) {
     const auto Since = Each->awaitingSince();
     if (Each->to().Id != At.Pool.record().Id || !Since ||
-        Now - *Since < SilenceNoticed || At.Pool.lastAnswer() > *Since)
+        Now - *Since < SilenceTimeout || At.Pool.lastAnswer() > *Since)
       continue;
     if (!At.Pool.isBackingOff(Now))
       At.Pool.recordUnreachable(Now);
