--- a/Source/Steering/ControlClient.cpp
+++ b/Source/Steering/ControlClient.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A proxy's line to control.
+/// A proxy's subscription to control.
 
 #include "Steering/ControlClient.h"
 
@@ -9,23 +9,24 @@
 
 namespace {
 
-/// How often a proxy speaks to control: a lost datagram delays a plan by
-/// this, well below the seconds in which it must be in force.
-constexpr Millis AskInterval(500);
-/// Until a plan is known, and while the leader is looked for at all hosts.
-constexpr Millis AskIntervalWhenLost(150);
-/// An answer that came longer ago says nothing of a failure that others report
-/// now.
-constexpr Millis ReachedCounts(200);
-/// Sightings of failed targets go out at most this often.
+/// Interval of requests to control. A lost datagram delays a plan by this much,
+/// well below the seconds within which it must be in force.
+constexpr Millis RequestInterval(500);
+/// Interval until a plan is confirmed, and while all hosts are asked for the
+/// leader.
+constexpr Millis RequestIntervalWhenLost(150);
+/// A target's answer that is older than this does not contradict a failure that
+/// other proxies report now.
+constexpr Millis ReachedValidity(200);
+/// Least time between two reports of failed targets.
 constexpr Millis ReportInterval(40);
-/// Without an answer for this long the next host is asked.
-constexpr Millis Patience(700);
+/// Without an answer for this long all hosts are asked.
+constexpr Millis AnswerTimeout(700);
 /// Without an answer for this long contact counts as lost.
-constexpr Millis LostAfter(2000);
+constexpr Millis ContactTimeout(2000);
 
-/// True where an update that begins at \p From leaves nothing out for someone
-/// who has \p Known.
+/// True if an update that begins at \p From leaves no gap after version
+/// \p Known.
 bool continues(const DirectoryVersion &From, const DirectoryVersion &Known) {
   return From == DirectoryVersion{} ||
          (From.Term == Known.Term && From.Revision <= Known.Revision);
@@ -54,33 +55,35 @@
 
 void ControlClient::tick() {
   const Millis Now = Time.now();
-  const bool IsLost = Now - LastAnswer > Patience;
+  const bool IsLost = Now - LastReplyAt > AnswerTimeout;
   const bool LacksSeat = Quotas != nullptr && Quotas->lacksSeat(Now);
-  const Millis Interval =
-      IsLost || !IsProven || LacksSeat ? AskIntervalWhenLost : AskInterval;
-  if (Now - LastAsked >= Interval)
+  const Millis Interval = IsLost || !IsPlanConfirmed || LacksSeat
+                              ? RequestIntervalWhenLost
+                              : RequestInterval;
+  if (Now - LastRequestAt >= Interval)
     sendRequest(IsLost);
-  if (HasContact && Now - LastAnswer > LostAfter) {
+  if (HasContact && Now - LastReplyAt > ContactTimeout) {
     HasContact = false;
     ContactChanged.emit(false);
   }
   Timers.after(Interval / 2, [this] { tick(); });
 }
 
-void ControlClient::sendRequest(bool Everyone) {
-  LastAsked = Time.now();
+void ControlClient::sendRequest(bool ToAllHosts) {
+  LastRequestAt = Time.now();
   SubscribeRequest Request{
-      Options.Self, ++Sequence, Plan.Version,          DirectorySeen,
-      !IsProven,    {},         Options.GatewayRecord, IsLeaving,
-      ProxiesSeen,  {}};
+      Options.Self,     ++Sequence, Plan.Version,          DirectoryHeld,
+      !IsPlanConfirmed, {},         Options.GatewayRecord, IsLeaving,
+      ProxiesHeld,      {}};
   if (Quotas != nullptr)
-    Request.Seats = Quotas->request(LastAsked);
-  for (const auto &[Target, Seen] : std::exchange(PendingReports, {}))
-    if (!Seen.Report.IsReachable || LastAsked - Seen.RecordedAt < ReachedCounts)
-      Request.Reports.push_back(Seen.Report);
-  // Those that don't lead tell who does, where they know.
+    Request.Seats = Quotas->request(LastRequestAt);
+  for (const auto &[Target, Pending] : std::exchange(PendingReports, {}))
+    if (!Pending.Report.IsReachable ||
+        LastRequestAt - Pending.RecordedAt < ReachedValidity)
+      Request.Reports.push_back(Pending.Report);
+  // Hosts that do not lead answer with the leader's address if they know it.
   const std::vector<std::string> To =
-      Everyone ? Hosts : std::vector<std::string>{Leader};
+      ToAllHosts ? Hosts : std::vector<std::string>{Leader};
   for (const std::string &Each : To)
     Peers.send({Each, Options.PeerPort}, Delivery::Datagram, Request);
 }
@@ -97,10 +100,10 @@
 
 void ControlClient::recordUnreachable(const std::string &Target) {
   const auto Known = PendingReports.find(Target);
-  const bool IsNews =
+  const bool IsChange =
       Known == PendingReports.end() || Known->second.Report.IsReachable;
   PendingReports[Target] = {makeReport(Target, false), Time.now()};
-  if (IsNews)
+  if (IsChange)
     Timers.after(ReportInterval, [this] {
       const bool HasFailed = std::any_of(
           PendingReports.begin(), PendingReports.end(),
@@ -115,7 +118,7 @@
 }
 
 void ControlClient::on(const SubscribeReply &Body, const Envelope &From) {
-  LastAnswer = Time.now();
+  LastReplyAt = Time.now();
   if (!HasContact) {
     HasContact = true;
     ContactChanged.emit(true);
@@ -127,8 +130,8 @@
       All.push_back(Each);
   Hosts = std::move(All);
   if (Body.IsConfirmed && Body.PlanVersion > 0) {
-    ProvenVersion = std::max(ProvenVersion, Body.PlanVersion);
-    IsProven = Plan.Version >= ProvenVersion;
+    ConfirmedVersion = std::max(ConfirmedVersion, Body.PlanVersion);
+    IsPlanConfirmed = Plan.Version >= ConfirmedVersion;
   }
   if (Body.ProxyCount > 0)
     ProxiesChanged.emit(Body.ProxyCount);
@@ -159,28 +162,30 @@
 }
 
 void ControlClient::on(const PlanUpdate &Body, const Envelope &) {
-  // Never back within one life: callers have seen the later one.
+  // A process never returns to an older plan, because callers have already
+  // been served by the newer one.
   if (Body.Plan.Version <= Plan.Version)
     return;
   Plan = Body.Plan;
-  IsProven = IsProven || (ProvenVersion > 0 && Plan.Version >= ProvenVersion);
+  IsPlanConfirmed = IsPlanConfirmed ||
+                    (ConfirmedVersion > 0 && Plan.Version >= ConfirmedVersion);
   PlanChanged.emit();
   sendRequest(false);
 }
 
 void ControlClient::on(const DirectoryUpdate &Body, const Envelope &) {
-  // Records replace older ones wherever they come from. What lies between is
-  // missing where this update begins later than what is known.
-  if (continues(Body.From, DirectorySeen))
-    DirectorySeen = std::max(DirectorySeen, Body.Version);
+  // Records replace older ones from any source. The version is adopted only if
+  // the update leaves no gap after the known one.
+  if (continues(Body.From, DirectoryHeld))
+    DirectoryHeld = std::max(DirectoryHeld, Body.Version);
   if (Directory.merge(Body.Targets, Time.now()))
     DirectoryChanged.emit();
 }
 
 void ControlClient::on(const ProxyListUpdate &Body, const Envelope &) {
-  if (Body.Version <= ProxiesSeen || !continues(Body.From, ProxiesSeen))
+  if (Body.Version <= ProxiesHeld || !continues(Body.From, ProxiesHeld))
     return;
-  ProxiesSeen = Body.Version;
+  ProxiesHeld = Body.Version;
   std::map<std::string, ProxyRecord> ByName;
   if (Body.From != DirectoryVersion{})
     for (const ProxyRecord &Each : ProxyRecords)
@@ -193,7 +198,7 @@
   New.reserve(ByName.size());
   for (const auto &[Name, Each] : ByName)
     New.push_back(Each);
-  // A new leader's version of the same list moves nothing.
+  // A new leader's version may contain the same list.
   if (New == ProxyRecords)
     return;
   ProxyRecords = std::move(New);
--- a/Source/Steering/ControlClient.h
+++ b/Source/Steering/ControlClient.h
@@ -1,5 +1,6 @@
 /// \file
-/// A proxy's line to control: the plan, the targets, and its own sightings.
+/// A proxy's subscription to control: receives the plan, the targets and the
+/// list of proxies, and sends its reports on targets.
 
 #ifndef CORIANDERDYKE_STEERING_CONTROLCLIENT_H
 #define CORIANDERDYKE_STEERING_CONTROLCLIENT_H
@@ -18,36 +19,38 @@
   std::uint16_t PeerPort = 0;     ///< The same on all hosts.
   std::vector<std::string> Seeds; ///< Addresses of control hosts.
   ProxyRecord GatewayRecord =
-      {}; ///< For other proxies; without an address for none.
+      {}; ///< For other proxies; without an address if not a gateway.
 };
 
-/// Asks the leading control host again and again, and looks for another where
-/// none answers. What it has learned stays in force while control is away.
+/// Sends periodic requests to the leading control host and searches for another
+/// leader if there is no answer. The received state stays in force while
+/// control is unavailable.
 class ControlClient : public sigc::trackable {
 public:
   ControlClient(ControlClientOptions Given, Clock &Time, Scheduler &Timers,
                 Transport &Peers);
 
   void start();
-  /// The settings name other hosts now.
+  /// Adds control hosts after a change of the settings.
   void setSeeds(std::vector<std::string> Seeds);
 
-  /// A target answered, or couldn't be used. The latter is told at once: it's
-  /// the first part of the time in which nobody can write.
+  /// Record that a target answered, or that it could not be used. A failure is
+  /// reported without waiting for the next regular request, because it prolongs
+  /// the time without a usable primary.
   void recordReachable(const std::string &Target);
   void recordUnreachable(const std::string &Target);
 
-  /// Requests for seats of quotas go along with what is told to control.
-  /// Without seats there are none.
+  /// Sets the source of quota seat requests, which are sent with the requests
+  /// to control. Null if there are none.
   void setQuotaSeats(QuotaSeats *Seats) { Quotas = Seats; }
 
-  /// This proxy stops: no other should send anything through it.
+  /// Announces that this proxy stops, so that other proxies stop using it.
   void announceStop();
 
   /// True once a quorum has confirmed the plan that this process holds.
-  bool isConfirmed() const { return IsProven; }
-  /// True while control also confirms it from time to time.
-  bool isCurrent() const { return IsProven && HasContact; }
+  bool isConfirmed() const { return IsPlanConfirmed; }
+  /// True while control is also in contact.
+  bool isCurrent() const { return IsPlanConfirmed && HasContact; }
   const RoutePlan &plan() const { return Plan; }
   const TargetDirectory &directory() const { return Directory; }
 
@@ -58,14 +61,14 @@
   sigc::signal<void(const std::vector<ProxyRecord> &)> &signalProxyList() {
     return ProxyListChanged;
   }
-  /// Emitted when control is lost or found again.
+  /// Emitted when contact with control is lost or restored.
   sigc::signal<void(bool)> &signalConnectivity() { return ContactChanged; }
-  /// Emitted when seats of quotas were granted.
+  /// Emitted when quota seats have been granted.
   sigc::signal<void()> &signalQuotas() { return QuotasChanged; }
 
 private:
   void tick();
-  void sendRequest(bool Everyone);
+  void sendRequest(bool ToAllHosts);
   ReachabilityReport makeReport(const std::string &Target,
                                 bool IsReached) const;
   void receive(const Envelope &Arrived);
@@ -84,24 +87,24 @@
   Transport &Peers;
   RoutePlan Plan;
   TargetDirectory Directory;
-  DirectoryVersion DirectorySeen;
-  std::vector<std::string> Hosts; ///< Seeds and members, as last told.
-  std::string Leader;             ///< The host that is believed to lead.
+  DirectoryVersion DirectoryHeld;
+  std::vector<std::string> Hosts; ///< Seeds and members, as last received.
+  std::string Leader;             ///< The presumed leading host.
   std::uint64_t Sequence = 0;
-  Millis LastAsked = Millis(-1000000);
-  Millis LastAnswer = Millis(-1000000);
+  Millis LastRequestAt = Millis(-1000000);
+  Millis LastReplyAt = Millis(-1000000);
   bool HasContact = false;
-  bool IsProven = false;
-  std::uint64_t ProvenVersion = 0;
+  bool IsPlanConfirmed = false;
+  std::uint64_t ConfirmedVersion = 0;
   struct PendingReport {
     ReachabilityReport Report;
     Millis RecordedAt;
   };
-  /// Since the last word to control, by target.
+  /// Reports since the last request, by target.
   std::map<std::string, PendingReport> PendingReports;
   sigc::signal<void()> PlanChanged;
   sigc::signal<void()> DirectoryChanged;
-  DirectoryVersion ProxiesSeen;
+  DirectoryVersion ProxiesHeld;
   std::vector<ProxyRecord> ProxyRecords;
   bool IsLeaving = false;
   QuotaSeats *Quotas = nullptr;
--- a/Source/Steering/Messages.h
+++ b/Source/Steering/Messages.h
@@ -1,5 +1,5 @@
 /// \file
-/// What proxies and control hosts tell each other where targets enforce their
+/// Messages between proxies and control hosts if targets enforce their
 /// leadership themselves.
 
 #ifndef CORIANDERDYKE_STEERING_MESSAGES_H
@@ -12,8 +12,8 @@
 
 namespace corianderdyke {
 
-/// A state of the directory, or of the list of proxies, at one leading control
-/// host.
+/// A version of the directory, or of the list of proxies, at one leading
+/// control host.
 struct DirectoryVersion {
   std::uint64_t Term = 0; ///< The control leader's.
   std::uint64_t Revision = 0;
@@ -22,12 +22,11 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(Term, Revision); }
 };
 
-/// A target as one proxy sees it.
+/// One proxy's observation of a target.
 struct ReachabilityReport {
   std::string Id;
-  std::uint64_t Incarnation =
-      0;                    ///< The life that was met, as the directory has it.
-  bool IsReachable = false; ///< It answered lately; else it couldn't be used.
+  std::uint64_t Incarnation = 0; ///< Of the target, according to the directory.
+  bool IsReachable = false;      ///< False if the target could not be used.
 
   auto operator<=>(const ReachabilityReport &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
@@ -35,21 +34,22 @@
   }
 };
 
-/// A proxy's regular word to control: what it knows and what it sees.
+/// A proxy's periodic request to control: the versions it holds and its reports
+/// on targets.
 struct SubscribeRequest {
   ProcessId Proxy;
   std::uint64_t Sequence = 0;
-  std::uint64_t PlanVersion = 0; ///< In force there; 0 where none is.
+  std::uint64_t PlanVersion = 0; ///< In force at the proxy; 0 for none.
   DirectoryVersion DirectoryHeld;
-  /// Asks for an answer that the quorum has confirmed: a proxy that just
-  /// started must not begin with a plan that another has replaced.
+  /// Requests an answer that the quorum has confirmed: a proxy that has just
+  /// started must not use a plan that has already been replaced.
   bool NeedsConfirmation = false;
   std::vector<ReachabilityReport> Reports;
-  /// Itself, for the list of proxies; without an address where it takes no
-  /// statements of others.
+  /// The proxy's record for the list of proxies; without an address if it
+  /// accepts no statements of others.
   ProxyRecord Self;
   bool IsLeaving = false;
-  DirectoryVersion ProxiesHeld; ///< Of the list that it has.
+  DirectoryVersion ProxiesHeld; ///< Version of its list of proxies.
   SeatRequest Seats;
 
   bool operator==(const SubscribeRequest &) const = default;
@@ -59,13 +59,15 @@
   }
 };
 
-/// The leader's answer. What the proxy lacks follows in messages of its own.
+/// The leader's answer. Updates that the proxy lacks follow in separate
+/// messages.
 struct SubscribeReply {
   std::uint64_t Sequence = 0;
   bool IsConfirmed = false;
   std::uint64_t PlanVersion = 0;
   std::vector<std::string> ControlHosts; ///< Addresses of the group's members.
-  /// That follow at the moment; 0 while a new leader gets to know them.
+  /// Proxies that are subscribed; 0 while a new leader is still collecting
+  /// them.
   std::uint32_t ProxyCount = 0;
 
   bool operator==(const SubscribeReply &) const = default;
@@ -74,15 +76,15 @@
   }
 };
 
-/// Control looks into a target: each proxy tells at once what it has seen.
+/// Sent when control probes a target; each proxy sends its reports immediately.
 struct ReachabilityQuery {
   bool operator==(const ReachabilityQuery &) const = default;
   template <class Archive> void serialize(Archive &) {}
 };
 
-/// The asked control host doesn't lead.
+/// The control host that received the request does not lead.
 struct SubscribeRedirect {
-  std::string Leader; ///< Address; empty where none is known.
+  std::string Leader; ///< Address; empty if none is known.
 
   bool operator==(const SubscribeRedirect &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(Leader); }
@@ -95,8 +97,8 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(Plan); }
 };
 
-/// The targets that changed from one version to another; all of them where the
-/// former is no version.
+/// The targets that changed between two versions; all targets if \p From is
+/// empty.
 struct DirectoryUpdate {
   DirectoryVersion From;
   DirectoryVersion Version;
@@ -108,7 +110,8 @@
   }
 };
 
-/// The proxies that may carry each other's statements, as DirectoryUpdate.
+/// The changes of the list of proxies that relay each other's statements
+/// between two versions; the whole list if \p From is empty.
 struct ProxyListUpdate {
   DirectoryVersion From;
   DirectoryVersion Version;
--- a/Source/Steering/Ports.h
+++ b/Source/Steering/Ports.h
@@ -1,5 +1,5 @@
 /// \file
-/// The ports through which control acts on targets.
+/// Interfaces through which control queries targets and sends them orders.
 
 #ifndef CORIANDERDYKE_STEERING_PORTS_H
 #define CORIANDERDYKE_STEERING_PORTS_H
@@ -9,43 +9,44 @@
 
 namespace corianderdyke {
 
-/// What a target tells of itself when asked.
+/// A target's answer to a status query.
 struct TargetStatus {
   bool IsPrimary = false;
-  std::uint64_t Term = 0; ///< The newest that it knows.
+  std::uint64_t Term = 0; ///< The newest known to the target.
   LogPosition Received;
 
   auto operator<=>(const TargetStatus &) const = default;
 };
 
-/// Asks and orders one target.
+/// Sends queries and orders to targets.
 class TargetCommandPort {
 public:
   using OnStatus = std::function<void(Expected<TargetStatus>)>;
 
   virtual ~TargetCommandPort() = default;
 
-  /// Sends a Status, StopReceiving, ResumeReceiving or StepDown. Conflict where
-  /// the target lives but has no slot or connection free, NotFound where
-  /// nothing listens there. Any other error says only that no answer came in
-  /// time; an order may be carried out later.
+  /// Sends a Status, StopReceiving, ResumeReceiving or StepDown. Fails with
+  /// Conflict if the target runs but has no free slot or connection, and with
+  /// NotFound if nothing listens at the address. Any other error means only
+  /// that no answer arrived in time; an order may still be executed.
   virtual void send(const TargetAddress &To, TargetCommand::Kind What,
                     std::uint64_t Term, Millis Timeout, OnStatus Handler) = 0;
 };
 
-/// Whoever carries out a change of primary.
+/// The service that executes a change of primary.
 class PromotionPort {
 public:
   enum class Result : std::uint8_t {
-    Accepted, ///< The target leads within moments.
-    Rejected, ///< A later order is known, or the target doesn't run.
-    Unknown,  ///< No answer: it may be carried out later.
+    Accepted, ///< The target is about to lead.
+    Rejected, ///< A later order is known, or the target does not run.
+    Unknown,  ///< No answer; the order may still be executed.
   };
   using OnResult = std::function<void(Result)>;
 
   virtual ~PromotionPort() = default;
 
-  /// \p Token rises with each order; a lower one than seen is rejected.
+  /// \p Token rises with each order; an order with a lower token than an
+  /// earlier one is rejected.
   virtual void promote(const std::string &Group, const std::string &Target,
                        std::uint64_t Token, OnResult Handler) = 0;
 };
--- a/Source/Steering/PromotionCoordinator.cpp
+++ b/Source/Steering/PromotionCoordinator.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Decides which target of a group leads, where a promotion is all it takes.
+/// Decides which target of a group leads and orders its promotion.
 
 #include "Steering/PromotionCoordinator.h"
 
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// After a failed attempt the next follows this much later.
+/// Pause between a failed attempt and the next one.
 constexpr Millis AttemptPause(100);
-/// Where a planned change can't be made now, it's tried again after this.
+/// Pause before a planned change that is not possible now is retried.
 constexpr Millis PlannedPause(400);
-/// Proxies that must find a primary unusable before control looks into it,
-/// where that many follow: one alone may be cut off itself.
-constexpr std::size_t LeastReports = 2;
+/// Proxies that must report a primary as unusable before control probes it, if
+/// that many are connected: a single one may be partitioned itself.
+constexpr std::size_t MinReports = 2;
 
 } // namespace
 
@@ -44,7 +44,8 @@
 }
 
 void PromotionCoordinator::stopLeading() {
-  // Its successor decides on what was begun, and lets replicas receive again.
+  // The next leader decides on unfinished changes and lets replicas receive
+  // again.
   IsActive = false;
   for (auto &[Name, Each] : Groups) {
     Each.StoppedReplicas.clear();
@@ -53,9 +54,9 @@
 }
 
 void PromotionCoordinator::recordReports(
-    const ProcessId &Proxy, const std::vector<ReachabilityReport> &Seen) {
-  for (const ReachabilityReport &Each : Seen) {
-    // What was met of an earlier life says nothing of the present one.
+    const ProcessId &Proxy, const std::vector<ReachabilityReport> &Reports) {
+  for (const ReachabilityReport &Each : Reports) {
+    // Reports on another incarnation do not apply to the current one.
     const TargetRecord *Present = Directory.find(Each.Id);
     if (Present != nullptr && Present->Incarnation != Each.Incarnation)
       continue;
@@ -68,37 +69,37 @@
 
 std::size_t PromotionCoordinator::countProxies(
     const TargetRecord &Target,
-    const std::function<bool(const Reachability &)> &Counts) const {
+    const std::function<bool(const Reachability &)> &Matches) const {
   const auto Found = ReachabilityByTarget.find(Target.Id);
   if (Found == ReachabilityByTarget.end())
     return 0;
   return static_cast<std::size_t>(std::count_if(
       Found->second.begin(), Found->second.end(), [&](const auto &Each) {
         return Each.second.Incarnation == Target.Incarnation &&
-               Counts(Each.second);
+               Matches(Each.second);
       }));
 }
 
 std::size_t
 PromotionCoordinator::countRecentFailures(const TargetRecord &Target) const {
-  return countProxies(Target, [this](const Reachability &Said) {
-    return Said.FailedAt > Said.ReachedAt &&
-           Time.now() - Said.FailedAt < Times.ReportValidity;
+  return countProxies(Target, [this](const Reachability &Known) {
+    return Known.FailedAt > Known.ReachedAt &&
+           Time.now() - Known.FailedAt < Times.ReportValidity;
   });
 }
 
 std::size_t
 PromotionCoordinator::countRecentlyReached(const TargetRecord &Target) const {
-  return countProxies(Target, [this](const Reachability &Said) {
-    return Said.ReachedAt >= Said.FailedAt &&
-           Time.now() - Said.ReachedAt < Times.ReportValidity;
+  return countProxies(Target, [this](const Reachability &Known) {
+    return Known.ReachedAt >= Known.FailedAt &&
+           Time.now() - Known.ReachedAt < Times.ReportValidity;
   });
 }
 
 std::size_t PromotionCoordinator::countReachedSince(const TargetRecord &Target,
                                                     Millis Since) const {
-  return countProxies(Target, [Since](const Reachability &Said) {
-    return Said.ReachedAt >= Said.FailedAt && Said.ReachedAt >= Since;
+  return countProxies(Target, [Since](const Reachability &Known) {
+    return Known.ReachedAt >= Known.FailedAt && Known.ReachedAt >= Since;
   });
 }
 
@@ -113,8 +114,8 @@
 }
 
 void PromotionCoordinator::resumeWatching(Group &In, Millis Pause) {
-  // Replicas that were left without their primary's log would fall behind
-  // for good.
+  // Replicas that stay stopped would fall behind their primary's log
+  // permanently.
   if (IsActive)
     resumeReceiving(In);
   In.NextQueryAt.reset();
@@ -145,8 +146,8 @@
   }
 }
 
-// The new primary shows itself by its own heartbeat, whatever the answer to
-// the call was. A stage that stands still for long begins anew.
+// The new primary's own heartbeat confirms a promotion, regardless of the
+// answer to the order. A stage without progress ends the attempt.
 void PromotionCoordinator::checkProgress(const std::string &Name, Group &In) {
   const auto Primary = Directory.primaryOf(Name);
   const Millis Now = Time.now();
@@ -184,7 +185,7 @@
     return queryPositions(Name);
   }
   In.OldPrimary = Primary->Id;
-  // A former leader may have died between stopping replicas and promoting.
+  // An earlier leader may have failed between stopping replicas and promoting.
   if (In.SyncReplicas > 0)
     for (const TargetRecord &Each : Directory.ofGroup(Name))
       if (MayBeStopped.erase(Each.Id) != 0)
@@ -195,8 +196,8 @@
     In.IsPlanned = false;
     In.Reason = "the primary has started again and may lack its log";
     In.ChangeBeganAt = Now;
-    // It is asked with the others: nothing changes where it has the most, or
-    // where it can't be asked and is judged by what proxies see of it.
+    // It is queried with the replicas. Nothing changes if its position is the
+    // highest, or if it does not answer and is left to the proxies' reports.
     In.OldPrimary.clear();
     return queryPositions(Name);
   }
@@ -210,8 +211,8 @@
   }
   const std::size_t Failed = countRecentFailures(*Primary);
   const std::size_t Reached = countRecentlyReached(*Primary);
-  const bool Reported = Failed > 0 && Failed >= std::min(LeastReports, Proxies);
-  // What was heard before this host began to lead went to another.
+  const bool Reported = Failed > 0 && Failed >= std::min(MinReports, Proxies);
+  // Heartbeats before this host began to lead went to another leader.
   const Millis HeardAt =
       std::max(Directory.lastUpdate(Primary->Id), LeadingSince);
   const bool IsSilent = Now - HeardAt > Times.SuspectAfter && Reached == 0;
@@ -221,9 +222,9 @@
   probe(Name, *Primary, Proxies);
 }
 
-// A primary that starts again under its id may still say that it leads, with
-// none of the log that its replicas hold. Left alone it would go on from
-// there, and all that was acknowledged before would be missing.
+// A primary that restarts under its id may still report that it leads, without
+// the log that its replicas hold. Without a change it would continue from an
+// empty log, and all acknowledged writes would be lost.
 bool PromotionCoordinator::hasRestarted(const Group &In,
                                         const TargetRecord &Primary) const {
   return In.LastPrimary == Primary.Id && In.LastPrimaryIncarnation > 0 &&
@@ -235,11 +236,11 @@
   return Known != nullptr && Known->Incarnation == Asked.Incarnation;
 }
 
-// What control itself meets decides. A primary that refuses connections has
-// ended, however lately some proxy was served. One that is only silent may be
-// cut off from control, so more proxies must miss it than reach it. What they
-// reached before the first of them failed says nothing: all are asked to tell
-// anew while control asks the primary itself.
+// Control's own probe decides. A primary that refuses connections has ended,
+// however recently it answered a proxy. A primary that is only silent may be
+// partitioned from control, so more proxies must fail to use it than reach it.
+// Earlier successes do not count: all proxies are asked for new reports while
+// control queries the primary.
 void PromotionCoordinator::probe(const std::string &Name,
                                  const TargetRecord &Primary,
                                  std::size_t Proxies) {
@@ -264,17 +265,17 @@
   const std::size_t Reached = countReachedSince(Primary, In.StageSince);
   const bool IsBusy = !Answer && Answer.error().Code == ErrorCode::Conflict;
   const bool IsGone = !Answer && Answer.error().Code == ErrorCode::NotFound;
-  const bool IsMissed = IsGone || Reached == 0 || Failed > Reached;
-  const bool WorksForMost =
+  const bool IsUnusable = IsGone || Reached == 0 || Failed > Reached;
+  const bool IsUsableByMost =
       Answer && Answer->IsPrimary && Failed * 2 <= Proxies;
-  if (IsBusy || WorksForMost || !IsMissed)
+  if (IsBusy || IsUsableByMost || !IsUnusable)
     return resumeWatching(In, AttemptPause);
   In.Reason = Failed == 0 ? "no heartbeat"
                           : std::to_string(Failed) + " proxies can't use it, " +
                                 std::to_string(Reached) + " can";
   In.IsPlanned = Answer && Answer->IsPrimary;
   if (In.IsPlanned) {
-    // It works, but not for those who need it.
+    // It works, but proxies cannot use it.
     In.Reason += "; control can";
     return stepDown(Name, Primary);
   }
@@ -285,13 +286,13 @@
 void PromotionCoordinator::stepDown(const std::string &Name,
                                     const TargetRecord &Primary) {
   Group &In = Groups[Name];
-  // Nobody could take over: it goes on.
+  // Without a possible successor the primary continues.
   const auto Others = Directory.ofGroup(Name);
-  const bool HasOther =
+  const bool HasSuccessor =
       std::any_of(Others.begin(), Others.end(), [&](const TargetRecord &Each) {
         return Each.Id != Primary.Id && !Each.IsLeaving;
       });
-  if (!HasOther)
+  if (!HasSuccessor)
     return resumeWatching(In, PlannedPause);
   Step.emit(Name, "planned-change", In.Reason);
   enter(In, Stage::SteppingDown);
@@ -301,15 +302,16 @@
       return;
     if (!Answer)
       return queryPositions(Name);
-    Commands.send(addressOf(Primary), TargetCommand::Kind::StepDown,
-                  Answer->Term + 1, Times.QueryTimeout,
-                  [this, Name, Round](const Expected<TargetStatus> &Last) {
-                    if (!isCurrent(Name, Round, Stage::SteppingDown))
-                      return;
-                    if (Last)
-                      Groups[Name].RequiredPosition = Last->Received;
-                    queryPositions(Name);
-                  });
+    Commands.send(
+        addressOf(Primary), TargetCommand::Kind::StepDown, Answer->Term + 1,
+        Times.QueryTimeout,
+        [this, Name, Round](const Expected<TargetStatus> &StepDownAnswer) {
+          if (!isCurrent(Name, Round, Stage::SteppingDown))
+            return;
+          if (StepDownAnswer)
+            Groups[Name].RequiredPosition = StepDownAnswer->Received;
+          queryPositions(Name);
+        });
   };
   In.RequiredPosition.reset();
   Commands.send(addressOf(Primary), TargetCommand::Kind::Status, 0,
@@ -323,7 +325,7 @@
   for (const TargetRecord &Each : Directory.ofGroup(Name)) {
     if (Each.Id == In.OldPrimary || In.Excluded.count(Each.Id) != 0)
       continue;
-    // A leaving replica counts for what was acknowledged until it ends.
+    // A leaving replica may hold acknowledged commits and counts until it ends.
     if (!Each.IsLeaving || In.SyncReplicas > 0)
       Out.push_back(Each);
   }
@@ -344,10 +346,10 @@
   queryAll(Name, All, TargetCommand::Kind::Status, 0);
 }
 
-// Where commits are acknowledged on the strength of a replica's copy, the old
-// primary may go on while it's only cut off from control: a commit that it
-// acknowledges after the replicas were read would be missing from the winner.
-// So they stop receiving first, and tell their positions then.
+// With synchronous replicas, an old primary that is only partitioned from
+// control may continue: a commit that it acknowledges after the positions were
+// read would be missing from the successor. The replicas therefore stop
+// receiving first and then report their positions.
 void PromotionCoordinator::stopReceiving(const std::string &Name) {
   Group &In = Groups[Name];
   std::uint64_t Newest = 0;
@@ -370,23 +372,23 @@
   In.Asked = All.size();
   In.Answered = 0;
   In.IsIncomplete = false;
-  const bool IsLast =
+  const bool IsFinalQuery =
       In.SyncReplicas == 0 || What == TargetCommand::Kind::StopReceiving;
   for (const TargetRecord &Each : All)
     Commands.send(addressOf(Each), What, Term, Times.QueryTimeout,
                   [this, Name, Round = In.Round, Each,
-                   IsLast](const Expected<TargetStatus> &Answer) {
+                   IsFinalQuery](const Expected<TargetStatus> &Answer) {
                     if (!isCurrent(Name, Round, Stage::Reading))
                       return;
-                    Group &In = Groups[Name];
-                    ++In.Answered;
+                    Group &Current = Groups[Name];
+                    ++Current.Answered;
                     if (Answer && isSameIncarnation(Each))
-                      In.Statuses[Each.Id] = *Answer;
-                    In.IsIncomplete |=
+                      Current.Statuses[Each.Id] = *Answer;
+                    Current.IsIncomplete |=
                         !Answer && Answer.error().Code == ErrorCode::Conflict;
-                    if (In.Answered < In.Asked)
+                    if (Current.Answered < Current.Asked)
                       return;
-                    if (IsLast || In.Statuses.empty())
+                    if (IsFinalQuery || Current.Statuses.empty())
                       chooseSuccessor(Name);
                     else
                       stopReceiving(Name);
@@ -411,8 +413,8 @@
     Step.emit(Name, "attempt-ended", "no replica answers");
     return resumeWatching(In, AttemptPause);
   }
-  // Any commit that was acknowledged is on so many replicas: among one more
-  // than the others there's one that has it.
+  // An acknowledged commit is on SyncReplicas replicas, so it is on one that
+  // answered if fewer than SyncReplicas did not answer.
   const std::size_t All = candidates(Name).size();
   if (In.SyncReplicas > 0 && In.Statuses.size() + In.SyncReplicas <= All) {
     Step.emit(Name, "attempt-ended",
@@ -422,18 +424,20 @@
     return resumeWatching(In, AttemptPause);
   }
   const Millis Waited = Time.now() - In.ChangeBeganAt;
-  // One that is too busy to tell its position may have the most.
+  // A replica that is too busy to answer may have the highest position.
   if (In.IsIncomplete && Waited < Times.CatchUpTimeout)
     return scheduleQuery(In);
   if (In.RequiredPosition && Best->second.Received < *In.RequiredPosition &&
       Waited < Times.CatchUpTimeout)
     return scheduleQuery(In);
   const auto Present = Directory.primaryOf(Name);
-  const auto Own = Present ? In.Statuses.find(Present->Id) : In.Statuses.end();
-  const bool HasBegunAnew = Present && hasRestarted(In, *Present);
-  const bool HoldsMost = Own != In.Statuses.end() && Own->second.IsPrimary &&
-                         Own->second.Received >= Best->second.Received;
-  if (HoldsMost || (HasBegunAnew && Own == In.Statuses.end())) {
+  const auto PresentStatus =
+      Present ? In.Statuses.find(Present->Id) : In.Statuses.end();
+  const bool HasRestarted = Present && hasRestarted(In, *Present);
+  const bool HoldsMost =
+      PresentStatus != In.Statuses.end() && PresentStatus->second.IsPrimary &&
+      PresentStatus->second.Received >= Best->second.Received;
+  if (HoldsMost || (HasRestarted && PresentStatus == In.Statuses.end())) {
     In.LastPrimaryIncarnation = Present->Incarnation;
     Step.emit(Name, "kept",
               Present->Id + " leads on: no replica is known to hold more");
@@ -447,24 +451,25 @@
   Group &In = Groups[Name];
   enter(In, Stage::Ordering);
   In.Successor = Target;
-  std::string Read;
+  std::string Positions;
   for (const auto &[Id, Each] : In.Statuses)
-    Read += (Read.empty() ? "" : ", ") + Id + " has " +
-            std::to_string(Each.Received.Term) + "." +
-            std::to_string(Each.Received.Number);
-  const std::string Why = In.Reason + "; " + Read;
+    Positions += (Positions.empty() ? "" : ", ") + Id + " has " +
+                 std::to_string(Each.Received.Term) + "." +
+                 std::to_string(Each.Received.Number);
+  const std::string Why = In.Reason + "; " + Positions;
   Step.emit(Name, "promotion-ordered", Target + ": " + Why);
   const TargetRecord *Known = Directory.find(Target);
-  const std::uint64_t BornAt = Known == nullptr ? 0 : Known->Incarnation;
+  const std::uint64_t Incarnation = Known == nullptr ? 0 : Known->Incarnation;
   OnPropose({Name, Target, Holder, Why},
-            [this, Name, Target, BornAt,
+            [this, Name, Target, Incarnation,
              Round = In.Round](std::optional<std::uint64_t> Token) {
               if (!isCurrent(Name, Round, Stage::Ordering))
                 return;
-              // One that has started again since it was asked hasn't got the
-              // log that it was chosen for.
+              // A target that has restarted since the query no longer has the
+              // log for which it was selected.
               const TargetRecord *Now = Directory.find(Target);
-              const bool IsSame = Now != nullptr && Now->Incarnation == BornAt;
+              const bool IsSame =
+                  Now != nullptr && Now->Incarnation == Incarnation;
               if (!Token || !IsSame)
                 return resumeWatching(Groups[Name], AttemptPause);
               sendPromotion(Name, Target, *Token);
@@ -481,7 +486,7 @@
       [this, Name, Target, Round = In.Round](PromotionPort::Result Result) {
         if (!isCurrent(Name, Round, Stage::Awaiting))
           return;
-        Group &In = Groups[Name];
+        Group &Current = Groups[Name];
         if (Result == PromotionPort::Result::Accepted)
           return;
         Step.emit(Name, "promotion-refused",
@@ -489,10 +494,10 @@
                                 ? ": rejected"
                                 : ": no answer"));
         if (Result == PromotionPort::Result::Rejected)
-          In.Excluded.insert(Target);
-        // A call without an answer may still be carried out. The next order
-        // has a higher token, so the later one wins whichever comes first.
-        resumeWatching(In, AttemptPause);
+          Current.Excluded.insert(Target);
+        // An unanswered order may still be executed. The next order has a
+        // higher token, so it prevails in either order of arrival.
+        resumeWatching(Current, AttemptPause);
       });
 }
 
--- a/Source/Steering/PromotionCoordinator.h
+++ b/Source/Steering/PromotionCoordinator.h
@@ -1,15 +1,15 @@
 /// \file
-/// Decides which target of a group leads, where a promotion is all it takes
-/// and targets enforce the lead themselves.
+/// Decides which target of a group leads, for systems in which targets enforce
+/// their leadership themselves and control only orders promotions.
 ///
-/// A primary counts as failed when proxies can't use it, or nobody has heard
-/// of it for long, and control itself gets no answer from it. Its replicas
-/// are asked for their positions and the furthest one is promoted. A primary
-/// that announces its leaving is told to step down first, and its successor
-/// has all of its log before it's promoted: nothing is rolled back.
+/// A primary counts as failed when proxies cannot use it, or its heartbeats
+/// have stopped and no proxy reaches it, and it does not answer control either.
+/// Control queries the positions of its replicas and promotes the one with the
+/// highest. A primary that announces that it is leaving steps down first, and
+/// its successor receives its whole log before the promotion, so that no write
+/// is rolled back.
 ///
-/// The class is driven by ticks and answers; whoever owns it carries out what
-/// it asks for.
+/// The class is driven by ticks and answers; its owner executes its requests.
 
 #ifndef CORIANDERDYKE_STEERING_PROMOTIONCOORDINATOR_H
 #define CORIANDERDYKE_STEERING_PROMOTIONCOORDINATOR_H
@@ -26,33 +26,33 @@
 namespace corianderdyke {
 
 struct PromotionTimes {
-  /// A primary is looked into when no heartbeat came for this long: more than
-  /// two intervals, so that one lost heartbeat is no reason.
+  /// A primary is probed when no heartbeat has arrived for this long: more than
+  /// two intervals, so that one lost heartbeat does not trigger a probe.
   Millis SuspectAfter = Millis(2800);
-  /// A proxy's word on a target counts for this long.
+  /// A proxy's report on a target is valid for this long.
   Millis ReportValidity = Millis(1200);
-  /// How long control waits for a target's word.
+  /// How long control waits for a target's answer.
   Millis QueryTimeout = Millis(300);
-  /// How long control waits for a primary that proxies miss, and for what the
-  /// others see of it meanwhile: it's one way there and back, and most proxies
-  /// have an answer from a primary that is well every 50 ms.
+  /// How long control waits for the answer of a suspected primary and for new
+  /// reports of the proxies. The answer takes one round trip, and most proxies
+  /// get an answer from a healthy primary every 50 ms.
   Millis ProbeTimeout = Millis(250);
-  /// A promotion that took effect is seen within this time, or another order
-  /// follows.
+  /// If the effect of a promotion is not observed within this time, another
+  /// attempt follows.
   Millis PromotionTimeout = Millis(2500);
-  /// How long a planned change waits for its successor to have the whole log.
+  /// How long a planned change waits until its successor has the whole log.
   Millis CatchUpTimeout = Millis(1500);
-  /// Pause between two questions while a successor catches up.
+  /// Pause between two queries while a successor catches up.
   Millis QueryInterval = Millis(25);
-  /// A group that has never had a primary is left alone for this long after
-  /// control began to lead: heartbeats are still coming in.
+  /// A group without a primary gets none for this long after control began to
+  /// lead, because the first heartbeats are still arriving.
   Millis StartupGracePeriod = Millis(2500);
 };
 
 class PromotionCoordinator : public sigc::trackable {
 public:
-  /// Proposes the order to the control group; runs the handler with the
-  /// token once it's committed, or with nothing where it isn't.
+  /// Proposes the order to the control group. Runs the handler with the fencing
+  /// token once the order is committed, or with nothing if it is not.
   using Propose = std::function<void(
       OrderPromotion, std::function<void(std::optional<std::uint64_t>)>)>;
 
@@ -61,88 +61,89 @@
                        Propose OnPropose, std::string Holder,
                        PromotionTimes Times = {});
 
-  /// Begins as a new leader; what a former leadership had under way is over.
+  /// Starts as a new leader and abandons changes of an earlier leadership.
   void startLeading();
-  /// Another leads now: nothing more is ordered.
+  /// Stops issuing orders because another control host leads.
   void stopLeading();
-  /// Takes in what a proxy sees.
+  /// Records a proxy's reports on targets.
   void recordReports(const ProcessId &Proxy,
-                     const std::vector<ReachabilityReport> &Seen);
-  /// To be called every few dozen milliseconds while leading.
+                     const std::vector<ReachabilityReport> &Reports);
+  /// Must be called every few tens of milliseconds while leading.
   void tick(const RoutePlan &Plan, std::size_t Proxies);
 
-  /// Emitted with each step: group, what, and why.
+  /// Emitted with each step: group, step and reason.
   sigc::signal<void(const std::string &, const std::string &,
                     const std::string &)> &
   signalStep() {
     return Step;
   }
 
-  /// Emitted when a target is looked into: proxies should tell now what they
-  /// have seen.
+  /// Emitted when a target is probed: proxies should send their reports now.
   sigc::signal<void()> &signalProbeStarted() { return ProbeStarted; }
 
 private:
   enum class Stage : std::uint8_t {
     Watching,
-    Probing,      ///< Asks the suspected primary.
-    SteppingDown, ///< Tells the present primary to step down.
-    Reading,      ///< Asks the replicas for their positions.
-    Ordering,     ///< The order is being agreed on, then carried out.
-    Awaiting,     ///< The new primary hasn't shown itself yet.
+    Probing,      ///< Queries the suspected primary.
+    SteppingDown, ///< Orders the current primary to step down.
+    Reading,      ///< Queries the positions of the replicas.
+    Ordering,     ///< Waits until the order is committed.
+    Awaiting,     ///< Waits for the new primary's heartbeat.
   };
 
   struct Group {
     Stage CurrentStage = Stage::Watching;
-    std::uint64_t Round = 0; ///< Answers of earlier rounds are dropped.
-    Millis StageSince;       ///< Of the stage.
-    Millis ChangeBeganAt;    ///< Of the change.
+    std::uint64_t Round = 0; ///< Answers of earlier rounds are ignored.
+    Millis StageSince;       ///< Start of the stage.
+    Millis ChangeBeganAt;    ///< Start of the change of primary.
     bool IsPlanned = false;
     std::string Reason;
     std::string OldPrimary;
     std::string Successor;
-    /// Who led when the group was last looked at, and in which life.
+    /// The primary at the last check of the group, and its incarnation.
     std::string LastPrimary;
     std::uint64_t LastPrimaryIncarnation = 0;
     std::optional<LogPosition>
-        RequiredPosition; ///< That the successor must reach.
+        RequiredPosition; ///< To be reached by the successor.
     std::map<std::string, TargetStatus> Statuses;
     std::size_t Asked = 0;
     std::size_t Answered = 0;
-    bool IsIncomplete = false;      ///< One was too busy to tell.
-    std::set<std::string> Excluded; ///< Refused or failed this time.
-    /// Replicas that hold a commit before its answer, as the plan has it.
+    bool IsIncomplete = false;      ///< A replica was too busy to answer.
+    std::set<std::string> Excluded; ///< Refused or failed in this change.
+    /// Replicas that must hold a commit before it is acknowledged, according
+    /// to the plan.
     std::uint32_t SyncReplicas = 0;
-    std::set<std::string> StoppedReplicas; ///< Told to stop receiving.
+    std::set<std::string> StoppedReplicas; ///< Ordered to stop receiving.
     std::optional<Millis> NextQueryAt;
     Millis RetryAt;
   };
 
   struct Reachability {
-    std::uint64_t Incarnation = 0; ///< The life of the target that was met.
+    std::uint64_t Incarnation = 0; ///< Of the target when observed.
     Millis FailedAt = Millis(-1000000);
     Millis ReachedAt = Millis(-1000000);
   };
 
   void watch(const std::string &Name, Group &In, std::size_t Proxies);
-  /// True where the primary is the one of before, in a later life.
+  /// True if the primary is the previous one in a later incarnation.
   bool hasRestarted(const Group &In, const TargetRecord &Primary) const;
-  /// True while the life that was asked is the one that is known.
+  /// True if the queried incarnation is still the current one.
   bool isSameIncarnation(const TargetRecord &Asked) const;
-  /// Proxies whose word on this life of a target counts.
+  /// Counts proxies whose record on this incarnation of the target satisfies
+  /// \p Matches.
   std::size_t
   countProxies(const TargetRecord &Target,
-               const std::function<bool(const Reachability &)> &Counts) const;
+               const std::function<bool(const Reachability &)> &Matches) const;
   std::size_t countRecentFailures(const TargetRecord &Target) const;
   std::size_t countRecentlyReached(const TargetRecord &Target) const;
-  /// Proxies that said after \p Since that it answers them.
+  /// Counts proxies that reported after \p Since that the target answers them.
   std::size_t countReachedSince(const TargetRecord &Target, Millis Since) const;
   void probe(const std::string &Name, const TargetRecord &Primary,
              std::size_t Proxies);
   void evaluateProbe(const std::string &Name, const TargetRecord &Primary,
                      std::size_t Proxies, const Expected<TargetStatus> &Answer);
   void stepDown(const std::string &Name, const TargetRecord &Primary);
-  /// Targets whose positions count for a promotion.
+  /// Returns the targets whose positions count for a promotion.
   std::vector<TargetRecord> candidates(const std::string &Name) const;
   void queryPositions(const std::string &Name);
   void scheduleQuery(Group &In);
@@ -172,7 +173,7 @@
   PromotionTimes Times;
   bool IsActive = false;
   Millis LeadingSince;
-  /// Replicas that a former leader may have stopped.
+  /// Replicas that an earlier leader may have ordered to stop receiving.
   std::set<std::string> MayBeStopped;
   std::map<std::string, Group> Groups;
   std::map<std::string, std::map<ProcessId, Reachability>> ReachabilityByTarget;
--- a/Source/Steering/ProtocolAdapter.h
+++ b/Source/Steering/ProtocolAdapter.h
@@ -1,7 +1,6 @@
 /// \file
-/// Everything through which the outside reaches a process where targets
-/// enforce their leadership themselves. An adapter implements it for the
-/// protocols of one site.
+/// The external interfaces of a process if targets enforce their leadership
+/// themselves. An adapter implements them for the protocols of one site.
 
 #ifndef CORIANDERDYKE_STEERING_PROTOCOLADAPTER_H
 #define CORIANDERDYKE_STEERING_PROTOCOLADAPTER_H
@@ -14,13 +13,14 @@
 
 namespace corianderdyke {
 
-/// A listener for callers' sessions; it listens until it's destroyed.
+/// A listener for callers' sessions; it listens until it is destroyed.
 class CallerListener {
 public:
   virtual ~CallerListener() = default;
 };
 
-/// Who orders a change of primary, and at whom.
+/// The address of the promotion service and the name of the process that sends
+/// orders to it.
 struct PromotionAccess {
   Endpoint Address;
   std::string Holder;
@@ -43,7 +43,7 @@
   /// Serves targets' heartbeats and operators; \p At is its own address.
   virtual std::unique_ptr<HttpService>
   makeDirectoryService(SteeringNode &Node, const Endpoint &At) = 0;
-  /// Tells the balancer whether callers may be sent here.
+  /// Reports to the load balancer whether this process accepts callers.
   virtual std::unique_ptr<HttpService>
   makeReadinessService(std::function<bool()> IsReady) = 0;
 };
--- a/Source/Steering/ProxyList.cpp
+++ b/Source/Steering/ProxyList.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The proxies that follow a leading control host, for each other.
+/// The list of proxies that a leading control host distributes to all proxies.
 
 #include "Steering/ProxyList.h"
 
@@ -7,72 +7,74 @@
 
 namespace {
 
-/// Without news for this long all are known: proxies ask every half second,
-/// and those that look for a leader three times as often.
-constexpr Millis QuietBefore(400);
-/// Known or not, the list is told after this long.
-constexpr Millis LongestWait(1500);
+/// Without a change for this long the list counts as complete: proxies send
+/// requests every half second, and about three times as often while they look
+/// for a leader.
+constexpr Millis SettlingTime(400);
+/// After this long the list is sent even if it may be incomplete.
+constexpr Millis MaxCollectionTime(1500);
 
 } // namespace
 
-void ProxyList::startTerm(const std::map<std::string, ProxyRecord> &Noted,
+void ProxyList::startTerm(const std::map<std::string, ProxyRecord> &Recorded,
                           Millis Now) {
   ByName.clear();
   RemovedRevisions.clear();
   Revision = 1;
-  for (const auto &[Name, Each] : Noted)
+  for (const auto &[Name, Each] : Recorded)
     ByName[Name] = {Each, Now, false, Revision};
-  StartedWithRecorded = !Noted.empty();
-  BeganAt = Now;
+  StartedWithRecorded = !Recorded.empty();
+  StartedAt = Now;
   LastChangeAt = Now;
 }
 
-void ProxyList::update(const ProxyRecord &Said, bool IsLeaving, Millis Now) {
-  if (Said.RelayEndpoint.Port == 0)
+void ProxyList::update(const ProxyRecord &Record, bool IsLeaving, Millis Now) {
+  if (Record.RelayEndpoint.Port == 0)
     return;
-  const auto Before = ByName.find(Said.Name);
-  const bool IsNews = Before == ByName.end()
-                          ? !IsLeaving
-                          : Before->second.Record != Said ||
-                                Before->second.IsLeaving != IsLeaving;
+  const auto Before = ByName.find(Record.Name);
+  const bool IsChange = Before == ByName.end()
+                            ? !IsLeaving
+                            : Before->second.Record != Record ||
+                                  Before->second.IsLeaving != IsLeaving;
   const std::uint64_t LastChange =
       Before == ByName.end() ? Revision : Before->second.ChangedRevision;
-  if (IsNews) {
+  if (IsChange) {
     ++Revision;
     LastChangeAt = Now;
   }
-  ByName[Said.Name] = {Said, Now, IsLeaving, IsNews ? Revision : LastChange};
-  RemovedRevisions.erase(Said.Name);
+  ByName[Record.Name] = {Record, Now, IsLeaving,
+                         IsChange ? Revision : LastChange};
+  RemovedRevisions.erase(Record.Name);
 }
 
-void ProxyList::removeExpired(Millis Now, Millis Kept) {
+void ProxyList::removeExpired(Millis Now, Millis MaxAge) {
   const std::uint64_t Next = Revision + 1;
-  const std::size_t Gone = std::erase_if(ByName, [&](const auto &Each) {
-    const bool IsGone = Now - Each.second.LastContact > Kept;
-    if (IsGone)
+  const std::size_t Expired = std::erase_if(ByName, [&](const auto &Each) {
+    const bool IsExpired = Now - Each.second.LastContact > MaxAge;
+    if (IsExpired)
       RemovedRevisions[Each.first] = Next;
-    return IsGone;
+    return IsExpired;
   });
-  if (Gone > 0)
+  if (Expired > 0)
     Revision = Next;
 }
 
 bool ProxyList::isReady(Millis Now) const {
-  return StartedWithRecorded || Now - LastChangeAt >= QuietBefore ||
-         Now - BeganAt >= LongestWait;
+  return StartedWithRecorded || Now - LastChangeAt >= SettlingTime ||
+         Now - StartedAt >= MaxCollectionTime;
 }
 
 RecordProxies ProxyList::unrecordedChanges(
-    const std::map<std::string, ProxyRecord> &Noted) const {
+    const std::map<std::string, ProxyRecord> &Recorded) const {
   RecordProxies Out;
   std::map<std::string, ProxyRecord> Present;
   for (const ProxyRecord &Each : all()) {
     Present[Each.Name] = Each;
-    const auto Before = Noted.find(Each.Name);
-    if (Before == Noted.end() || Before->second != Each)
+    const auto Before = Recorded.find(Each.Name);
+    if (Before == Recorded.end() || Before->second != Each)
       Out.Present.push_back(Each);
   }
-  for (const auto &[Name, Each] : Noted)
+  for (const auto &[Name, Each] : Recorded)
     if (Present.count(Name) == 0)
       Out.Removed.push_back(Name);
   return Out;
--- a/Source/Steering/ProxyList.h
+++ b/Source/Steering/ProxyList.h
@@ -1,5 +1,5 @@
 /// \file
-/// The proxies that follow a leading control host, for each other.
+/// The list of proxies that a leading control host distributes to all proxies.
 
 #ifndef CORIANDERDYKE_STEERING_PROXYLIST_H
 #define CORIANDERDYKE_STEERING_PROXYLIST_H
@@ -9,31 +9,35 @@
 
 namespace corianderdyke {
 
-/// Proxies choose gateways from this list, and each change of it moves some
-/// of their connections. A new leader that told what it has heard so far would
-/// move nearly all of them, twice within a second; so it begins with those
-/// that the group has noted, and says nothing before it knows any.
+/// Proxies select gateways from this list, and each change of it moves some of
+/// their connections. A new leader that distributed a partial list would move
+/// nearly all of them twice within a second. It therefore starts with the
+/// proxies recorded by the control group; without any it sends no list until it
+/// has collected the proxies.
 class ProxyList {
 public:
-  /// A term as leader begins with those that were noted.
-  void startTerm(const std::map<std::string, ProxyRecord> &Noted, Millis Now);
-
-  /// A proxy's own word. One that leaves is off the list at once.
-  void update(const ProxyRecord &Said, bool IsLeaving, Millis Now);
-  /// A restarted proxy is back within less, under the same name.
-  void removeExpired(Millis Now, Millis Kept);
-
-  /// False while a new leader gets to know the proxies.
+  /// Starts a term as leader with the recorded proxies.
+  void startTerm(const std::map<std::string, ProxyRecord> &Recorded,
+                 Millis Now);
+
+  /// Applies a proxy's own record. A leaving proxy is removed from the list
+  /// immediately.
+  void update(const ProxyRecord &Record, bool IsLeaving, Millis Now);
+  /// Removes proxies without contact for longer than \p MaxAge. It must be
+  /// longer than a restart, after which a proxy returns under the same name.
+  void removeExpired(Millis Now, Millis MaxAge);
+
+  /// False while a new leader is still collecting the proxies.
   bool isReady(Millis Now) const;
 
   std::vector<ProxyRecord> all() const;
-  /// What changed after a revision: those that came or changed, and the names
-  /// of those that went.
+  /// Returns the proxies added or changed after a revision and the names of
+  /// those removed.
   RecordProxies changedSince(std::uint64_t Since) const;
   std::size_t size() const { return ByName.size(); }
-  /// What the group should note, given what it has; empty where nothing.
+  /// Returns the changes that the control group has not recorded yet.
   RecordProxies
-  unrecordedChanges(const std::map<std::string, ProxyRecord> &Noted) const;
+  unrecordedChanges(const std::map<std::string, ProxyRecord> &Recorded) const;
   /// Raised with each change.
   std::uint64_t revision() const { return Revision; }
 
@@ -42,13 +46,13 @@
     ProxyRecord Record;
     Millis LastContact;
     bool IsLeaving = false;
-    std::uint64_t ChangedRevision = 0; ///< The revision of its last change.
+    std::uint64_t ChangedRevision = 0; ///< Revision of the last change.
   };
 
   std::map<std::string, TrackedProxy> ByName;
   std::map<std::string, std::uint64_t> RemovedRevisions; ///< Revision by name.
   std::uint64_t Revision = 0;
-  Millis BeganAt;
+  Millis StartedAt;
   Millis LastChangeAt;
   bool StartedWithRecorded = false; ///< The term began with proxies.
 };
--- a/Source/Steering/ReplicatedState.cpp
+++ b/Source/Steering/ReplicatedState.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the control group agrees on where targets enforce their leadership
-/// themselves.
+/// The replicated state of the control group if targets enforce their
+/// leadership themselves.
 
 #include "Steering/ReplicatedState.h"
 
@@ -8,77 +8,77 @@
 
 bool ReplicatedState::apply(std::uint64_t Index,
                             const ReplicatedCommand &Command) {
-  AuditRecord Line{.Revision = Index, .WallTime = Command.WallTime};
+  AuditRecord Record{.Revision = Index, .WallTime = Command.WallTime};
   const bool Changed = std::visit(
-      [&](const auto &Body) { return on(Body, Line); }, Command.Body);
+      [&](const auto &Body) { return on(Body, Record); }, Command.Body);
   if (!Changed)
     return false;
-  Audit.push_back(std::move(Line));
+  Audit.push_back(std::move(Record));
   if (Audit.size() > MaxAuditRecords)
     Audit.erase(Audit.begin(), Audit.begin() + static_cast<std::ptrdiff_t>(
                                                    MaxAuditRecords / 10));
   return true;
 }
 
-bool ReplicatedState::on(const AcceptPlan &Body, AuditRecord &Line) {
+bool ReplicatedState::on(const AcceptPlan &Body, AuditRecord &Record) {
   if (Body.Plan.Version <= Plan.Version)
     return false;
-  Line.Actor = "operator";
-  Line.Action = "plan-accepted";
-  Line.Subject = "plan";
-  Line.From = "version " + std::to_string(Plan.Version);
-  Line.To = "version " + std::to_string(Body.Plan.Version);
+  Record.Actor = "operator";
+  Record.Action = "plan-accepted";
+  Record.Subject = "plan";
+  Record.From = "version " + std::to_string(Plan.Version);
+  Record.To = "version " + std::to_string(Body.Plan.Version);
   Plan = Body.Plan;
   return true;
 }
 
-bool ReplicatedState::on(const RecordTargets &Body, AuditRecord &Line) {
-  Line.Actor = "control";
-  Line.Action = "targets-noted";
+bool ReplicatedState::on(const RecordTargets &Body, AuditRecord &Record) {
+  Record.Actor = "control";
+  Record.Action = "targets-noted";
   for (const TargetRecord &Each : Body.Targets) {
     if (Each.IsGone)
       Targets.erase(Each.Id);
     else
       Targets[Each.Id] = Each;
-    Line.Subject += (Line.Subject.empty() ? "" : ", ") + Each.Id;
-    Line.To += std::string(Line.To.empty() ? "" : ", ") +
-               (Each.IsGone      ? "gone"
-                : Each.IsLeaving ? "leaving"
-                : Each.IsPrimary ? "primary"
-                                 : "replica");
+    Record.Subject += (Record.Subject.empty() ? "" : ", ") + Each.Id;
+    Record.To += std::string(Record.To.empty() ? "" : ", ") +
+                 (Each.IsGone      ? "gone"
+                  : Each.IsLeaving ? "leaving"
+                  : Each.IsPrimary ? "primary"
+                                   : "replica");
   }
   return !Body.Targets.empty();
 }
 
-bool ReplicatedState::on(const RecordProxies &Body, AuditRecord &Line) {
-  Line.Actor = "control";
-  Line.Action = "proxies-noted";
+bool ReplicatedState::on(const RecordProxies &Body, AuditRecord &Record) {
+  Record.Actor = "control";
+  Record.Action = "proxies-noted";
   for (const ProxyRecord &Each : Body.Present)
     Proxies[Each.Name] = Each;
   for (const std::string &Each : Body.Removed)
     Proxies.erase(Each);
-  Line.Subject = std::to_string(Body.Present.size()) + " present, " +
-                 std::to_string(Body.Removed.size()) + " gone";
-  Line.To = std::to_string(Proxies.size()) + " in all";
+  Record.Subject = std::to_string(Body.Present.size()) + " present, " +
+                   std::to_string(Body.Removed.size()) + " gone";
+  Record.To = std::to_string(Proxies.size()) + " in all";
   return !Body.Present.empty() || !Body.Removed.empty();
 }
 
-bool ReplicatedState::on(const RecordQuotaSeats &Body, AuditRecord &Line) {
-  Line.Actor = "control";
-  Line.Action = "quota-seats-noted";
-  for (const auto &[Which, Name] : Body.Holders)
-    Seats[Which] = Name;
-  Line.Subject = std::to_string(Body.Holders.size()) + " changed";
-  Line.To = std::to_string(Seats.size()) + " in all";
+bool ReplicatedState::on(const RecordQuotaSeats &Body, AuditRecord &Record) {
+  Record.Actor = "control";
+  Record.Action = "quota-seats-noted";
+  for (const auto &[Part, Holder] : Body.Holders)
+    Seats[Part] = Holder;
+  Record.Subject = std::to_string(Body.Holders.size()) + " changed";
+  Record.To = std::to_string(Seats.size()) + " in all";
   return !Body.Holders.empty();
 }
 
-bool ReplicatedState::on(const OrderPromotion &Body, AuditRecord &Line) {
-  Line.Actor = Body.Holder;
-  Line.Action = "promotion-ordered";
-  Line.Subject = Body.Group;
-  Line.To = Body.Target;
-  Line.Reason = Body.Reason;
+bool ReplicatedState::on(const OrderPromotion &Body, AuditRecord &Record) {
+  Record.Actor = Body.Holder;
+  Record.Action = "promotion-ordered";
+  Record.Subject = Body.Group;
+  Record.To = Body.Target;
+  Record.Reason = Body.Reason;
   return true;
 }
 
--- a/Source/Steering/ReplicatedState.h
+++ b/Source/Steering/ReplicatedState.h
@@ -1,6 +1,7 @@
 /// \file
-/// What the control group agrees on where targets enforce their leadership
-/// themselves: the plan in force and the order of promotions.
+/// The replicated state of the control group if targets enforce their
+/// leadership themselves: the plan in force, the order of promotions and the
+/// recorded targets, proxies and quota seats.
 
 #ifndef CORIANDERDYKE_STEERING_REPLICATEDSTATE_H
 #define CORIANDERDYKE_STEERING_REPLICATEDSTATE_H
@@ -16,7 +17,7 @@
 
 namespace corianderdyke {
 
-/// Makes a plan the one in force where its version is higher.
+/// Puts a plan in force if its version is higher than the current one.
 struct AcceptPlan {
   RoutePlan Plan;
 
@@ -24,8 +25,8 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(Plan); }
 };
 
-/// Decides that a target is to lead its group. The entry's index is the
-/// order's fencing token: later orders of any holder have higher ones.
+/// Orders the promotion of a target. The entry's index is the fencing token of
+/// the order: later orders of any holder have higher tokens.
 struct OrderPromotion {
   std::string Group;
   std::string Target;
@@ -38,8 +39,8 @@
   }
 };
 
-/// What targets said of themselves, where it's more than a sign of life. A
-/// leader that starts after all processes were down knows them at once.
+/// Records changes in targets' heartbeats, beyond their sequence numbers. A
+/// leader that starts after all processes were down knows the targets from it.
 struct RecordTargets {
   std::vector<TargetRecord> Targets;
 
@@ -47,9 +48,9 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(Targets); }
 };
 
-/// Proxies that came or changed, and names of those that went. Without it a
-/// leader that starts after all processes were down would divide targets'
-/// connections among the few proxies that it has heard yet.
+/// Records proxies that were added or changed, and names of removed ones.
+/// Without it a leader that starts after all processes were down would divide
+/// the targets' connections among the few proxies that have contacted it yet.
 struct RecordProxies {
   std::vector<ProxyRecord> Present;
   std::vector<std::string> Removed;
@@ -58,7 +59,7 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(Present, Removed); }
 };
 
-/// Who may hold which part of organisations' quotas from now on.
+/// Assigns parts of organisations' quotas to holders.
 struct RecordQuotaSeats {
   SeatAssignments Holders;
 
@@ -67,7 +68,7 @@
 };
 
 struct ReplicatedCommand {
-  Millis WallTime; ///< For people only.
+  Millis WallTime; ///< For display only.
   std::variant<AcceptPlan, OrderPromotion, RecordTargets, RecordProxies,
                RecordQuotaSeats>
       Body;
@@ -78,17 +79,17 @@
 
 class ReplicatedState {
 public:
-  /// Applies the entry at \p Index; true where it changed what is in force.
+  /// Applies the entry at \p Index; returns true if it changed the state.
   bool apply(std::uint64_t Index, const ReplicatedCommand &Command);
 
   const RoutePlan &plan() const { return Plan; }
-  /// Targets that haven't gone, as last noted.
+  /// Targets that are not gone, as last recorded.
   const std::map<std::string, TargetRecord> &targets() const { return Targets; }
-  /// Proxies by name, as last noted.
+  /// Proxies by name, as last recorded.
   const std::map<std::string, ProxyRecord> &proxies() const { return Proxies; }
-  /// Holders of parts of quotas, as last noted.
+  /// Holders of parts of quotas, as last recorded.
   const SeatAssignments &seats() const { return Seats; }
-  /// Decisions, the oldest first; the oldest are dropped.
+  /// Changes in order; the oldest are dropped beyond MaxAuditRecords.
   const std::vector<AuditRecord> &audit() const { return Audit; }
 
   bool operator==(const ReplicatedState &) const = default;
@@ -97,13 +98,14 @@
   }
 
 private:
-  bool on(const AcceptPlan &Body, AuditRecord &Line);
-  bool on(const OrderPromotion &Body, AuditRecord &Line);
-  bool on(const RecordTargets &Body, AuditRecord &Line);
-  bool on(const RecordProxies &Body, AuditRecord &Line);
-  bool on(const RecordQuotaSeats &Body, AuditRecord &Line);
-
-  /// A month of primary changes and a day of plans at the target size.
+  bool on(const AcceptPlan &Body, AuditRecord &Record);
+  bool on(const OrderPromotion &Body, AuditRecord &Record);
+  bool on(const RecordTargets &Body, AuditRecord &Record);
+  bool on(const RecordProxies &Body, AuditRecord &Record);
+  bool on(const RecordQuotaSeats &Body, AuditRecord &Record);
+
+  /// Suffices for a month of primary changes and a day of plans at the designed
+  /// system size.
   static constexpr std::size_t MaxAuditRecords = 1600;
 
   RoutePlan Plan;
--- a/Source/Steering/SteeringFollowers.cpp
+++ b/Source/Steering/SteeringFollowers.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a leading control host tells the proxies that follow it.
+/// Messages of a leading control host to its subscribed proxies.
 
 #include "Steering/SteeringNode.h"
 
@@ -10,22 +10,22 @@
 namespace {
 
 /// Least time between two directory updates, well below the time within which
-/// proxies must stop using a target that leaves.
+/// proxies must stop using a leaving target.
 constexpr Millis PublishInterval(50);
-/// Between two confirmations of this host's lead for requests for seats.
-constexpr Millis SeatsPause(50);
-/// What a follower didn't confirm is sent again after this long.
-constexpr Millis SendAgainAfter(400);
-/// A proxy that asked longer ago has asked again by now.
-constexpr Millis WaitingKept(500);
-/// A proxy that wasn't heard for this long doesn't count any more.
-constexpr Millis FollowerKept(3000);
+/// Pause between two confirmations of this host's leadership for seat requests.
+constexpr Millis SeatAnswerInterval(50);
+/// An update that a subscriber has not confirmed is resent after this long.
+constexpr Millis ResendInterval(400);
+/// Requests older than this are dropped, since the proxy has sent another.
+constexpr Millis MaxRequestAge(500);
+/// A proxy that has sent nothing for this long is removed.
+constexpr Millis SubscriberTimeout(3000);
 
 } // namespace
 
 void SteeringNode::on(const Envelope &From, const SubscribeRequest &Body) {
   if (!Leading && (leader().empty() || leader() == Options.Name)) {
-    Waiting[Body.Proxy] = {From, Deps.Time.now()};
+    WaitingRequests[Body.Proxy] = {From, Deps.Time.now()};
     return;
   }
   if (!Leading) {
@@ -33,11 +33,11 @@
                     SubscribeRedirect{leader()});
     return;
   }
-  // A restarted proxy counts once.
-  std::erase_if(Followers, [&Body](const auto &Each) {
+  // Remove earlier incarnations of a restarted proxy.
+  std::erase_if(Subscribers, [&Body](const auto &Each) {
     return Each.first.Name == Body.Proxy.Name && Each.first != Body.Proxy;
   });
-  Subscriber &Known = Followers[Body.Proxy];
+  Subscriber &Known = Subscribers[Body.Proxy];
   Known.Address = From.ReplyTo;
   Known.LastContact = Deps.Time.now();
   Known.PlanVersion = Body.PlanVersion;
@@ -55,27 +55,27 @@
   });
 }
 
-// Load pattern: all processes start together, and every proxy asks before
-// there is a leader. Answered only when it asks again, a proxy
-// would become ready later.
+// If all processes start together, every proxy sends a request before there is
+// a leader. Without a deferred answer a proxy would become ready only after its
+// next request.
 void SteeringNode::answerWaiting() {
-  if (Waiting.empty() ||
+  if (WaitingRequests.empty() ||
       (!Leading && (leader().empty() || leader() == Options.Name)))
     return;
-  for (const auto &[Proxy, Each] : std::exchange(Waiting, {}))
-    if (Deps.Time.now() - Each.Since < WaitingKept)
+  for (const auto &[Proxy, Each] : std::exchange(WaitingRequests, {}))
+    if (Deps.Time.now() - Each.Since < MaxRequestAge)
       receive(Each.Message);
 }
 
 void SteeringNode::answer(const Endpoint &To, const SubscribeRequest &Request,
-                          bool Proven) {
-  Deps.Peers.send(
-      To, Delivery::Datagram,
-      SubscribeReply{Request.Sequence, Proven, State.plan().Version, members(),
-                     Proxies.isReady(Deps.Time.now())
-                         ? static_cast<std::uint32_t>(
-                               std::max(Followers.size(), Proxies.size()))
-                         : 0});
+                          bool IsConfirmed) {
+  Deps.Peers.send(To, Delivery::Datagram,
+                  SubscribeReply{Request.Sequence, IsConfirmed,
+                                 State.plan().Version, members(),
+                                 Proxies.isReady(Deps.Time.now())
+                                     ? static_cast<std::uint32_t>(std::max(
+                                           Subscribers.size(), Proxies.size()))
+                                     : 0});
 }
 
 std::vector<std::string> SteeringNode::members() const {
@@ -87,20 +87,20 @@
 
 void SteeringNode::bringUpToDate(Subscriber &To) {
   const Millis Now = Deps.Time.now();
-  // Ahead of the plan: with it a proxy begins to open connections, and must
-  // know how many others do.
+  // Sent before the plan: with the plan a proxy begins to open connections and
+  // must know how many other proxies do.
   if (Proxies.isReady(Now) && To.Proxies != proxiesVersion() &&
-      Now - To.ProxiesSentAt >= SendAgainAfter) {
+      Now - To.ProxiesSentAt >= ResendInterval) {
     To.ProxiesSentAt = Now;
     Deps.Peers.send(To.Address, Delivery::Stream, proxyListUpdate(To.Proxies));
   }
   if (To.PlanVersion < State.plan().Version &&
-      Now - To.PlanSentAt >= SendAgainAfter) {
+      Now - To.PlanSentAt >= ResendInterval) {
     To.PlanSentAt = Now;
     Deps.Peers.send(To.Address, Delivery::Stream, planUpdate());
   }
   if (To.Directory != directoryVersion() &&
-      Now - To.DirectorySentAt >= SendAgainAfter)
+      Now - To.DirectorySentAt >= ResendInterval)
     sendDirectory(To, To.Directory);
 }
 
@@ -126,7 +126,7 @@
                                : ByFrom.emplace(From, Make()).first->second;
 }
 
-// What another leader counted says nothing here.
+// Revisions of another term are not comparable.
 DirectoryVersion SteeringNode::baseOf(const DirectoryVersion &Known) const {
   return Known.Term == Agreement.term() ? Known : DirectoryVersion{};
 }
@@ -164,8 +164,8 @@
   Deps.Peers.send(To.Address, Delivery::Datagram, directoryUpdate(Known));
 }
 
-// Load pattern: hundreds of targets say that they are there within a second.
-// All that changed within one interval goes out together.
+// Hundreds of targets may register within a second, so all changes of one
+// interval are sent in one update.
 void SteeringNode::publish() {
   const Millis Now = Deps.Time.now();
   if (!Leading || Published == directoryVersion() ||
@@ -173,9 +173,10 @@
     return;
   const DirectoryVersion Before = std::exchange(Published, directoryVersion());
   PublishedAt = Now;
-  for (auto &[Id, Each] : Followers)
+  for (auto &[Id, Each] : Subscribers)
     sendDirectory(Each, Each.DirectorySent);
-  // A successor starts with what this leader knew.
+  // The other control hosts get the update too, so that the next leader starts
+  // with this directory.
   const PreparedMessage &Update = directoryUpdate(Before);
   for (const std::string &Host : members())
     if (Host != Options.Name)
@@ -194,12 +195,12 @@
   answerSeats();
 }
 
-// One confirmation of this host's lead serves all requests that came before
-// it: it costs a message to each control host and back.
+// One confirmation of this host's leadership serves all requests received
+// before it, because it takes a round trip to each control host.
 void SteeringNode::answerSeats() {
   const Millis Now = Deps.Time.now();
   if (SeatRequests.empty() || IsConfirmingSeats ||
-      Now - SeatsAnsweredAt < SeatsPause)
+      Now - SeatsAnsweredAt < SeatAnswerInterval)
     return;
   SeatsAnsweredAt = Now;
   IsConfirmingSeats = true;
@@ -220,25 +221,25 @@
 void SteeringNode::recordSeats() {
   if (IsRecordingSeats)
     return;
-  SeatAssignments News = Seats.takeProposedAssignments();
-  if (News.empty())
+  SeatAssignments Assignments = Seats.takeProposedAssignments();
+  if (Assignments.empty())
     return;
   IsRecordingSeats = true;
-  propose({Deps.Time.wallTime(), RecordQuotaSeats{News}},
-          [this, News](std::optional<std::uint64_t> Index) {
+  propose({Deps.Time.wallTime(), RecordQuotaSeats{Assignments}},
+          [this, Assignments](std::optional<std::uint64_t> Index) {
             IsRecordingSeats = false;
             if (Index)
-              Seats.applyCommitted(News, Deps.Time.now());
+              Seats.applyCommitted(Assignments, Deps.Time.now());
           });
 }
 
 void SteeringNode::removeExpiredSubscribers() {
-  for (auto Each = Followers.begin(); Each != Followers.end();)
-    if (Deps.Time.now() - Each->second.LastContact > FollowerKept)
-      Each = Followers.erase(Each);
+  for (auto Each = Subscribers.begin(); Each != Subscribers.end();)
+    if (Deps.Time.now() - Each->second.LastContact > SubscriberTimeout)
+      Each = Subscribers.erase(Each);
     else
       ++Each;
-  Proxies.removeExpired(Deps.Time.now(), FollowerKept);
+  Proxies.removeExpired(Deps.Time.now(), SubscriberTimeout);
 }
 
 } // namespace corianderdyke
--- a/Source/Steering/SteeringNode.cpp
+++ b/Source/Steering/SteeringNode.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A control host where targets enforce their leadership themselves.
+/// A control host if targets enforce their leadership themselves.
 
 #include "Steering/SteeringNode.h"
 
@@ -9,17 +9,17 @@
 
 namespace {
 
-/// Half of the shortest interval of the agreement.
+/// At most half of the shortest interval of the consensus protocol.
 constexpr Millis TickInterval(25);
 constexpr Millis HeartbeatInterval(100);
-/// Five heartbeats: a host whose disk or processor is slow for a moment isn't
-/// replaced at once.
+/// Five heartbeats, so that a leader whose disk or processor is briefly slow is
+/// not replaced.
 constexpr Millis ElectionTimeout(500);
-/// Groups are looked at this often while leading.
+/// Interval of the checks of groups and subscribers while leading.
 constexpr Millis WatchInterval(50);
 constexpr std::size_t CompactAtBytes = 4U << 20U;
-/// All hosts of a new system have started and joined within this time.
-constexpr Millis FormingPatience(5000);
+/// Time within which all hosts of a new system have started and joined.
+constexpr Millis FormationTimeout(5000);
 
 ConsensusOptions consensusOptions(const SteeringOptions &From) {
   ConsensusOptions Out;
@@ -51,7 +51,7 @@
           Options.ProcessName),
       ReplayEndIndex(Log.lastIndex()), IsReplayed(ReplayEndIndex == 0) {
   Coordinator.signalProbeStarted().connect([this] {
-    for (const auto &[Id, Each] : Followers)
+    for (const auto &[Id, Each] : Subscribers)
       this->Deps.Peers.send(Each.Address, Delivery::Datagram,
                             ReachabilityQuery{});
   });
@@ -76,7 +76,7 @@
     recordProxies();
     answerSeats();
     recordSeats();
-    Coordinator.tick(State.plan(), Followers.size());
+    Coordinator.tick(State.plan(), Subscribers.size());
   }
   processOutputs();
   Deps.Timers.after(TickInterval, [this] { tick(); });
@@ -96,7 +96,7 @@
 void SteeringNode::acceptPlan(RoutePlan Plan, DoneHandler OnDone) {
   if (!Leading)
     return OnDone(notLeading());
-  // What was overtaken, or comes again, changes nothing.
+  // A superseded or repeated plan has no effect.
   if (Plan.Version <= State.plan().Version)
     return OnDone({});
   propose({Deps.Time.wallTime(), AcceptPlan{std::move(Plan)}},
@@ -129,51 +129,52 @@
                          Known->Incarnation < Said.Incarnation);
   Directory.applyHeartbeat(Said, Deps.Time.now());
   publish();
-  // The target takes the answer for a promise that it gets nothing new soon.
-  // A leader that is cut off from the others, and from most proxies with
-  // them, can't keep that.
+  // The target takes the answer as a promise that it soon gets no new
+  // statements. A leader that is partitioned from the other control hosts, and
+  // with them from most proxies, cannot keep this promise.
   if (IsPromise)
     return awaitReadBarrier(OnDone);
   OnDone({});
 }
 
-void SteeringNode::deregister(const std::string &Target, std::uint64_t BornAt,
-                              DoneHandler OnDone) {
+void SteeringNode::deregister(const std::string &Target,
+                              std::uint64_t Incarnation, DoneHandler OnDone) {
   if (!Leading)
     return OnDone(notLeading());
-  Directory.deregister(Target, BornAt, Deps.Time.now());
+  Directory.deregister(Target, Incarnation, Deps.Time.now());
   publish();
   OnDone({});
 }
 
 void SteeringNode::awaitReadBarrier(const DoneHandler &OnDone) {
-  const auto Begun = Barriers.await(Agreement, Deps.Time.now(), OnDone);
-  if (!Begun)
-    return OnDone(Begun);
+  const auto Started = Barriers.await(Agreement, Deps.Time.now(), OnDone);
+  if (!Started)
+    return OnDone(Started);
   processOutputs();
 }
 
-// Heartbeats come every second and change nothing; joining, leaving and
-// changes of role are few. All since the last note go into one entry.
+// Heartbeats arrive every second and rarely change anything but the sequence;
+// joins, departures and changes of role are rare. All changes since the last
+// record go into one entry.
 void SteeringNode::recordTargets() {
   if (IsRecordingTargets || RecordedRevision == Directory.revision())
     return;
-  RecordTargets News;
+  RecordTargets Changed;
   const std::uint64_t Revision = Directory.revision();
   for (const TargetRecord &Each : Directory.changedSince(RecordedRevision)) {
-    const auto Noted = State.targets().find(Each.Id);
-    if (Noted == State.targets().end()
+    const auto Recorded = State.targets().find(Each.Id);
+    if (Recorded == State.targets().end()
             ? Each.IsGone
-            : Each.equalsIgnoringSequence(Noted->second))
+            : Each.equalsIgnoringSequence(Recorded->second))
       continue;
-    News.Targets.push_back(Each);
+    Changed.Targets.push_back(Each);
   }
-  if (News.Targets.empty()) {
+  if (Changed.Targets.empty()) {
     RecordedRevision = Revision;
     return;
   }
   IsRecordingTargets = true;
-  propose({Deps.Time.wallTime(), std::move(News)},
+  propose({Deps.Time.wallTime(), std::move(Changed)},
           [this, Revision](std::optional<std::uint64_t> Index) {
             IsRecordingTargets = false;
             if (Index)
@@ -181,19 +182,20 @@
           });
 }
 
-// Restarts in turn and whole failure domains come together in one entry.
+// Changes by rolling restarts or the loss of a failure domain are combined in
+// one entry.
 void SteeringNode::recordProxies() {
   if (IsRecordingProxies || !Proxies.isReady(Deps.Time.now()))
     return;
-  RecordProxies News = Proxies.unrecordedChanges(State.proxies());
-  if (News.Present.empty() && News.Removed.empty())
+  RecordProxies Changed = Proxies.unrecordedChanges(State.proxies());
+  if (Changed.Present.empty() && Changed.Removed.empty())
     return;
   IsRecordingProxies = true;
-  propose({Deps.Time.wallTime(), std::move(News)},
+  propose({Deps.Time.wallTime(), std::move(Changed)},
           [this](std::optional<std::uint64_t>) { IsRecordingProxies = false; });
 }
 
-// The agreement.
+// Consensus.
 
 void SteeringNode::propose(ReplicatedCommand Command, CommitHandler OnDone) {
   const auto Index = Agreement.propose(encode(Command), Deps.Time.now());
@@ -249,7 +251,7 @@
                     std::move(Each.Message));
 }
 
-// A snapshot may hold more than the disk did at the start.
+// A snapshot may contain entries beyond those on the disk at the start.
 void SteeringNode::checkReplayed() {
   if (AppliedIndex < ReplayEndIndex || std::exchange(IsReplayed, true))
     return;
@@ -260,15 +262,15 @@
   AppliedIndex = Done.Index;
   if (Done.Kind == EntryKind::Command) {
     const auto Command = decode<ReplicatedCommand>(Done.Bytes);
-    // To pass over a change that the others make would give this host another
-    // state than theirs.
+    // Skipping an entry that the other hosts apply would make this host's state
+    // diverge.
     if (!Command)
       return Failed.emit(Command.error());
     const std::uint64_t Before = State.plan().Version;
     if (State.apply(Done.Index, *Command) && Done.Index > ReplayEndIndex)
       Audited.emit(State.audit().back());
     if (Leading && State.plan().Version != Before)
-      for (auto &[Id, Each] : Followers) {
+      for (auto &[Id, Each] : Subscribers) {
         Each.PlanSentAt = Millis(-1000000);
         bringUpToDate(Each);
       }
@@ -288,12 +290,12 @@
 bool SteeringNode::isDurable(std::uint64_t Index) const {
   if (Agreement.survivesDiskLoss(Index, Options.ToleratedDiskLosses))
     return true;
-  // A system with fewer hosts than the bound asks for can't bear that loss at
-  // all; its operators aren't kept waiting for it for good.
-  const std::size_t Most = (Agreement.voters().size() - 1) / 2;
-  return Deps.Time.now() - LeadingSince > FormingPatience &&
-         Most < Options.ToleratedDiskLosses &&
-         Agreement.survivesDiskLoss(Index, Most);
+  // A system with fewer hosts than the setting requires cannot tolerate that
+  // loss at all, and its changes must not wait forever.
+  const std::size_t MaxLosses = (Agreement.voters().size() - 1) / 2;
+  return Deps.Time.now() - LeadingSince > FormationTimeout &&
+         MaxLosses < Options.ToleratedDiskLosses &&
+         Agreement.survivesDiskLoss(Index, MaxLosses);
 }
 
 void SteeringNode::finishChanges() {
@@ -306,7 +308,7 @@
     const CommitHandler OnDone = std::move(Each->second.OnDone);
     Each = Changes.erase(Each);
     OnDone(Index);
-    // The handler may have proposed another.
+    // The handler may have proposed another change.
     Each = Changes.upper_bound(Index);
   }
 }
@@ -324,7 +326,7 @@
     return;
   Leading = Agreement.isReadyLeader();
   LeadingSince = Deps.Time.now();
-  Followers.clear();
+  Subscribers.clear();
   Proxies.startTerm(State.proxies(), LeadingSince);
   Seats.startTerm(Agreement.term(), State.seats(), LeadingSince);
   SeatRequests.clear();
--- a/Source/Steering/SteeringNode.h
+++ b/Source/Steering/SteeringNode.h
@@ -1,7 +1,6 @@
 /// \file
-/// A control host where targets enforce their leadership themselves: the
-/// agreement on the plan, the directory of targets, and the proxies that
-/// follow.
+/// A control host if targets enforce their leadership themselves: replicates
+/// the plan, maintains the directory of targets and updates subscribed proxies.
 
 #ifndef CORIANDERDYKE_STEERING_STEERINGNODE_H
 #define CORIANDERDYKE_STEERING_STEERINGNODE_H
@@ -16,14 +15,14 @@
 namespace corianderdyke {
 
 struct SteeringOptions {
-  std::string Name;           ///< The host's address: members are named by it.
-  std::string ProcessName;    ///< For people and as the holder of orders.
-  std::uint16_t PeerPort = 0; ///< The same on all hosts.
+  std::string Name;               ///< The host's address, its member name.
+  std::string ProcessName;        ///< For display and as order holder.
+  std::uint16_t PeerPort = 0;     ///< The same on all hosts.
   std::vector<std::string> Seeds; ///< Addresses of hosts to start from.
   bool MayBootstrap = false;
-  /// Disks that may be lost at once without losing an acknowledged change.
+  /// Disks that may fail at once without losing an acknowledged change.
   std::size_t ToleratedDiskLosses = 1;
-  /// What callers' keys are digested with for proxies.
+  /// Secret for the digests of callers' keys that are sent to proxies.
   std::string KeySecret = {};
 };
 
@@ -39,7 +38,7 @@
 public:
   /// The plan in force when the handler runs, or Unavailable.
   using PlanHandler = std::function<void(Expected<const RoutePlan *>)>;
-  /// Nothing, or Unavailable where the leader must be asked.
+  /// Success, or Unavailable if this host does not lead.
   using DoneHandler = std::function<void(Expected<void>)>;
 
   SteeringNode(SteeringOptions Given, SteeringDependencies Deps,
@@ -47,39 +46,40 @@
 
   void start();
 
-  /// Makes a plan the one in force; succeeds without effect where its version
-  /// isn't higher. The caller has checked it.
+  /// Puts a plan in force; succeeds without effect if its version is not higher
+  /// than the current one. The caller has validated it.
   void acceptPlan(RoutePlan Plan, DoneHandler OnDone);
   /// Reads through the quorum.
   void readPlan(PlanHandler OnRead);
-  /// A target's heartbeat; done once the proxies are being told.
+  /// Applies a target's heartbeat; done once the update to the proxies is sent
+  /// or due.
   void applyHeartbeat(const TargetRecord &Said, DoneHandler OnDone);
-  /// The life of a target that began at \p BornAt says goodbye.
-  void deregister(const std::string &Target, std::uint64_t BornAt,
+  /// Deregisters one incarnation of a target.
+  void deregister(const std::string &Target, std::uint64_t Incarnation,
                   DoneHandler OnDone);
 
   bool leads() const { return Leading; }
-  /// Address of the leading host; empty where none is known.
+  /// Address of the leading host; empty if none is known.
   const std::string &leader() const { return Agreement.leader(); }
   const Consensus &consensus() const { return Agreement; }
   const ReplicatedState &state() const { return State; }
   const TargetDirectory &directory() const { return Directory; }
-  std::size_t subscriberCount() const { return Followers.size(); }
+  std::size_t subscriberCount() const { return Subscribers.size(); }
 
   /// Emitted with the disk's error when it refuses writes, and with nothing
   /// when it takes them again. Meanwhile this host neither leads nor votes.
   sigc::signal<void(const std::string &)> &signalDiskStatus() {
     return DiskChanged;
   }
-  /// Emitted when the disk holds what can't be right: the process must end.
+  /// Emitted when the data on disk is corrupt: the process must end.
   sigc::signal<void(const Error &)> &signalFailed() { return Failed; }
-  /// Emitted with each change that was decided since this host's disk was
-  /// read.
+  /// Emitted with each change committed after the entries that were on this
+  /// host's disk at the start.
   sigc::signal<void(const AuditRecord &)> &signalAudited() { return Audited; }
-  /// Emitted once all that the disk held at the start is in the state.
+  /// Emitted once all entries that were on the disk at the start are applied.
   sigc::signal<void()> &signalReplayed() { return Replayed; }
   sigc::signal<void(bool)> &signalLeadership() { return Leadership; }
-  /// Emitted when the role, term or voters in the agreement change.
+  /// Emitted when the consensus role, term or voters change.
   sigc::signal<void()> &signalConsensusStatus() {
     return ConsensusStatusChanged;
   }
@@ -100,33 +100,34 @@
     std::uint64_t PlanVersion = 0;
     DirectoryVersion Directory;
     DirectoryVersion Proxies;
-    /// What the last update led to. The next one begins there: where it got
-    /// lost the follower's own word shows it.
+    /// Version after the last update sent, from which the next one continues.
+    /// If an update is lost, the subscriber's next request shows it.
     DirectoryVersion DirectorySent;
     Millis PlanSentAt;
     Millis DirectorySentAt;
     Millis ProxiesSentAt;
   };
 
-  /// Updates to one version, made once for all followers that have the same
-  /// one before it.
+  /// Updates to one version, encoded once for all subscribers that hold the
+  /// same earlier version.
   struct SharedUpdates {
     DirectoryVersion To;
     std::map<DirectoryVersion, PreparedMessage> ByFrom;
 
-    /// The update from \p From to \p Version; \p Make makes a missing one.
+    /// Returns the update from \p From to \p Version, created by \p Make if
+    /// missing.
     const PreparedMessage &of(const DirectoryVersion &From,
                               const DirectoryVersion &Version,
                               const std::function<PreparedMessage()> &Make);
   };
 
-  /// A request for seats that waits until this host is known to lead still.
+  /// A seat request that waits until this host's leadership is confirmed.
   struct PendingSeats {
     Endpoint From;
     SeatRequest Request;
   };
 
-  /// The word of a proxy that spoke while nobody led.
+  /// A proxy's request that arrived while there was no leader.
   struct WaitingSubscribe {
     Envelope Message;
     Millis Since;
@@ -143,7 +144,7 @@
   void checkDisk();
   void applyOutputs(ConsensusOutputs Outputs);
   void apply(const Entry &Done);
-  /// Tells once that the state holds what the disk did.
+  /// Emits signalReplayed once all entries from the disk are applied.
   void checkReplayed();
   void propose(ReplicatedCommand Command, CommitHandler OnDone);
   void finishChanges();
@@ -151,12 +152,13 @@
   void updateLeadership();
   void checkConsensusStatus();
   void awaitReadBarrier(const DoneHandler &OnDone);
-  void answer(const Endpoint &To, const SubscribeRequest &Request, bool Proven);
-  /// Answers those that asked before anybody led.
+  void answer(const Endpoint &To, const SubscribeRequest &Request,
+              bool IsConfirmed);
+  /// Answers requests that arrived before there was a leader.
   void answerWaiting();
   void bringUpToDate(Subscriber &To);
   const PreparedMessage &planUpdate();
-  /// The version that an update for someone who has \p Known begins at.
+  /// Returns the version from which an update for a holder of \p Known starts.
   DirectoryVersion baseOf(const DirectoryVersion &Known) const;
   const PreparedMessage &directoryUpdate(const DirectoryVersion &Known);
   const PreparedMessage &proxyListUpdate(const DirectoryVersion &Known);
@@ -176,7 +178,7 @@
     return {Agreement.term(), Proxies.revision()};
   }
   std::vector<std::string> members() const;
-  /// True where the change at an index may be acknowledged.
+  /// True if the change at \p Index may be acknowledged.
   bool isDurable(std::uint64_t Index) const;
 
   SteeringOptions Options;
@@ -188,21 +190,20 @@
   bool Leading = false;
   bool IsProcessingOutputs = false;
   std::uint64_t AppliedIndex = 0;
-  /// The last entry that the disk held at the start. Told again as if decided
-  /// now, these would have readers of the logs look for changes that nobody
-  /// made: at each restart one for each target and plan.
+  /// The last entry on the disk at the start. Entries up to it are not logged
+  /// again, because each restart would show one change per target and plan that
+  /// did not happen then.
   std::uint64_t ReplayEndIndex;
-  bool IsReplayed; ///< At once where the disk was empty.
+  bool IsReplayed; ///< Initially true if the disk was empty.
   DirectoryVersion Published;
   Millis PublishedAt;
-  bool IsRecordingTargets = false; ///< A note on targets is under way.
-  std::uint64_t RecordedRevision =
-      0; ///< Revision of the directory that was noted.
+  bool IsRecordingTargets = false;    ///< A record is being committed.
+  std::uint64_t RecordedRevision = 0; ///< Recorded revision of the directory.
   bool IsRecordingProxies = false;
   std::map<std::uint64_t, PendingChange> Changes;
   ReadBarriers Barriers;
-  std::map<ProcessId, Subscriber> Followers;
-  std::map<ProcessId, WaitingSubscribe> Waiting;
+  std::map<ProcessId, Subscriber> Subscribers;
+  std::map<ProcessId, WaitingSubscribe> WaitingRequests;
   ProxyList Proxies;
   SeatLedger Seats;
   std::map<ProcessId, PendingSeats> SeatRequests;
@@ -210,7 +211,7 @@
   bool IsRecordingSeats = false;
   Millis SeatsAnsweredAt;
   std::uint64_t SharedPlanVersion = 0;
-  PreparedMessage SharedPlan; ///< Of that version.
+  PreparedMessage SharedPlan; ///< Of SharedPlanVersion.
   SharedUpdates SharedDirectory;
   SharedUpdates SharedProxies;
   Millis LastWatch;
