--- a/Source/Directory/TargetDirectory.cpp
+++ b/Source/Directory/TargetDirectory.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The targets that are known, from their own heartbeats.
+/// The known targets, according to their own heartbeats.
 
 #include "Directory/TargetDirectory.h"
 
@@ -27,45 +27,48 @@
   Targets[Id] = std::move(New);
 }
 
-bool TargetDirectory::applyHeartbeat(TargetRecord Said, Millis Now) {
-  const auto Found = Targets.find(Said.Id);
-  const bool IsNewLife = Found == Targets.end() ||
-                         Said.Incarnation > Found->second.Record.Incarnation;
-  if (IsNewLife) {
-    if (isSuperseded(Said))
+bool TargetDirectory::applyHeartbeat(TargetRecord Reported, Millis Now) {
+  const auto Found = Targets.find(Reported.Id);
+  const bool IsNewIncarnation =
+      Found == Targets.end() ||
+      Reported.Incarnation > Found->second.Record.Incarnation;
+  if (IsNewIncarnation) {
+    if (isSuperseded(Reported))
       return false;
-    if (Said.IsPrimary)
-      Said.PrimaryEpoch = nextPrimaryEpoch(Said.Group);
+    if (Reported.IsPrimary)
+      Reported.PrimaryEpoch = nextPrimaryEpoch(Reported.Group);
     ++Revision;
-    supersede(Said, Now);
-    insert(Said.Id, {Said, Now, Millis(), Revision});
+    supersede(Reported, Now);
+    insert(Reported.Id, {Reported, Now, Millis(), Revision});
     return true;
   }
   TrackedTarget &Old = Found->second;
-  if (Said.Incarnation < Old.Record.Incarnation || Old.Record.IsGone ||
-      Said.Sequence <= Old.Record.Sequence)
+  if (Reported.Incarnation < Old.Record.Incarnation || Old.Record.IsGone ||
+      Reported.Sequence <= Old.Record.Sequence)
     return false;
   Old.LastUpdate = Now;
-  Said.PrimaryEpoch = Old.Record.PrimaryEpoch;
-  if (Said.IsPrimary && !Old.Record.IsPrimary)
-    Said.PrimaryEpoch = nextPrimaryEpoch(Said.Group);
-  // Leaving can't be taken back: a proxy that was told so has closed its
-  // connections for good.
-  Said.IsLeaving = Said.IsLeaving || Old.Record.IsLeaving;
-  ByGroup[Said.Group].insert(Said.Id);
-  const bool IsNews = !Said.equalsIgnoringSequence(Old.Record);
-  Old.Record = std::move(Said);
-  if (IsNews)
+  Reported.PrimaryEpoch = Old.Record.PrimaryEpoch;
+  if (Reported.IsPrimary && !Old.Record.IsPrimary)
+    Reported.PrimaryEpoch = nextPrimaryEpoch(Reported.Group);
+  // Leaving is final for an incarnation: proxies that received it have closed
+  // their connections permanently.
+  Reported.IsLeaving = Reported.IsLeaving || Old.Record.IsLeaving;
+  ByGroup[Reported.Group].insert(Reported.Id);
+  const bool IsChange = !Reported.equalsIgnoringSequence(Old.Record);
+  Old.Record = std::move(Reported);
+  if (IsChange)
     Old.ChangedRevision = ++Revision;
-  return IsNews;
+  return IsChange;
 }
 
-bool TargetDirectory::isSuperseded(const TargetRecord &Said) const {
-  return std::any_of(Targets.begin(), Targets.end(), [&Said](const auto &Each) {
-    const TargetRecord &Known = Each.second.Record;
-    return Known.Id != Said.Id && Known.Address == Said.Address &&
-           Known.Incarnation > Said.Incarnation && Said.Incarnation > 0;
-  });
+bool TargetDirectory::isSuperseded(const TargetRecord &Reported) const {
+  return std::any_of(
+      Targets.begin(), Targets.end(), [&Reported](const auto &Each) {
+        const TargetRecord &Known = Each.second.Record;
+        return Known.Id != Reported.Id && Known.Address == Reported.Address &&
+               Known.Incarnation > Reported.Incarnation &&
+               Reported.Incarnation > 0;
+      });
 }
 
 void TargetDirectory::supersede(const TargetRecord &Newer, Millis Now) {
@@ -78,11 +81,11 @@
     }
 }
 
-bool TargetDirectory::deregister(const std::string &Id, std::uint64_t BornAt,
-                                 Millis Now) {
+bool TargetDirectory::deregister(const std::string &Id,
+                                 std::uint64_t Incarnation, Millis Now) {
   const auto Found = Targets.find(Id);
   if (Found == Targets.end() || Found->second.Record.IsGone ||
-      BornAt < Found->second.Record.Incarnation)
+      Incarnation < Found->second.Record.Incarnation)
     return false;
   Found->second.Record.IsGone = true;
   Found->second.GoneAt = Now;
@@ -92,13 +95,13 @@
 
 bool TargetDirectory::merge(const std::vector<TargetRecord> &Others,
                             Millis Now) {
-  bool IsNews = false;
+  bool IsChange = false;
   const std::uint64_t Next = Revision + 1;
   for (const TargetRecord &Each : Others) {
     const auto Found = Targets.find(Each.Id);
     if (Found == Targets.end()) {
       insert(Each.Id, {Each, Now, Each.IsGone ? Now : Millis(), Next});
-      IsNews = true;
+      IsChange = true;
       continue;
     }
     TrackedTarget &Old = Found->second;
@@ -106,7 +109,7 @@
       continue;
     if (Each.Incarnation > Old.Record.Incarnation) {
       insert(Each.Id, {Each, Now, Each.IsGone ? Now : Millis(), Next});
-      IsNews = true;
+      IsChange = true;
       continue;
     }
     TargetRecord New = Each.Sequence >= Old.Record.Sequence ? Each : Old.Record;
@@ -121,11 +124,11 @@
       continue;
     Old.Record = std::move(New);
     Old.ChangedRevision = Next;
-    IsNews = true;
+    IsChange = true;
   }
-  if (IsNews)
+  if (IsChange)
     ++Revision;
-  return IsNews;
+  return IsChange;
 }
 
 void TargetDirectory::purgeGone(Millis Now) {
@@ -169,7 +172,7 @@
     return Out;
   for (const std::string &Id : Members->second) {
     const TargetRecord *Each = find(Id);
-    // A later life may serve another group.
+    // A later incarnation may serve another group.
     if (Each != nullptr && Each->Group == Group && !Each->IsGone)
       Out.push_back(*Each);
   }
--- a/Source/Directory/TargetDirectory.h
+++ b/Source/Directory/TargetDirectory.h
@@ -1,5 +1,5 @@
 /// \file
-/// The targets that are known, from their own heartbeats.
+/// The known targets, according to their own heartbeats.
 
 #ifndef CORIANDERDYKE_DIRECTORY_TARGETDIRECTORY_H
 #define CORIANDERDYKE_DIRECTORY_TARGETDIRECTORY_H
@@ -14,28 +14,29 @@
 
 namespace corianderdyke {
 
-/// What a target last said of itself. Of one id the record of the latest life
-/// holds, and within a life the one with the highest sequence.
+/// A target's last report about itself. For one id the record of the latest
+/// incarnation is valid, and within it the one with the highest sequence.
 struct TargetRecord {
   std::string Id;
   std::string Group;
   Endpoint Address;
   std::string FailureDomain;
-  /// Start of this life of the target, in Unix milliseconds of its own clock;
-  /// 0 where it didn't say. A target that starts again under its id knows
-  /// nothing of its former life, and its sequence begins anew.
+  /// Start of this incarnation of the target, in Unix milliseconds of its own
+  /// clock; 0 if not reported. A target that restarts under its id keeps no
+  /// state, and its sequence restarts.
   std::uint64_t Incarnation = 0;
   std::uint64_t Sequence = 0;
-  bool IsPrimary = false; ///< As the target sees itself.
+  bool IsPrimary = false; ///< According to the target itself.
   bool IsLeaving = false;
-  bool IsGone = false; ///< It said goodbye, or another took its address.
-  /// Counts the times that any target of the group became primary, as the
-  /// leading control host saw them; the highest is believed.
+  bool IsGone = false; ///< Deregistered, or another uses its address.
+  /// Counts the changes of primary in the group, as observed by the leading
+  /// control host. Of several primaries the one with the highest epoch is
+  /// valid.
   std::uint64_t PrimaryEpoch = 0;
-  /// Statements that it works on at a time; 0 where it didn't say.
+  /// Statements that the target executes concurrently; 0 if not reported.
   std::uint32_t Slots = 0;
 
-  /// True where only the sequence differs.
+  /// True if the records differ at most in the sequence.
   bool equalsIgnoringSequence(TargetRecord Other) const {
     Other.Sequence = Sequence;
     return Other == *this;
@@ -50,43 +51,44 @@
 
 class TargetDirectory {
 public:
-  /// Begins to count primaries anew, above all that a control host of an
-  /// earlier term counted: one that starts without their records would else
-  /// give a new primary the number of one that is gone.
+  /// Starts primary epochs above all epochs of earlier terms: a leader without
+  /// the records of those terms would otherwise give a new primary the epoch of
+  /// a former one.
   void beginTerm(std::uint64_t Term);
 
-  /// Takes a target's own word in; true where something changed that others
-  /// must know. A record of an older sequence or an earlier life is ignored:
-  /// a heartbeat that a partition held up would bring a dead life back. The
-  /// first word of a later life replaces all that was known of the earlier
-  /// one, also that it was leaving or gone.
-  bool applyHeartbeat(TargetRecord Said, Millis Now);
+  /// Applies a target's heartbeat; returns true if it changed anything that
+  /// must be published. A record with an older sequence or incarnation is
+  /// ignored: a heartbeat delayed by a partition would otherwise revive an
+  /// ended incarnation. The first heartbeat of a later incarnation replaces the
+  /// whole record, including the flags for leaving and gone.
+  bool applyHeartbeat(TargetRecord Reported, Millis Now);
 
-  /// The life of a target that began at \p BornAt said goodbye. A late one of
-  /// an earlier life is ignored.
-  bool deregister(const std::string &Id, std::uint64_t BornAt, Millis Now);
+  /// Deregisters one incarnation of a target. A late request of an earlier
+  /// incarnation is ignored.
+  bool deregister(const std::string &Id, std::uint64_t Incarnation, Millis Now);
 
-  /// Takes over what another process knows; true where something was news.
+  /// Merges records of another process; returns true if any record changed.
   bool merge(const std::vector<TargetRecord> &Others, Millis Now);
 
-  /// Forgets targets that have gone for long.
+  /// Removes targets that have been gone for longer than GoneRetention.
   void purgeGone(Millis Now);
 
   std::vector<TargetRecord> all() const;
-  /// Those that changed after a revision.
+  /// Returns the targets that changed after a revision.
   std::vector<TargetRecord> changedSince(std::uint64_t Since) const;
   const TargetRecord *find(const std::string &Id) const;
-  /// Targets of a group that haven't gone.
+  /// Returns the targets of a group that are not gone.
   std::vector<TargetRecord> ofGroup(const std::string &Group) const;
-  /// The one that leads as far as is known; nothing where none says so.
+  /// Returns the primary with the highest epoch; nothing if no target reports
+  /// that it leads.
   std::optional<TargetRecord> primaryOf(const std::string &Group) const;
-  /// Since when nothing was heard of it here.
+  /// Returns when this process last received a newer record of the target.
   Millis lastUpdate(const std::string &Id) const;
-  /// Raised with each change that others must know.
+  /// Raised with each change that must be published.
   std::uint64_t revision() const { return Revision; }
 
-  /// A goodbye is remembered for this long, so that a late heartbeat of the
-  /// same life doesn't bring it back.
+  /// A target that is gone is kept for this long, so that a late heartbeat of
+  /// the same incarnation does not revive it.
   static constexpr Millis GoneRetention = Millis(60000);
 
 private:
@@ -94,21 +96,20 @@
     TargetRecord Record;
     Millis LastUpdate;
     Millis GoneAt;
-    std::uint64_t ChangedRevision = 0; ///< The revision of its last change.
+    std::uint64_t ChangedRevision = 0; ///< Revision of the last change.
   };
 
   void insert(const std::string &Id, TrackedTarget New);
-  /// True where a later life is known at the same address.
-  bool isSuperseded(const TargetRecord &Said) const;
+  /// True if a later incarnation is known at the same address.
+  bool isSuperseded(const TargetRecord &Reported) const;
   void supersede(const TargetRecord &Newer, Millis Now);
   std::uint64_t nextPrimaryEpoch(const std::string &Group) const;
 
-  /// Changes of primary in one group under one leader of control.
+  /// Upper bound of the changes of primary in one group within one term.
   static constexpr std::uint64_t EpochsPerTerm = 1U << 20U;
 
   std::map<std::string, TrackedTarget> Targets;
-  /// Identities by group; those of targets that were forgotten are left out
-  /// when they're met.
+  /// Target ids by group; ids of removed targets are skipped on access.
   std::map<std::string, std::set<std::string>> ByGroup;
   std::uint64_t FirstPrimaryEpoch = 1;
   std::uint64_t Revision = 0;
