--- a/Source/Operators/HumanReport.cpp
+++ b/Source/Operators/HumanReport.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' JSON reports as text for people.
+/// Formats the operators' JSON reports as text for people.
 
 #include "Operators/HumanReport.h"
 
@@ -13,13 +13,13 @@
 
 using nlohmann::json;
 
-constexpr std::size_t ShownDigest = 12;
-constexpr std::int64_t MillisASecond = 1000;
+constexpr std::size_t ShownDigestLength = 12;
+constexpr std::int64_t MillisPerSecond = 1000;
 
-/// A field as text; empty where it's missing or null.
-std::string cell(const json &Of, const char *Name) {
-  const auto Found = Of.find(Name);
-  if (Found == Of.end() || Found->is_null())
+/// A field as text; empty where it is missing or null.
+std::string cell(const json &From, const char *Name) {
+  const auto Found = From.find(Name);
+  if (Found == From.end() || Found->is_null())
     return "";
   if (Found->is_string())
     return Found->get<std::string>();
@@ -28,22 +28,22 @@
   return Found->dump();
 }
 
-const json &list(const json &Of, const char *Name) {
+const json &list(const json &From, const char *Name) {
   static const json Empty = json::array();
-  const auto Found = Of.find(Name);
-  return Found == Of.end() || !Found->is_array() ? Empty : *Found;
+  const auto Found = From.find(Name);
+  return Found == From.end() || !Found->is_array() ? Empty : *Found;
 }
 
 std::string withUnit(const std::string &Value, const char *Unit) {
   return Value.empty() ? "unknown" : Value + Unit;
 }
 
-std::string wallTime(const json &Of) {
-  const auto Found = Of.find("wall_time_ms");
-  if (Found == Of.end() || !Found->is_number())
+std::string wallTime(const json &From) {
+  const auto Found = From.find("wall_time_ms");
+  if (Found == From.end() || !Found->is_number())
     return "";
   const auto Seconds =
-      static_cast<std::time_t>(Found->get<std::int64_t>() / MillisASecond);
+      static_cast<std::time_t>(Found->get<std::int64_t>() / MillisPerSecond);
   std::tm Parts{};
   gmtime_r(&Seconds, &Parts);
   std::string Out(sizeof("2026-01-01T00:00:00Z"), '\0');
@@ -52,7 +52,8 @@
   return Out;
 }
 
-std::string lines(const json &Rows, const std::vector<const char *> &Columns) {
+std::string tableText(const json &Rows,
+                      const std::vector<const char *> &Columns) {
   TextTable Out(std::vector<std::string>(Columns.begin(), Columns.end()));
   for (const json &Row : Rows) {
     std::vector<std::string> Cells;
@@ -64,7 +65,7 @@
   return Out.text();
 }
 
-std::string targetLines(const json &Groups) {
+std::string targetTable(const json &Groups) {
   TextTable Out({"target", "database", "role", "address", "failure domain",
                  "settled", "reachable from", "silent for"});
   for (const json &Group : Groups)
@@ -77,7 +78,7 @@
   return Out.text();
 }
 
-std::string proxyLines(const json &Proxies) {
+std::string proxyTable(const json &Proxies) {
   TextTable Out({"proxy", "failure domain", "lease left", "manifest",
                  "revision", "heard"});
   for (const json &Each : Proxies)
@@ -98,11 +99,11 @@
          cell(Report, "revision") + "\nmanifest: version " +
          cell(Report, "manifest_version") +
          ", in force: " + cell(Report, "manifest_in_force") + "\n\n" +
-         lines(list(Report, "control_hosts"), {"name", "seat"}) + "\n" +
-         lines(list(Report, "groups"),
-               {"database", "phase", "term", "primary"}) +
-         "\n" + targetLines(list(Report, "groups")) + "\n" +
-         proxyLines(list(Report, "proxies"));
+         tableText(list(Report, "control_hosts"), {"name", "seat"}) + "\n" +
+         tableText(list(Report, "groups"),
+                   {"database", "phase", "term", "primary"}) +
+         "\n" + targetTable(list(Report, "groups")) + "\n" +
+         proxyTable(list(Report, "proxies"));
 }
 
 std::string auditText(const json &Report) {
@@ -128,7 +129,8 @@
 std::string manifestHistoryText(const json &Report) {
   TextTable Out({"version", "digest", "revision", "time", "actor"});
   for (const json &Each : Report)
-    Out.add({cell(Each, "version"), cell(Each, "digest").substr(0, ShownDigest),
+    Out.add({cell(Each, "version"),
+             cell(Each, "digest").substr(0, ShownDigestLength),
              cell(Each, "revision"), wallTime(Each), cell(Each, "actor")});
   return Out.text();
 }
@@ -139,12 +141,12 @@
     Out += cell(Report, "refusal") + "\n";
   if (list(Report, "differences").empty())
     return Out + "no differences\n";
-  return Out + lines(list(Report, "differences"), {"item", "from", "to"});
+  return Out + tableText(list(Report, "differences"), {"item", "from", "to"});
 }
 
 std::string manifestAcceptedText(const json &Report) {
   return "accepted: version " + cell(Report, "version") + ", digest " +
-         cell(Report, "digest").substr(0, ShownDigest) + ", revision " +
+         cell(Report, "digest").substr(0, ShownDigestLength) + ", revision " +
          cell(Report, "revision") + "\n";
 }
 
--- a/Source/Operators/HumanReport.h
+++ b/Source/Operators/HumanReport.h
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' JSON reports as text for people.
+/// Formats the operators' JSON reports as text for people.
 
 #ifndef CORIANDERDYKE_OPERATORS_HUMANREPORT_H
 #define CORIANDERDYKE_OPERATORS_HUMANREPORT_H
@@ -8,8 +8,9 @@
 
 namespace corianderdyke {
 
-// Each takes the body of the path of the same name. A missing field shows as
-// an empty cell, so that a command can ask an older or newer process.
+// Each formats the response body of the path of the same name. A missing field
+// is shown as an empty cell, so that a command works with an older or newer
+// process.
 
 std::string statusText(const nlohmann::json &Report);
 std::string auditText(const nlohmann::json &Report);
@@ -18,7 +19,7 @@
 std::string manifestDifferenceText(const nlohmann::json &Report);
 std::string manifestAcceptedText(const nlohmann::json &Report);
 
-/// The error of a refused request, with its findings one a line.
+/// The error of a refused request, with one finding per line.
 std::string errorText(const nlohmann::json &Report);
 
 } // namespace corianderdyke
--- a/Source/Operators/MetricSet.cpp
+++ b/Source/Operators/MetricSet.cpp
@@ -15,10 +15,10 @@
 using prometheus::MetricFamily;
 using prometheus::MetricType;
 
-constexpr double MillisASecond = 1000.0;
+constexpr double MillisPerSecond = 1000.0;
 
-const char *outcomeHeader(MetricType Of) {
-  switch (Of) {
+const char *typeName(MetricType Type) {
+  switch (Type) {
   case MetricType::Counter:
     return "counter";
   case MetricType::Histogram:
@@ -28,8 +28,8 @@
   }
 }
 
-double seconds(Millis Span) {
-  return static_cast<double>(Span.count()) / MillisASecond;
+double seconds(Millis Duration) {
+  return static_cast<double>(Duration.count()) / MillisPerSecond;
 }
 
 } // namespace
@@ -149,7 +149,7 @@
   std::string Out = "| name | type | labels | role | meaning |\n"
                     "| --- | --- | --- | --- | --- |\n";
   for (const MetricDescription &Each : metricCatalogue())
-    Out += std::string("| `") + Each.Name + "` | " + outcomeHeader(Each.Type) +
+    Out += std::string("| `") + Each.Name + "` | " + typeName(Each.Type) +
            " | " + Each.Labels + " | " + Each.Role + " | " + Each.Help + " |\n";
   return Out;
 }
@@ -162,13 +162,13 @@
     if (Each.Name == Name)
       return Families.emplace_back(
           MetricFamily{Each.Name, Each.Help, Each.Type, {}});
-  throw std::logic_error("metric '" + Name + "' isn't in the catalogue");
+  throw std::logic_error("metric '" + Name + "' is not in the catalogue");
 }
 
-void MetricSet::add(const std::string &Name, double Value, Labels Of) {
+void MetricSet::add(const std::string &Name, double Value, Labels WithLabels) {
   MetricFamily &To = family(Name);
   ClientMetric New;
-  New.label = std::move(Of);
+  New.label = std::move(WithLabels);
   if (To.type == MetricType::Counter)
     New.counter.value = Value;
   else
@@ -176,33 +176,34 @@
   To.metric.push_back(std::move(New));
 }
 
-void MetricSet::add(const std::string &Name, Millis Span, Labels Of) {
-  add(Name, seconds(Span), std::move(Of));
+void MetricSet::add(const std::string &Name, Millis Duration,
+                    Labels WithLabels) {
+  add(Name, seconds(Duration), std::move(WithLabels));
 }
 
-void MetricSet::add(const std::string &Name, const DurationHistogram &Spans,
-                    Labels Of) {
+void MetricSet::add(const std::string &Name, const DurationHistogram &Durations,
+                    Labels WithLabels) {
   ClientMetric New;
-  New.label = std::move(Of);
-  New.histogram.sample_count = Spans.total();
-  New.histogram.sample_sum = seconds(Spans.sum());
+  New.label = std::move(WithLabels);
+  New.histogram.sample_count = Durations.total();
+  New.histogram.sample_sum = seconds(Durations.sum());
   std::uint64_t Cumulative = 0;
   for (std::size_t Index = 0; Index <= DurationHistogram::Bounds.size();
        ++Index) {
-    Cumulative += Spans.count(Index);
-    const bool Last = Index == DurationHistogram::Bounds.size();
+    Cumulative += Durations.count(Index);
+    const bool IsLast = Index == DurationHistogram::Bounds.size();
     New.histogram.bucket.push_back(
-        {Cumulative, Last ? std::numeric_limits<double>::infinity()
-                          : seconds(DurationHistogram::Bounds[Index])});
+        {Cumulative, IsLast ? std::numeric_limits<double>::infinity()
+                            : seconds(DurationHistogram::Bounds[Index])});
   }
   family(Name).metric.push_back(std::move(New));
 }
 
-void MetricSet::add(const ProcessLatencies &Delays) {
-  if (Delays.TimerLatency != nullptr)
-    add("corianderdyke_timer_delay_seconds", *Delays.TimerLatency);
-  if (Delays.SyncLatency != nullptr)
-    add("corianderdyke_disk_sync_seconds", *Delays.SyncLatency);
+void MetricSet::add(const ProcessLatencies &Latencies) {
+  if (Latencies.TimerLatency != nullptr)
+    add("corianderdyke_timer_delay_seconds", *Latencies.TimerLatency);
+  if (Latencies.SyncLatency != nullptr)
+    add("corianderdyke_disk_sync_seconds", *Latencies.SyncLatency);
 }
 
 std::string MetricSet::text() const {
--- a/Source/Operators/MetricSet.h
+++ b/Source/Operators/MetricSet.h
@@ -13,12 +13,12 @@
 
 namespace corianderdyke {
 
-/// A metric as the manual lists it. Help/metrics.md has the same rows.
+/// A metric of the catalogue. Help/metrics.md has the same rows.
 struct MetricDescription {
   const char *Name;
   prometheus::MetricType Type;
   const char *Labels;
-  const char *Role; ///< Which processes have it.
+  const char *Role; ///< Role of the processes that export it, or "all".
   const char *Help;
 };
 
@@ -26,18 +26,18 @@
 
 std::string metricMarkdown();
 
-/// One reading of the metrics. Only metrics of the catalogue can be added.
+/// One snapshot of the metrics. Only metrics of the catalogue can be added.
 class MetricSet {
 public:
   using Labels = std::vector<prometheus::ClientMetric::Label>;
 
-  void add(const std::string &Name, double Value, Labels Of = {});
-  /// A span, in seconds as Prometheus wants it.
-  void add(const std::string &Name, Millis Span, Labels Of = {});
-  void add(const std::string &Name, const DurationHistogram &Spans,
-           Labels Of = {});
+  void add(const std::string &Name, double Value, Labels WithLabels = {});
+  /// Adds a duration in seconds, the unit that Prometheus expects.
+  void add(const std::string &Name, Millis Duration, Labels WithLabels = {});
+  void add(const std::string &Name, const DurationHistogram &Durations,
+           Labels WithLabels = {});
 
-  void add(const ProcessLatencies &Delays);
+  void add(const ProcessLatencies &Latencies);
 
   /// The Prometheus text format.
   std::string text() const;
--- a/Source/Operators/OperatorService.cpp
+++ b/Source/Operators/OperatorService.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' port of a process: status, manifest, audit and metrics.
+/// Serves operators over HTTP: status, manifest, audit and metrics.
 
 #include "Operators/OperatorService.h"
 
@@ -27,8 +27,8 @@
       Status, {{"Content-Type", "application/json"}}, jsonText(Body, 2) + "\n"};
 }
 
-HttpResponse errorResponse(int Status, const std::string &Why) {
-  return jsonResponse({{"error", Why}}, Status);
+HttpResponse errorResponse(int Status, const std::string &Message) {
+  return jsonResponse({{"error", Message}}, Status);
 }
 
 HttpResponse findingsResponse(const Findings &All) {
@@ -37,8 +37,8 @@
                       StatusBadRequest);
 }
 
-int statusOf(const Error &Of) {
-  switch (Of.Code) {
+int statusOf(const Error &Problem) {
+  switch (Problem.Code) {
   case ErrorCode::BadInput:
     return StatusBadRequest;
   case ErrorCode::Conflict:
@@ -51,16 +51,16 @@
 }
 
 std::string fileOf(const HttpRequest &Request) {
-  const std::string &Given = Request.header(operator_header::ManifestFile);
-  return Given.empty() ? "manifest" : Given;
+  const std::string &Value = Request.header(operator_header::ManifestFile);
+  return Value.empty() ? "manifest" : Value;
 }
 
 std::string actorOf(const HttpRequest &Request) {
-  const std::string &Given = Request.header(operator_header::Name);
-  return Given.empty() ? "unnamed" : Given;
+  const std::string &Value = Request.header(operator_header::Name);
+  return Value.empty() ? "unnamed" : Value;
 }
 
-/// Answers a change: \p Accepted tells what was made of it.
+/// Answers a change; on success with \p Accepted and the revision.
 ControlNode::ChangeHandler
 answerChange(const std::shared_ptr<HttpExchange> &Exchange,
              nlohmann::json Accepted) {
@@ -161,18 +161,18 @@
 }
 
 void OperatorService::respondWithLatestState(const ExchangePtr &Exchange,
-                                             Report Of) {
+                                             Report MakeReport) {
   if (From.Control == nullptr)
     return Exchange->respond(
         errorResponse(StatusMisdirected, "this process isn't a control host"));
-  From.Control->readLatest(
-      [Exchange, Of = std::move(Of)](Expected<const ControlState *> State) {
-        if (!State)
-          Exchange->respond(
-              errorResponse(StatusMisdirected, State.error().Message));
-        else
-          Exchange->respond(jsonResponse(Of(**State)));
-      });
+  From.Control->readLatest([Exchange, MakeReport = std::move(MakeReport)](
+                               Expected<const ControlState *> State) {
+    if (!State)
+      Exchange->respond(
+          errorResponse(StatusMisdirected, State.error().Message));
+    else
+      Exchange->respond(jsonResponse(MakeReport(**State)));
+  });
 }
 
 void OperatorService::applyManifest(const HttpRequest &Request,
@@ -207,8 +207,8 @@
   if (Known == nullptr)
     return Exchange->respond(
         errorResponse(StatusNotFound, "no target '" + Name + "'"));
-  // The next sequence: the target's own repeated announcement doesn't bring
-  // it back, but that of its next life does.
+  // With the next sequence, the target's own repeated announcement does not
+  // cancel the drain, but that of its next incarnation does.
   TargetAnnouncement Leaving = *Known;
   Leaving.Leaving = true;
   ++Leaving.Sequence;
@@ -241,8 +241,8 @@
           OnDone = std::move(OnDone)](const Expected<ApplyResult> &Result) {
     if (!Result || Result->Refusal)
       return OnDone(Result);
-    // The change stands whether or not the note can still be made: a leader
-    // that removed itself makes none.
+    // The change stands whether or not the audit record can be added: a leader
+    // that removed itself cannot add it.
     From.Control->propose(
         Actor, RecordAuditEvent{Action, Name, "ordered by an operator"},
         [OnDone, Result](const Expected<ApplyResult> &) { OnDone(Result); });
@@ -262,17 +262,17 @@
   return !Stopping && (From.Proxy == nullptr || From.Proxy->isReady());
 }
 
-void OperatorService::recordFailoverDuration(const AuditRecord &Line) {
+void OperatorService::recordFailoverDuration(const AuditRecord &Record) {
   const Millis Now = From.Time.now();
-  if (Line.Action == "primary-fenced")
-    FencedAt[Line.Subject] = Now;
-  const auto Began = FencedAt.find(Line.Subject);
-  if (Line.Action != "target-promoted" || Began == FencedAt.end())
+  if (Record.Action == "primary-fenced")
+    FencedAt[Record.Subject] = Now;
+  const auto Fenced = FencedAt.find(Record.Subject);
+  if (Record.Action != "target-promoted" || Fenced == FencedAt.end())
     return;
-  // A follower, or a host that replays its journal, sees old lines too.
+  // A follower, or a host that replays its journal, also receives old records.
   if (From.Control->consensus().isReadyLeader())
-    Failovers.observe(Now - Began->second);
-  FencedAt.erase(Began);
+    Failovers.observe(Now - Fenced->second);
+  FencedAt.erase(Fenced);
 }
 
 std::string OperatorService::metrics() const {
@@ -297,15 +297,15 @@
           static_cast<double>(Peers.ReceivedBytes));
   Out.add("corianderdyke_peer_rejected_total",
           static_cast<double>(Peers.Rejected));
-  Out.add(From.Delays);
+  Out.add(From.Latencies);
   return Out.text();
 }
 
 void OperatorService::addProxyMetrics(MetricSet &To) const {
   const StatementCounts &Counts = From.Proxy->statements().counts();
   const auto Count = [&To](const char *Name, const char *Label,
-                           const char *Value, std::uint64_t Of) {
-    To.add(Name, static_cast<double>(Of), {{Label, Value}});
+                           const char *Value, std::uint64_t Number) {
+    To.add(Name, static_cast<double>(Number), {{Label, Value}});
   };
   Count("corianderdyke_reads_total", "served_by", "replica",
         Counts.ReadsByReplica);
@@ -333,16 +333,19 @@
 void OperatorService::addAdmissionMetrics(MetricSet &To) const {
   const StatementService &Statements = From.Proxy->statements();
   for (const QueueStatus &Each : Statements.queues()) {
-    const MetricSet::Labels Of = {
+    const MetricSet::Labels QueueLabels = {
         {"database", Each.Database},
         {"access", Each.Mode == Access::Read ? "read" : "write"}};
     const AdmissionCounts &Counts = Each.Counts;
-    To.add("corianderdyke_queue_length", static_cast<double>(Each.Queued), Of);
+    To.add("corianderdyke_queue_length", static_cast<double>(Each.Queued),
+           QueueLabels);
     To.add("corianderdyke_queue_sent_total", static_cast<double>(Counts.Sent),
-           Of);
-    To.add("corianderdyke_queue_wait_seconds_total", Counts.TotalWait, Of);
-    const auto Refused = [&To, &Of](const char *Reason, std::uint64_t Count) {
-      MetricSet::Labels All = Of;
+           QueueLabels);
+    To.add("corianderdyke_queue_wait_seconds_total", Counts.TotalWait,
+           QueueLabels);
+    const auto Refused = [&To, &QueueLabels](const char *Reason,
+                                             std::uint64_t Count) {
+      MetricSet::Labels All = QueueLabels;
       All.push_back({"reason", Reason});
       To.add("corianderdyke_refusals_total", static_cast<double>(Count), All);
     };
@@ -361,28 +364,30 @@
   const ClusterView &View = From.Proxy->view();
   const Millis Now = From.Time.now();
   for (const TargetReport &Each : From.Proxy->targets().reports(View, Now)) {
-    const MetricSet::Labels Of = {{"target", Each.Target}};
-    To.add("corianderdyke_target_reachable", Each.Reachable ? 1 : 0, Of);
+    const MetricSet::Labels TargetLabels = {{"target", Each.Target}};
+    To.add("corianderdyke_target_reachable", Each.Reachable ? 1 : 0,
+           TargetLabels);
     const TargetAnnouncement *Known = View.target(Each.Target);
     const GroupRecord *Group =
         Known == nullptr ? nullptr : View.group(Known->Database);
     if (Group == nullptr)
       continue;
     if (const auto Age = From.Proxy->targets().age(Each.Target, *Group, Now))
-      To.add("corianderdyke_target_age_seconds", *Age, Of);
+      To.add("corianderdyke_target_age_seconds", *Age, TargetLabels);
   }
 }
 
 void OperatorService::addControlMetrics(MetricSet &To) const {
-  const Consensus &Agreement = From.Control->consensus();
+  const Consensus &ControlGroup = From.Control->consensus();
   const ClusterView &View = From.Control->appliedState().view();
   To.add("corianderdyke_failover_seconds", Failovers);
   addElectionMetrics(To, From.Control->consensus());
-  To.add("corianderdyke_control_leader", Agreement.isReadyLeader() ? 1 : 0);
-  To.add("corianderdyke_control_term", static_cast<double>(Agreement.term()));
+  To.add("corianderdyke_control_leader", ControlGroup.isReadyLeader() ? 1 : 0);
+  To.add("corianderdyke_control_term",
+         static_cast<double>(ControlGroup.term()));
   To.add("corianderdyke_control_revision", static_cast<double>(View.Revision));
   To.add("corianderdyke_proxies", static_cast<double>(View.Proxies.size()));
-  if (Agreement.isReadyLeader())
+  if (ControlGroup.isReadyLeader())
     for (const auto &[Name, Target] : View.Targets)
       To.add("corianderdyke_connections_lent",
              From.Control->connections().outstanding(Name), {{"target", Name}});
--- a/Source/Operators/OperatorService.h
+++ b/Source/Operators/OperatorService.h
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' port of a process: status, manifest, audit and metrics.
+/// Serves operators over HTTP: status, manifest, audit and metrics.
 
 #ifndef CORIANDERDYKE_OPERATORS_OPERATORSERVICE_H
 #define CORIANDERDYKE_OPERATORS_OPERATORSERVICE_H
@@ -19,16 +19,16 @@
 constexpr const char *ManifestFile = "Manifest-File";
 } // namespace operator_header
 
-/// What an operators' port answers about; either role may be null.
+/// The parts of the process that requests concern; either role may be null.
 struct OperatorSources {
   Clock &Time;
   const Transport &Peers;
   ControlNode *Control = nullptr;
   ProxyNode *Proxy = nullptr;
-  ProcessLatencies Delays = {};
+  ProcessLatencies Latencies = {};
 };
 
-/// Reading needs no key; whatever changes something needs the operators' key.
+/// Requests that only read need no key; all others need the operators' key.
 class OperatorService final : public HttpService, public sigc::trackable {
 public:
   OperatorService(OperatorSources From, std::string OperatorKey);
@@ -36,10 +36,11 @@
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpExchange> Exchange) override;
 
-  /// From now on the process isn't ready: the balancer turns away from it.
+  /// Makes the readiness check fail, so that the balancer sends callers
+  /// elsewhere.
   void beginStopping() { Stopping = true; }
 
-  /// Emitted when an operator asks the process to stop gracefully.
+  /// Emitted when an operator requests a graceful stop of the process.
   sigc::signal<void()> &signalDrainRequested() { return DrainRequested; }
 
 private:
@@ -48,15 +49,15 @@
 
   void handleRead(const HttpRequest &Request, const ExchangePtr &Exchange);
   void handleChange(const HttpRequest &Request, const ExchangePtr &Exchange);
-  void respondWithLatestState(const ExchangePtr &Exchange, Report Of);
+  void respondWithLatestState(const ExchangePtr &Exchange, Report MakeReport);
   void applyManifest(const HttpRequest &Request, const ExchangePtr &Exchange);
   void compareManifest(const HttpRequest &Request, const ExchangePtr &Exchange);
   void drainTarget(const HttpRequest &Request, const ExchangePtr &Exchange);
   void addControlHost(const HttpRequest &Request, const ExchangePtr &Exchange);
   void removeControlHost(const HttpRequest &Request,
                          const ExchangePtr &Exchange);
-  /// The entry that changes the control group carries no operator's name; a
-  /// note beside it does.
+  /// Adds an audit record with the operator's name after a change of the
+  /// control group, whose own log entry carries no name.
   ControlNode::ChangeHandler withAuditNote(std::string Actor,
                                            std::string Action, std::string Name,
                                            ControlNode::ChangeHandler OnDone);
@@ -67,12 +68,12 @@
   void addAdmissionMetrics(MetricSet &To) const;
   void addTargetMetrics(MetricSet &To) const;
   void addControlMetrics(MetricSet &To) const;
-  void recordFailoverDuration(const AuditRecord &Line);
+  void recordFailoverDuration(const AuditRecord &Record);
 
   OperatorSources From;
   std::string OperatorKey;
   bool Stopping = false;
-  std::map<std::string, Millis> FencedAt; ///< By database.
+  std::map<std::string, Millis> FencedAt; ///< Key: database.
   DurationHistogram Failovers;
   sigc::signal<void()> DrainRequested;
 };
--- a/Source/Operators/ProcessLatencies.h
+++ b/Source/Operators/ProcessLatencies.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a process waits for besides its work, for metrics.
+/// Delays that a process measures for its metrics.
 
 #ifndef CORIANDERDYKE_OPERATORS_PROCESSLATENCIES_H
 #define CORIANDERDYKE_OPERATORS_PROCESSLATENCIES_H
@@ -8,11 +8,11 @@
 
 namespace corianderdyke {
 
-/// Null where the process has none of the kind. An election that finds no
-/// leader in time has one of these reasons, or collides with others.
+/// Null where the process does not measure the delay. An election that finds no
+/// leader in time is due to one of these delays or to colliding candidates.
 struct ProcessLatencies {
-  const DurationHistogram *TimerLatency = nullptr; ///< From due to run.
-  const DurationHistogram *SyncLatency = nullptr;  ///< Of the data folder.
+  const DurationHistogram *TimerLatency = nullptr; ///< From due time to run.
+  const DurationHistogram *SyncLatency = nullptr;  ///< Of data folder syncs.
 };
 
 } // namespace corianderdyke
--- a/Source/Operators/StatusReport.cpp
+++ b/Source/Operators/StatusReport.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What operators see of the control state, as JSON.
+/// Reports of the control state for operators, as JSON.
 
 #include "Operators/StatusReport.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-const char *outcomeHeader(GroupPhase Phase) {
+const char *phaseName(GroupPhase Phase) {
   switch (Phase) {
   case GroupPhase::Forming:
     return "forming";
@@ -25,26 +25,28 @@
   return "promoted";
 }
 
-/// What the proxies report of a target.
-struct Sightings {
+/// Reachability of a target as the proxies report it.
+struct Reachability {
   std::size_t WatchedBy = 0;
   std::size_t ReachableFrom = 0;
-  /// The shortest silence, where every proxy that watches reports one.
+  /// The shortest time without an answer, where no watching proxy reaches the
+  /// target.
   std::optional<Millis> SilentFor;
 };
 
-Sightings sightings(const LeaseRegistry &Leases, const std::string &Target) {
-  Sightings Out;
+Reachability reachabilityOf(const LeaseRegistry &Leases,
+                            const std::string &Target) {
+  Reachability Out;
   for (const auto &[Id, Holder] : Leases.holders()) {
     if (!Holder.hasView())
       continue;
     ++Out.WatchedBy;
-    const TargetReport *Trouble = Holder.unhealthyReport(Target);
-    if (Trouble == nullptr || Trouble->Reachable)
+    const TargetReport *Report = Holder.unhealthyReport(Target);
+    if (Report == nullptr || Report->Reachable)
       ++Out.ReachableFrom;
     else
-      Out.SilentFor = std::min(Out.SilentFor.value_or(Trouble->SilentFor),
-                               Trouble->SilentFor);
+      Out.SilentFor = std::min(Out.SilentFor.value_or(Report->SilentFor),
+                               Report->SilentFor);
   }
   if (Out.ReachableFrom > 0)
     Out.SilentFor.reset();
@@ -54,7 +56,7 @@
 nlohmann::json targetReport(const ControlNode &Control,
                             const GroupRecord &Group,
                             const TargetAnnouncement &Each) {
-  const Sightings Seen = sightings(Control.leases(), Each.Name);
+  const Reachability Reported = reachabilityOf(Control.leases(), Each.Name);
   nlohmann::json Out = {
       {"name", Each.Name},
       {"address", Each.Address.text()},
@@ -64,10 +66,10 @@
                                             : "replica"},
       {"settled", Group.isLogComplete(Each)},
       {"connections_lent", Control.connections().outstanding(Each.Name)},
-      {"watched_by", Seen.WatchedBy},
-      {"reachable_from", Seen.ReachableFrom}};
-  if (Seen.SilentFor)
-    Out["silent_for_ms"] = Seen.SilentFor->count();
+      {"watched_by", Reported.WatchedBy},
+      {"reachable_from", Reported.ReachableFrom}};
+  if (Reported.SilentFor)
+    Out["silent_for_ms"] = Reported.SilentFor->count();
   return Out;
 }
 
@@ -78,7 +80,7 @@
     if (Each.Database == Group.Database)
       Targets.push_back(targetReport(Control, Group, Each));
   return {{"database", Group.Database},
-          {"phase", outcomeHeader(Group.Phase)},
+          {"phase", phaseName(Group.Phase)},
           {"term", Group.Term},
           {"primary", Group.Primary},
           {"targets", std::move(Targets)}};
@@ -95,20 +97,20 @@
 
 nlohmann::json proxyReport(const LeaseRegistry &Leases,
                            const ControlState &State, const ProcessId &Id,
-                           const Locality &Where, Millis Now) {
+                           const Locality &ProxyLocality, Millis Now) {
   nlohmann::json Out = {{"name", Id.Name},
                         {"incarnation", Id.Incarnation},
-                        {"failure_domain", Where.FailureDomain}};
-  const auto Known = Leases.holders().find(Id);
-  if (Known == Leases.holders().end())
+                        {"failure_domain", ProxyLocality.FailureDomain}};
+  const auto Holder = Leases.holders().find(Id);
+  if (Holder == Leases.holders().end())
     return Out;
-  const std::uint64_t Applied = Known->second.AppliedRevision;
+  const std::uint64_t Applied = Holder->second.AppliedRevision;
   Out["applied_revision"] = Applied;
   Out["manifest_version"] = versionAt(State, Applied);
-  Out["heard_ms_ago"] = (Now - Known->second.LastRequestAt).count();
-  const auto End = Leases.expiry(Id);
-  if (End && *End > Now)
-    Out["lease_left_ms"] = (*End - Now).count();
+  Out["heard_ms_ago"] = (Now - Holder->second.LastRequestAt).count();
+  const auto Expiry = Leases.expiry(Id);
+  if (Expiry && *Expiry > Now)
+    Out["lease_left_ms"] = (*Expiry - Now).count();
   return Out;
 }
 
@@ -121,8 +123,9 @@
   for (const auto &[Name, Group] : View.Groups)
     Groups.push_back(groupReport(Control, View, Group));
   nlohmann::json Proxies = nlohmann::json::array();
-  for (const auto &[Id, Where] : View.Proxies)
-    Proxies.push_back(proxyReport(Control.leases(), State, Id, Where, Now));
+  for (const auto &[Id, ProxyLocality] : View.Proxies)
+    Proxies.push_back(
+        proxyReport(Control.leases(), State, Id, ProxyLocality, Now));
   nlohmann::json Hosts = nlohmann::json::array();
   for (const Member &Each : Control.consensus().voters())
     Hosts.push_back({{"name", Each.Name},
@@ -196,12 +199,12 @@
     Differences.push_back(
         {{"item", Each.Item}, {"from", Each.From}, {"to", Each.To}});
   const auto Checked = State.check(New);
-  const bool Same = State.view().CurrentManifest == New;
+  const bool IsUnchanged = State.view().CurrentManifest == New;
   return {{"version", New.Version},
           {"digest", New.digest()},
-          {"would_be", !Checked ? "refused"
-                       : Same   ? "accepted without a change"
-                                : "accepted"},
+          {"would_be", !Checked      ? "refused"
+                       : IsUnchanged ? "accepted without a change"
+                                     : "accepted"},
           {"refusal", Checked ? "" : Checked.error().Message},
           {"differences", std::move(Differences)}};
 }
--- a/Source/Operators/StatusReport.h
+++ b/Source/Operators/StatusReport.h
@@ -1,5 +1,5 @@
 /// \file
-/// What operators see of the control state, as JSON.
+/// Reports of the control state for operators, as JSON.
 
 #ifndef CORIANDERDYKE_OPERATORS_STATUSREPORT_H
 #define CORIANDERDYKE_OPERATORS_STATUSREPORT_H
@@ -11,22 +11,22 @@
 
 namespace corianderdyke {
 
-/// Groups, targets, proxies and the manifest, as a leader sees them.
+/// Groups, targets, proxies and the manifest, as the leader knows them.
 nlohmann::json statusReport(const ControlNode &Control,
                             const ControlState &State, Millis Now);
 
-/// The lines of the audit trail after revision \p Since, of one subject or,
-/// where \p Subject is empty, of all.
+/// The audit records after revision \p Since, of one subject or, where
+/// \p Subject is empty, of all.
 nlohmann::json auditReport(const ControlState &State, std::uint64_t Since,
                            const std::string &Subject);
 
 nlohmann::json manifestReport(const ControlNode &Control,
                               const ControlState &State);
 
-/// The manifests that were accepted, the latest last, without their texts.
+/// The accepted manifests, the latest last, without their texts.
 nlohmann::json manifestHistoryReport(const ControlState &State);
 
-/// What would become of a manifest that was sent now.
+/// The result that applying \p New would have now; \p Text is its source.
 nlohmann::json manifestDifferenceReport(const ControlState &State,
                                         const Manifest &New,
                                         const std::string &Text);
--- a/Source/Operators/TextTable.cpp
+++ b/Source/Operators/TextTable.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Columns of text for people.
+/// Formats rows as aligned columns of text.
 
 #include "Operators/TextTable.h"
 
--- a/Source/Operators/TextTable.h
+++ b/Source/Operators/TextTable.h
@@ -1,5 +1,5 @@
 /// \file
-/// Columns of text for people.
+/// Formats rows as aligned columns of text.
 
 #ifndef CORIANDERDYKE_OPERATORS_TEXTTABLE_H
 #define CORIANDERDYKE_OPERATORS_TEXTTABLE_H
@@ -16,7 +16,7 @@
 
   void add(std::vector<std::string> Row);
 
-  /// All lines; no line ends in a blank.
+  /// All lines, without trailing blanks.
   std::string text() const;
 
 private:
