--- a/Source/App/CommandLine.cpp
+++ b/Source/App/CommandLine.cpp
@@ -15,26 +15,27 @@
 
 namespace {
 
-/// Everything that options write to, and the result of the command that ran.
+/// The values of all options, and the exit code of the command that ran.
 struct CommandState {
   OperatorOptions Options;
   std::string File;
   std::string Name;
   std::string Subject;
   std::uint64_t Since = 0;
-  std::int64_t BoundMs = 0;
+  std::int64_t WaitTimeoutMs = 0;
   bool IsManifest = false;
   bool Wait = false;
-  int Result = Success;
+  int ExitStatus = Success;
   ProtocolAdapterFactory MakeAdapter;
 };
 
-constexpr std::int64_t ApplyBoundMs = 10000;
-constexpr std::int64_t DrainBoundMs = 60000;
+constexpr std::int64_t ApplyTimeoutMs = 10000;
+constexpr std::int64_t DrainTimeoutMs = 60000;
 
 CLI::App *addCommand(CLI::App &To, const std::string &Name,
-                     const std::string &What, const std::string &Example) {
-  CLI::App *Out = To.add_subcommand(Name, What);
+                     const std::string &Description,
+                     const std::string &Example) {
+  CLI::App *Out = To.add_subcommand(Name, Description);
   Out->footer("Example: corianderdyke " + Example);
   return Out;
 }
@@ -43,7 +44,7 @@
   To.add_flag("--json", State.Options.Json, "Shows JSON");
 }
 
-void addPatience(CLI::App &To, CommandState &State) {
+void addTimeout(CLI::App &To, CommandState &State) {
   To.add_option("--patience-ms", State.Options.TimeoutMs,
                 "How long to look for a process that answers, in ms")
       ->check(CLI::Range(0, 600000))
@@ -57,11 +58,11 @@
       ->allow_extra_args(false)
       ->delimiter(',')
       ->envname("CORIANDERDYKE_CONTROL");
-  addPatience(To, State);
+  addTimeout(To, State);
   addJson(To, State);
 }
 
-/// What a command needs that changes something.
+/// Adds the options of commands that change something.
 void addOperator(CLI::App &To, CommandState &State) {
   To.add_option("--operator", State.Options.Operator, "Name in the audit trail")
       ->envname("CORIANDERDYKE_OPERATOR")
@@ -71,14 +72,14 @@
                 "CORIANDERDYKE_OPERATOR_KEY is used");
 }
 
-void addBound(CLI::App &To, CommandState &State, std::int64_t Default) {
-  To.add_option("--bound-ms", State.BoundMs,
+void addWaitTimeout(CLI::App &To, CommandState &State, std::int64_t Default) {
+  To.add_option("--bound-ms", State.WaitTimeoutMs,
                 "Longest wait in ms, by default " + std::to_string(Default))
       ->check(CLI::Range(0, 3600000));
 }
 
-Millis bound(const CommandState &State, std::int64_t Default) {
-  return Millis(State.BoundMs == 0 ? Default : State.BoundMs);
+Millis waitTimeout(const CommandState &State, std::int64_t Default) {
+  return Millis(State.WaitTimeoutMs == 0 ? Default : State.WaitTimeoutMs);
 }
 
 void addFileCommands(CLI::App &App, CommandState &State) {
@@ -86,8 +87,9 @@
       addCommand(App, "run", "Runs a process until a signal ends it",
                  "run Examples/riga/entry-1.toml");
   Run->add_option("settings", State.File, "Settings file")->required();
-  Run->callback(
-      [&State] { State.Result = runProcess(State.File, State.MakeAdapter); });
+  Run->callback([&State] {
+    State.ExitStatus = runProcess(State.File, State.MakeAdapter);
+  });
 
   CLI::App *Check =
       addCommand(App, "check", "Checks a settings file or a manifest",
@@ -96,9 +98,9 @@
   Check->add_flag("--manifest", State.IsManifest, "The file is a manifest");
   addJson(*Check, State);
   Check->callback([&State] {
-    State.Result = State.IsManifest
-                       ? checkManifest(State.File, State.Options.Json)
-                       : checkSettings(State.File, State.Options.Json);
+    State.ExitStatus = State.IsManifest
+                           ? checkManifest(State.File, State.Options.Json)
+                           : checkSettings(State.File, State.Options.Json);
   });
 
   CLI::App *Catalogue = addCommand(
@@ -107,7 +109,8 @@
       ->add_option("name", State.Name, "settings, manifest, events or metrics")
       ->required()
       ->check(CLI::IsMember({"settings", "manifest", "events", "metrics"}));
-  Catalogue->callback([&State] { State.Result = printCatalogue(State.Name); });
+  Catalogue->callback(
+      [&State] { State.ExitStatus = printCatalogue(State.Name); });
 
   CLI::App *Version =
       addCommand(App, "version", "Shows the version", "version");
@@ -130,19 +133,19 @@
   Apply->add_option("file", State.File, "The manifest")->required();
   Apply->add_flag("--wait", State.Wait,
                   "Returns only once it's in force everywhere");
-  addBound(*Apply, State, ApplyBoundMs);
+  addWaitTimeout(*Apply, State, ApplyTimeoutMs);
   addControl(*Apply, State);
   addOperator(*Apply, State);
   Apply->callback([&State] {
-    State.Result =
-        OperatorCommands(State.Options)
-            .applyManifest(State.File, State.Wait, bound(State, ApplyBoundMs));
+    State.ExitStatus = OperatorCommands(State.Options)
+                           .applyManifest(State.File, State.Wait,
+                                          waitTimeout(State, ApplyTimeoutMs));
   });
   CLI::App *Show = addCommand(*Manifest, "show", "Shows the latest manifest",
                               "manifest show --control 127.0.0.1:7201");
   addControl(*Show, State);
   Show->callback([&State] {
-    State.Result = OperatorCommands(State.Options).showManifest();
+    State.ExitStatus = OperatorCommands(State.Options).showManifest();
   });
   CLI::App *Difference = addCommand(
       *Manifest, "diff", "Tells what applying a manifest would change",
@@ -150,14 +153,15 @@
   Difference->add_option("file", State.File, "The manifest")->required();
   addControl(*Difference, State);
   Difference->callback([&State] {
-    State.Result = OperatorCommands(State.Options).compareManifest(State.File);
+    State.ExitStatus =
+        OperatorCommands(State.Options).compareManifest(State.File);
   });
   CLI::App *History =
       addCommand(*Manifest, "history", "Lists the manifests of the past",
                  "manifest history --control 127.0.0.1:7201");
   addControl(*History, State);
   History->callback([&State] {
-    State.Result = OperatorCommands(State.Options).manifestHistory();
+    State.ExitStatus = OperatorCommands(State.Options).manifestHistory();
   });
 }
 
@@ -166,8 +170,9 @@
       addCommand(App, "status", "Shows groups, targets, proxies and leases",
                  "status --control 127.0.0.1:7201");
   addControl(*Status, State);
-  Status->callback(
-      [&State] { State.Result = OperatorCommands(State.Options).status(); });
+  Status->callback([&State] {
+    State.ExitStatus = OperatorCommands(State.Options).status();
+  });
   CLI::App *Audit =
       addCommand(App, "audit", "Shows the audit trail",
                  "audit --subject bale-ledger-1 --control 127.0.0.1:7201");
@@ -177,7 +182,7 @@
   Audit->add_option("--since", State.Since, "Only lines after this revision");
   addControl(*Audit, State);
   Audit->callback([&State] {
-    State.Result =
+    State.ExitStatus =
         OperatorCommands(State.Options).audit(State.Subject, State.Since);
   });
 }
@@ -193,7 +198,8 @@
   addControl(*Add, State);
   addOperator(*Add, State);
   Add->callback([&State] {
-    State.Result = OperatorCommands(State.Options).addControlHost(State.Name);
+    State.ExitStatus =
+        OperatorCommands(State.Options).addControlHost(State.Name);
   });
   CLI::App *Remove =
       addCommand(*Control, "remove", "Takes a control host out of the group",
@@ -203,7 +209,7 @@
   addControl(*Remove, State);
   addOperator(*Remove, State);
   Remove->callback([&State] {
-    State.Result =
+    State.ExitStatus =
         OperatorCommands(State.Options).removeControlHost(State.Name);
   });
 }
@@ -218,7 +224,7 @@
   addControl(*Target, State);
   addOperator(*Target, State);
   Target->callback([&State] {
-    State.Result = OperatorCommands(State.Options).drainTarget(State.Name);
+    State.ExitStatus = OperatorCommands(State.Options).drainTarget(State.Name);
   });
   CLI::App *Proxy = addCommand(
       *Drain, "proxy", "Stops a proxy gracefully and waits until it's gone",
@@ -228,19 +234,19 @@
                    "Operators' address of the proxy")
       ->required()
       ->expected(1);
-  addBound(*Proxy, State, DrainBoundMs);
-  addPatience(*Proxy, State);
+  addWaitTimeout(*Proxy, State, DrainTimeoutMs);
+  addTimeout(*Proxy, State);
   addJson(*Proxy, State);
   addOperator(*Proxy, State);
   Proxy->callback([&State] {
-    State.Result =
-        OperatorCommands(State.Options).drainProxy(bound(State, DrainBoundMs));
+    State.ExitStatus = OperatorCommands(State.Options)
+                           .drainProxy(waitTimeout(State, DrainTimeoutMs));
   });
 }
 
 } // namespace
 
-int runCommandLine(int Count, char **Words,
+int runCommandLine(int ArgumentCount, char **Arguments,
                    ProtocolAdapterFactory MakeAdapter) {
   CLI::App App("A database proxy with session consistency", "corianderdyke");
   App.require_subcommand(1);
@@ -256,11 +262,11 @@
   addControlCommands(App, State);
   addDrainCommands(App, State);
   try {
-    App.parse(Count, Words);
+    App.parse(ArgumentCount, Arguments);
   } catch (const CLI::ParseError &Problem) {
     return App.exit(Problem) == 0 ? Success : UsageError;
   }
-  return State.Result;
+  return State.ExitStatus;
 }
 
 } // namespace corianderdyke
--- a/Source/App/CommandLine.h
+++ b/Source/App/CommandLine.h
@@ -8,8 +8,9 @@
 
 namespace corianderdyke {
 
-/// Runs the command that the words name; the exit code.
-int runCommandLine(int Count, char **Words, ProtocolAdapterFactory MakeAdapter);
+/// Runs the command that the arguments name; returns the exit code.
+int runCommandLine(int ArgumentCount, char **Arguments,
+                   ProtocolAdapterFactory MakeAdapter);
 
 } // namespace corianderdyke
 
--- a/Source/App/CrashReport.cpp
+++ b/Source/App/CrashReport.cpp
@@ -19,25 +19,26 @@
 
 namespace {
 
-/// Innermost first; outer calls beyond these are left out.
+/// The innermost calls are reported; outer calls beyond these are omitted.
 constexpr int MaxCalls = 40;
 constexpr std::size_t MaxModules = 48;
 constexpr std::size_t MaxModuleNameBytes = 20;
-/// Calls in libraries take up to MaxModuleNameBytes more than others.
+/// Calls in libraries need up to MaxModuleNameBytes more than others.
 constexpr std::size_t MaxLineBytes = 2048;
-/// The handler's own stack: the usual one may be exhausted.
+/// Size of the handler's own stack: the normal one may be exhausted.
 constexpr std::size_t StackBytes = 64UL << 10U;
-constexpr std::array Fatal = {SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT};
+constexpr std::array FatalSignals = {SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT};
 
-/// A part of the address space that was loaded from one file.
+/// An executable segment of the address space, loaded from one file.
 struct Module {
-  std::uintptr_t Base = 0;  ///< What file offsets are relative to.
+  std::uintptr_t Base = 0;  ///< File offsets are relative to this.
   std::uintptr_t Begin = 0; ///< Of the executable segment.
   std::uintptr_t End = 0;
-  std::array<char, MaxModuleNameBytes + 1> Name = {}; ///< Empty: the program.
+  /// Empty for the program.
+  std::array<char, MaxModuleNameBytes + 1> Name = {};
 };
 
-/// Collected at the start: the loader can't be asked inside a signal handler.
+/// Collected at startup: the loader cannot be queried inside a signal handler.
 std::array<Module, MaxModules> Modules;
 std::size_t ModuleCount = 0;
 
@@ -50,42 +51,42 @@
     if (Segment.p_type != PT_LOAD || (Segment.p_flags & PF_X) == 0 ||
         ModuleCount == MaxModules)
       continue;
-    Module &Made = Modules[ModuleCount++];
-    Made.Base = Info->dlpi_addr;
-    Made.Begin = Info->dlpi_addr + Segment.p_vaddr;
-    Made.End = Made.Begin + Segment.p_memsz;
-    std::copy(Name.begin(), Name.end(), Made.Name.begin());
+    Module &Added = Modules[ModuleCount++];
+    Added.Base = Info->dlpi_addr;
+    Added.Begin = Info->dlpi_addr + Segment.p_vaddr;
+    Added.End = Added.Begin + Segment.p_memsz;
+    std::copy(Name.begin(), Name.end(), Added.Name.begin());
   }
   return 0;
 }
 
-/// A line of bounded length, written without allocating.
+/// A line of bounded length, written without allocation.
 class ReportLine {
 public:
-  void text(std::string_view What) {
-    const std::size_t Fits = std::min(What.size(), Bytes.size() - Length);
-    std::copy_n(What.begin(), Fits, Bytes.begin() + Length);
+  void text(std::string_view Value) {
+    const std::size_t Fits = std::min(Value.size(), Bytes.size() - Length);
+    std::copy_n(Value.begin(), Fits, Bytes.begin() + Length);
     Length += Fits;
   }
 
-  void number(std::uintptr_t What, unsigned Base) {
+  void number(std::uintptr_t Value, unsigned Base) {
     constexpr std::string_view Digits = "0123456789abcdef";
     std::array<char, 20> Reversed = {};
     std::size_t Count = 0;
     do {
-      Reversed[Count++] = Digits[What % Base];
-      What /= Base;
-    } while (What != 0);
+      Reversed[Count++] = Digits[Value % Base];
+      Value /= Base;
+    } while (Value != 0);
     std::reverse(Reversed.begin(), Reversed.begin() + Count);
     text({Reversed.data(), Count});
   }
 
-  void hex(std::uintptr_t What) {
+  void hex(std::uintptr_t Value) {
     text("0x");
-    number(What, 16);
+    number(Value, 16);
   }
 
-  /// An address as an offset into the file that it was loaded from.
+  /// Appends an address as an offset into the file that it was loaded from.
   void code(std::uintptr_t Address) {
     for (std::size_t Each = 0; Each < ModuleCount; ++Each) {
       const Module &In = Modules[Each];
@@ -106,7 +107,7 @@
       --Length;
     text("\n");
     const auto Written = ::write(Descriptor, Bytes.data(), Length);
-    static_cast<void>(Written); // There is nobody left to tell.
+    static_cast<void>(Written); // A failure cannot be reported.
   }
 
 private:
@@ -130,7 +131,7 @@
   std::array<void *, MaxCalls> Calls = {};
   const int Count = backtrace(Calls.data(), MaxCalls);
   const auto End = Calls.begin() + Count;
-  // The frames before the counter's are the handler's own.
+  // The frames before that of the program counter are the handler's own.
   const auto Found = std::find_if(Calls.begin(), End, [Counter](void *Each) {
     return reinterpret_cast<std::uintptr_t>(Each) == Counter;
   });
@@ -141,8 +142,8 @@
   }
 }
 
-// Uses only what may be called inside a signal handler; backtrace() is, once
-// its library is loaded.
+// Calls only functions that are safe inside a signal handler; backtrace() is
+// one once its library is loaded.
 void report(int Signal, siginfo_t *Info, void *Context) {
   const std::uintptr_t Counter = programCounter(Context);
   const bool IsJson = writesJsonLogs();
@@ -167,21 +168,21 @@
 } // namespace
 
 void installCrashHandler() {
-  // The first call loads a library, which a handler must not.
+  // The first call loads a library, which a signal handler must not do.
   std::array<void *, 1> Unused = {};
   backtrace(Unused.data(), 1);
   ModuleCount = 0;
   dl_iterate_phdr(addModule, nullptr);
   static std::array<char, StackBytes> Stack;
-  stack_t Aside = {};
-  Aside.ss_sp = Stack.data();
-  Aside.ss_size = Stack.size();
-  if (sigaltstack(&Aside, nullptr) != 0)
+  stack_t AlternateStack = {};
+  AlternateStack.ss_sp = Stack.data();
+  AlternateStack.ss_size = Stack.size();
+  if (sigaltstack(&AlternateStack, nullptr) != 0)
     return;
   struct sigaction Action = {};
   Action.sa_sigaction = report;
   Action.sa_flags = SA_ONSTACK | SA_SIGINFO;
-  for (const int Each : Fatal)
+  for (const int Each : FatalSignals)
     sigaction(Each, &Action, nullptr);
 }
 
--- a/Source/App/CrashReport.h
+++ b/Source/App/CrashReport.h
@@ -6,13 +6,13 @@
 
 namespace corianderdyke {
 
-/// From now on a fatal signal (bad memory access, abort) writes the log event
-/// "crashed" to standard output and then ends the process as it would have
-/// ended. The line holds the signal, the address accessed, the program counter
-/// and the calls that led there, innermost first. Code addresses are offsets
-/// into the program that addr2line understands; those in libraries have the
-/// library's name before them. The line has no time: formatting one isn't safe
-/// inside a signal handler.
+/// Makes a fatal signal (bad memory access, abort) write the log event
+/// "crashed" to standard output before its default action ends the process. The
+/// line holds the signal, the address accessed, the program counter and the
+/// calls that led there, innermost first. Code addresses are offsets into the
+/// program that addr2line accepts; those in libraries are preceded by the
+/// library's name. The line has no time: formatting one is not safe inside a
+/// signal handler.
 void installCrashHandler();
 
 } // namespace corianderdyke
--- a/Source/App/FileCommands.cpp
+++ b/Source/App/FileCommands.cpp
@@ -33,12 +33,12 @@
   return InvalidFile;
 }
 
-template <class T> int runMade(Expected<std::unique_ptr<T>> Made) {
-  if (!Made) {
-    logEvent(EventId::StartRefused, {{"error", Made.error().Message}});
+template <class T> int runOrReportError(Expected<std::unique_ptr<T>> Created) {
+  if (!Created) {
+    logEvent(EventId::StartRefused, {{"error", Created.error().Message}});
     return Failure;
   }
-  return (*Made)->run();
+  return (*Created)->run();
 }
 
 } // namespace
@@ -54,9 +54,9 @@
     return report(Options.error(), false);
   configureLogging(Options->JsonLogs, static_cast<Severity>(Options->Level));
   if (Options->Fencing == FencingMode::Targets)
-    return runMade(
+    return runOrReportError(
         SteeringProcess::make(*Options, SettingsFile, MakeAdapter()));
-  return runMade(Process::make(*Options, SettingsFile, *Text));
+  return runOrReportError(Process::make(*Options, SettingsFile, *Text));
 }
 
 int checkSettings(const std::string &File, bool Json) {
--- a/Source/App/FileCommands.h
+++ b/Source/App/FileCommands.h
@@ -12,7 +12,7 @@
 
 class ProtocolAdapter;
 
-/// Makes the adapter to the protocols of the site.
+/// Creates the adapter to the protocols of the site.
 using ProtocolAdapterFactory =
     std::function<std::unique_ptr<ProtocolAdapter>()>;
 
--- a/Source/App/Main.cpp
+++ b/Source/App/Main.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The program's entry: the one place that knows which adapter is built in.
+/// The program's entry point, the only place that names the adapter that is
+/// built in.
 
 #include "App/CommandLine.h"
 #include "App/CrashReport.h"
--- a/Source/App/OperatorClient.cpp
+++ b/Source/App/OperatorClient.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The command line's way to the operators' ports.
+/// Sends the command line's requests to operators' ports.
 
 #include "App/OperatorClient.h"
 
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Millis AnswerTimeout(5000);
-constexpr Millis Pause(50);
+constexpr Millis RetryInterval(50);
 constexpr int StatusMisdirected = 421;
 
 } // namespace
@@ -32,26 +32,26 @@
 
 Expected<HttpResponse> OperatorClient::send(const HttpRequest &Request) {
   const SystemClock Time;
-  const Millis Until = Time.now() + Timeout;
-  std::string Last;
+  const Millis DeadlineAt = Time.now() + Timeout;
+  std::string LastFailure;
   while (true) {
     for (const Endpoint &Host : Hosts) {
       auto Answer = sendTo(Host, Request);
       if (Answer && Answer->Status != StatusMisdirected)
         return Answer;
-      Last = Host.text() + ": " +
-             (Answer ? "doesn't lead" : Answer.error().Message);
+      LastFailure = Host.text() + ": " +
+                    (Answer ? "doesn't lead" : Answer.error().Message);
     }
-    if (Time.now() >= Until)
+    if (Time.now() >= DeadlineAt)
       return fail(ErrorCode::Unavailable,
                   "no process answered that can; the last one asked was " +
-                      Last);
-    runLoopFor(Pause);
+                      LastFailure);
+    runLoopFor(RetryInterval);
   }
 }
 
-void OperatorClient::runLoopFor(Millis Span) {
-  Loop.after(Span, [this] { Loop.stop(); });
+void OperatorClient::runLoopFor(Millis Duration) {
+  Loop.after(Duration, [this] { Loop.stop(); });
   Loop.run();
 }
 
--- a/Source/App/OperatorClient.h
+++ b/Source/App/OperatorClient.h
@@ -1,5 +1,5 @@
 /// \file
-/// The command line's way to the operators' ports.
+/// Sends the command line's requests to operators' ports.
 
 #ifndef CORIANDERDYKE_APP_OPERATORCLIENT_H
 #define CORIANDERDYKE_APP_OPERATORCLIENT_H
@@ -16,12 +16,12 @@
   OperatorClient(std::vector<Endpoint> Hosts, Millis Timeout)
       : Hosts(std::move(Hosts)), Timeout(Timeout) {}
 
-  /// Asks one process after another until one answers that can: a control
-  /// host that doesn't lead passes the question on. Unavailable where none
-  /// does in time.
+  /// Sends the request to one process after another until one can answer it;
+  /// a control host that does not lead cannot. Unavailable where none answers
+  /// in time.
   Expected<HttpResponse> send(const HttpRequest &Request);
 
-  void runLoopFor(Millis Span);
+  void runLoopFor(Millis Duration);
 
 private:
   Expected<HttpResponse> sendTo(const Endpoint &Host,
--- a/Source/App/OperatorCommands.cpp
+++ b/Source/App/OperatorCommands.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The commands that ask a running system.
+/// The commands that send requests to a running system.
 
 #include "App/OperatorCommands.h"
 
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr Millis AskAgainAfter(50);
+constexpr Millis PollInterval(50);
 constexpr int FirstErrorStatus = 300;
 
 nlohmann::json parsed(const std::string &Body) {
@@ -85,14 +85,14 @@
   const auto Answer = send(Options, std::move(Request));
   if (!Answer)
     return report(Answer.error(), exitCodeOf(Answer.error()));
-  const bool Good = Answer->Status < FirstErrorStatus;
+  const bool IsSuccess = Answer->Status < FirstErrorStatus;
   const nlohmann::json Body = parsed(Answer->Body);
-  std::ostream &Out = Good ? std::cout : std::cerr;
+  std::ostream &Out = IsSuccess ? std::cout : std::cerr;
   if (Options.Json || Body.is_discarded())
     Out << Answer->Body;
   else
-    Out << (Good ? Render(Body) : errorText(Body));
-  return Good ? Success : Refused;
+    Out << (IsSuccess ? Render(Body) : errorText(Body));
+  return IsSuccess ? Success : Refused;
 }
 
 int OperatorCommands::status() const {
@@ -129,7 +129,7 @@
   const auto Text = readFile(File);
   if (!Text)
     return report(Text.error(), InvalidFile);
-  // Checked here first, so that faults are told without a running system.
+  // Checked here first, so that errors are reported without a running system.
   if (const auto Parsed = parseManifest(File, *Text); !Parsed) {
     std::cerr << refusalText(Parsed.error());
     return InvalidFile;
@@ -145,25 +145,25 @@
 }
 
 int OperatorCommands::applyManifest(const std::string &File, bool Wait,
-                                    Millis Bound) const {
+                                    Millis Timeout) const {
   const int Result = sendManifest("/v1/manifest", File, &manifestAcceptedText);
-  return Result == Success && Wait ? waitUntilInForce(File, Bound) : Result;
+  return Result == Success && Wait ? waitUntilInForce(File, Timeout) : Result;
 }
 
 int OperatorCommands::waitUntilInForce(const std::string &File,
-                                       Millis Bound) const {
+                                       Millis Timeout) const {
   const auto Text = readFile(File);
   const auto Sent = parseManifest(File, Text.value_or(""));
   const SystemClock Time;
-  const Millis Until = Time.now() + Bound;
+  const Millis DeadlineAt = Time.now() + Timeout;
   HttpRequest Request;
   Request.Path = "/v1/manifest";
   EventLoop Loop;
-  while (Sent && Time.now() < Until) {
+  while (Sent && Time.now() < DeadlineAt) {
     const auto Answer = send(Options, Request);
     const nlohmann::json Body =
         Answer ? parsed(Answer->Body) : nlohmann::json::object();
-    // A later one that is in force has taken the place of ours.
+    // A later manifest in force has replaced the one that was sent.
     if (Body.is_object() && Body.value("in_force", false) &&
         Body.value("version", std::uint64_t(0)) >= Sent->Version) {
       if (!Options.Json)
@@ -171,11 +171,11 @@
                   << Body.value("version", std::uint64_t(0)) << "\n";
       return Success;
     }
-    Loop.after(AskAgainAfter, [&Loop] { Loop.stop(); });
+    Loop.after(PollInterval, [&Loop] { Loop.stop(); });
     Loop.run();
   }
-  std::cerr << "accepted, but not in force everywhere within " << Bound.count()
-            << " ms\n";
+  std::cerr << "accepted, but not in force everywhere within "
+            << Timeout.count() << " ms\n";
   return NotInForce;
 }
 
@@ -201,7 +201,7 @@
   return run(std::move(Request), &drainingText);
 }
 
-int OperatorCommands::drainProxy(Millis Bound) const {
+int OperatorCommands::drainProxy(Millis Timeout) const {
   const int Result = run(post("/v1/drain"), [](const nlohmann::json &Report) {
     return "stopping, with " + std::to_string(Report.value("in_flight", 0)) +
            " in flight\n";
@@ -209,19 +209,19 @@
   if (Result != Success)
     return Result;
   const SystemClock Time;
-  const Millis Until = Time.now() + Bound;
+  const Millis DeadlineAt = Time.now() + Timeout;
   const auto Hosts = endpoints(Options.Hosts);
   OperatorClient Client(*Hosts, Millis(0));
   HttpRequest Request;
   Request.Path = "/healthz";
-  while (Time.now() < Until) {
+  while (Time.now() < DeadlineAt) {
     if (!Client.send(Request)) {
       std::cout << (Options.Json ? "" : "stopped\n");
       return Success;
     }
-    Client.runLoopFor(AskAgainAfter);
+    Client.runLoopFor(PollInterval);
   }
-  std::cerr << "still running after " << Bound.count() << " ms\n";
+  std::cerr << "still running after " << Timeout.count() << " ms\n";
   return Failure;
 }
 
--- a/Source/App/OperatorCommands.h
+++ b/Source/App/OperatorCommands.h
@@ -1,5 +1,5 @@
 /// \file
-/// The commands that ask a running system.
+/// The commands that send requests to a running system.
 
 #ifndef CORIANDERDYKE_APP_OPERATORCOMMANDS_H
 #define CORIANDERDYKE_APP_OPERATORCOMMANDS_H
@@ -13,7 +13,8 @@
 
 namespace corianderdyke {
 
-/// What the command line says of whom to ask and how to show the answer.
+/// Options of the command line: the processes that get the request, the
+/// operator's name and key, and how the answer is shown.
 struct OperatorOptions {
   std::vector<std::string> Hosts;
   std::string Operator = "operator";
@@ -36,19 +37,19 @@
   int showManifest() const;
   int manifestHistory() const;
   int compareManifest(const std::string &File) const;
-  /// With \p Wait, returns once the manifest is in force or the time is over.
-  int applyManifest(const std::string &File, bool Wait, Millis Bound) const;
+  /// With \p Wait, returns once the manifest is in force or \p Timeout is over.
+  int applyManifest(const std::string &File, bool Wait, Millis Timeout) const;
   int addControlHost(const std::string &Name) const;
   int removeControlHost(const std::string &Name) const;
   int drainTarget(const std::string &Name) const;
-  /// Returns once the process has stopped or the time is over.
-  int drainProxy(Millis Bound) const;
+  /// Returns once the process has stopped or \p Timeout is over.
+  int drainProxy(Millis Timeout) const;
 
 private:
   int run(HttpRequest Request, Renderer Render) const;
   int sendManifest(const std::string &Path, const std::string &File,
                    Renderer Render) const;
-  int waitUntilInForce(const std::string &File, Millis Bound) const;
+  int waitUntilInForce(const std::string &File, Millis Timeout) const;
 
   const OperatorOptions &Options;
 };
--- a/Source/App/Process.cpp
+++ b/Source/App/Process.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// One running process with its roles, on real sockets and files.
+/// A running process with its roles, on real sockets and files.
 
 #include "App/Process.h"
 
@@ -15,17 +15,17 @@
 
 constexpr Millis StopCheckInterval(10);
 
-std::string freshDiskId() { return std::to_string(randomNumber()); }
+std::string newDiskId() { return std::to_string(randomNumber()); }
 
 } // namespace
 
 Expected<std::unique_ptr<Process>>
 Process::make(const Settings &Options, std::string File, std::string Text) {
-  std::unique_ptr<Process> Made(
+  std::unique_ptr<Process> Created(
       new Process(Options, std::move(File), std::move(Text)));
-  if (auto Done = Made->open(); !Done)
+  if (auto Done = Created->open(); !Done)
     return tl::unexpected(Done.error());
-  return Made;
+  return Created;
 }
 
 Expected<void> Process::open() {
@@ -57,7 +57,7 @@
   Disk.emplace(std::move(*Folder));
   Records.emplace(*Disk);
   Log.emplace(*Records);
-  if (auto Loaded = Log->load(freshDiskId()); !Loaded)
+  if (auto Loaded = Log->load(newDiskId()); !Loaded)
     return Loaded;
   Control = std::make_unique<ControlNode>(
       Options, ControlDependencies{Time, Loop, *Peers, Connector}, *Log,
@@ -82,30 +82,32 @@
 
 void Process::connectLogs() {
   if (Control) {
-    Control->signalAudited().connect([](const AuditRecord &Line) {
-      logEvent(EventId::StateChanged, {{"action", Line.Action},
-                                       {"subject", Line.Subject},
-                                       {"from", Line.From},
-                                       {"to", Line.To},
-                                       {"reason", Line.Reason}});
+    Control->signalAudited().connect([](const AuditRecord &Record) {
+      logEvent(EventId::StateChanged, {{"action", Record.Action},
+                                       {"subject", Record.Subject},
+                                       {"from", Record.From},
+                                       {"to", Record.To},
+                                       {"reason", Record.Reason}});
     });
-    Control->signalLeadership().connect([](bool Leads) {
-      logEvent(Leads ? EventId::LeadershipGained : EventId::LeadershipLost, {});
+    Control->signalLeadership().connect([](bool IsLeading) {
+      logEvent(IsLeading ? EventId::LeadershipGained : EventId::LeadershipLost,
+               {});
     });
     Control->signalDiskStatus().connect([](const std::string &Refusal) {
       logEvent(Refusal.empty() ? EventId::DiskUsable : EventId::DiskRefuses,
                {{"error", Refusal}});
     });
     Control->signalFailed().connect([this](const Error &Problem) {
-      // What this host would say from here on could contradict the others.
+      // Later messages of this host could contradict those of the other hosts,
+      // so it stops.
       logEvent(EventId::DiskFailed, {{"error", Problem.Message}});
       ExitCode = 1;
       Loop.stop();
     });
   }
   if (Proxy)
-    Proxy->signalLease().connect([](bool Held) {
-      logEvent(Held ? EventId::LeaseGained : EventId::LeaseLost, {});
+    Proxy->signalLease().connect([](bool IsHeld) {
+      logEvent(IsHeld ? EventId::LeaseGained : EventId::LeaseLost, {});
     });
 }
 
@@ -115,21 +117,23 @@
   Stopping = true;
   logEvent(EventId::Stopping, {{"reason", Reason}});
   Operators->beginStopping();
-  const Millis Until = Time.now() + Options.DrainDelay + Options.StopTimeout;
+  const Millis DeadlineAt =
+      Time.now() + Options.DrainDelay + Options.StopTimeout;
   if (!Proxy) {
-    stopWhenIdle(Until);
+    stopWhenIdle(DeadlineAt);
     return;
   }
-  // Callers that keep their connection are asked to leave with their next
-  // answer. New ones are still served, since the balancer sends them until it
-  // has seen that this process isn't ready.
+  // Connections that callers keep open are closed after their next answer. New
+  // callers are still served, since the balancer sends them until it has
+  // observed that this process is not ready.
   CallerPort->closeConnectionsAfterResponse();
   Loop.after(Options.DrainDelay, [this] { CallerPort->stopListening(); });
-  Proxy->drain([this, Until] { stopWhenIdle(Until); });
-  Loop.after(Until - Time.now(), [this, Until] { stopWhenIdle(Until); });
+  Proxy->drain([this, DeadlineAt] { stopWhenIdle(DeadlineAt); });
+  Loop.after(DeadlineAt - Time.now(),
+             [this, DeadlineAt] { stopWhenIdle(DeadlineAt); });
 }
 
-std::size_t Process::unfinished() const {
+std::size_t Process::pendingWork() const {
   std::size_t Out = OperatorPort->pendingRequests();
   if (CallerPort)
     Out += CallerPort->pendingRequests();
@@ -138,14 +142,16 @@
   return Out;
 }
 
-void Process::stopWhenIdle(Millis Until) {
-  const std::size_t Left = unfinished();
-  if (Left > 0 && Time.now() < Until) {
-    Loop.after(StopCheckInterval, [this, Until] { stopWhenIdle(Until); });
+void Process::stopWhenIdle(Millis DeadlineAt) {
+  const std::size_t Pending = pendingWork();
+  if (Pending > 0 && Time.now() < DeadlineAt) {
+    Loop.after(StopCheckInterval,
+               [this, DeadlineAt] { stopWhenIdle(DeadlineAt); });
     return;
   }
-  if (Left > 0)
-    logEvent(EventId::StopBoundReached, {{"unfinished", std::to_string(Left)}});
+  if (Pending > 0)
+    logEvent(EventId::StopBoundReached,
+             {{"unfinished", std::to_string(Pending)}});
   if (Proxy)
     Proxy->releaseRights();
   Loop.stop();
@@ -164,18 +170,18 @@
     return;
   }
   configureLogging(Parsed->JsonLogs, static_cast<Severity>(Parsed->Level));
-  // Text stays what the process started with but for the keys that reload,
-  // so that each change that waits for a restart is told again each time.
+  // Text remains the content at the start, so that each change that needs a
+  // restart is logged again at every reload.
   for (const ItemDifference &Each : diffDocuments(settingKeys(), Text, *New)) {
     const std::size_t Dot = Each.Item.find('.');
     const KeyDescription *Key = settingKeys().find(
         "[" + Each.Item.substr(0, Dot) + "]", Each.Item.substr(Dot + 1));
-    const bool Reloads = Key != nullptr && Key->IsReloadable;
-    const bool Secret = Each.Item.rfind("keys.", 0) == 0;
-    logEvent(Reloads ? EventId::SettingsReloaded : EventId::RestartNeeded,
+    const bool IsReloadable = Key != nullptr && Key->IsReloadable;
+    const bool IsSecret = Each.Item.rfind("keys.", 0) == 0;
+    logEvent(IsReloadable ? EventId::SettingsReloaded : EventId::RestartNeeded,
              {{"key", Each.Item},
-              {"from", Secret ? "" : Each.From},
-              {"to", Secret ? "" : Each.To}});
+              {"from", IsSecret ? "" : Each.From},
+              {"to", IsSecret ? "" : Each.To}});
   }
 }
 
--- a/Source/App/Process.h
+++ b/Source/App/Process.h
@@ -1,5 +1,5 @@
 /// \file
-/// One running process with its roles, on real sockets and files.
+/// A running process with its roles, on real sockets and files.
 
 #ifndef CORIANDERDYKE_APP_PROCESS_H
 #define CORIANDERDYKE_APP_PROCESS_H
@@ -16,15 +16,15 @@
 
 namespace corianderdyke {
 
-/// Puts the slices together. Only this layer knows sockets and files.
+/// Connects the components. Only this layer knows sockets and files.
 class Process {
 public:
-  /// Opens the data folder and the ports; the first that fails is the error.
-  /// \p File is read again on SIGHUP; \p Text is what it holds now.
+  /// Opens the data folder and the ports; returns the first error. \p File is
+  /// read again on SIGHUP; \p Text is its present content.
   static Expected<std::unique_ptr<Process>>
   make(const Settings &Options, std::string File, std::string Text);
 
-  /// Runs until a signal ends it; the exit code.
+  /// Runs until a signal ends it; returns the exit code.
   int run();
 
 private:
@@ -36,8 +36,8 @@
   Expected<void> openListeners();
   void connectLogs();
   void beginStop(const std::string &Reason);
-  void stopWhenIdle(Millis Until);
-  std::size_t unfinished() const;
+  void stopWhenIdle(Millis DeadlineAt);
+  std::size_t pendingWork() const;
   void reload();
 
   Settings Options;
--- a/Source/App/ReadFile.cpp
+++ b/Source/App/ReadFile.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads files that people wrote.
+/// Reads settings files, manifests and key files.
 
 #include "App/ReadFile.h"
 
--- a/Source/App/ReadFile.h
+++ b/Source/App/ReadFile.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads files that people wrote.
+/// Reads settings files, manifests and key files.
 
 #ifndef CORIANDERDYKE_APP_READFILE_H
 #define CORIANDERDYKE_APP_READFILE_H
@@ -8,7 +8,7 @@
 
 namespace corianderdyke {
 
-/// The whole content; NotFound where the file can't be read.
+/// Returns the whole content; NotFound where the file cannot be read.
 Expected<std::string> readFile(const std::string &Path);
 
 } // namespace corianderdyke
--- a/Source/App/StatementLogs.cpp
+++ b/Source/App/StatementLogs.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The log lines about statements.
+/// Log lines about statements.
 
 #include "App/StatementLogs.h"
 
@@ -9,25 +9,27 @@
 
 namespace {
 
-std::string refusalText(Millis Span) { return std::to_string(Span.count()); }
+std::string millisText(Millis Duration) {
+  return std::to_string(Duration.count());
+}
 
-std::string refusalText(const std::optional<LogPosition> &Position) {
+std::string positionText(const std::optional<LogPosition> &Position) {
   return Position ? std::to_string(Position->Term) + "." +
                         std::to_string(Position->Number)
                   : "";
 }
 
-/// What decided where a statement goes.
+/// Log fields that explain where a statement is sent.
 LogFields fieldsOf(const SessionJob &Job, Millis Now) {
   return {
       {"id", Job.Stmt.Id},
       {"route", Job.Route.Name},
       {"group", Job.Route.Group},
       {"place", Job.Destination == Placement::Primary ? "leader" : "replica"},
-      {"floor", refusalText(Job.Floor)},
+      {"floor", positionText(Job.Floor)},
       {"tries", std::to_string(Job.Tries)},
-      {"since_ms", refusalText(Now - Job.ArrivedAt)},
-      {"left_ms", refusalText(Job.DeadlineAt - Now)}};
+      {"since_ms", millisText(Now - Job.ArrivedAt)},
+      {"left_ms", millisText(Job.DeadlineAt - Now)}};
 }
 
 } // namespace
@@ -68,26 +70,26 @@
 
 void subscribeStatementLogs(SessionPipeline &Pipeline, const Clock &Time) {
   Pipeline.signalRefused().connect(
-      [&Pipeline](const CallerSession &Session, const Statement &What,
-                  const StatementRefusal &Why, const std::string &Grounds) {
+      [&Pipeline](const CallerSession &Session, const Statement &Stmt,
+                  const StatementRefusal &Refusal, const std::string &Grounds) {
         if (admitEvent(EventId::StatementRefused))
           logEvent(EventId::StatementRefused,
-                   {{"id", What.Id},
+                   {{"id", Stmt.Id},
                     {"database", Session.Database},
                     {"session", std::to_string(Session.Id)},
                     {"organisation", Session.Organisation},
                     {"plan", std::to_string(Pipeline.plan().Version)},
-                    {"code", refusalCodeName(Why.Code)},
-                    {"why", Why.Reason},
+                    {"code", refusalCodeName(Refusal.Code)},
+                    {"why", Refusal.Reason},
                     {"grounds", Grounds}});
       });
   Pipeline.signalRetried().connect(
-      [&Time](const SessionJob &Job, const StatementRefusal &Why) {
+      [&Time](const SessionJob &Job, const StatementRefusal &Refusal) {
         if (!admitEvent(EventId::StatementMoved))
           return;
         LogFields Fields = fieldsOf(Job, Time.now());
-        Fields.emplace_back("code", refusalCodeName(Why.Code));
-        Fields.emplace_back("why", Why.Reason);
+        Fields.emplace_back("code", refusalCodeName(Refusal.Code));
+        Fields.emplace_back("why", Refusal.Reason);
         logEvent(EventId::StatementMoved, Fields);
       });
   Pipeline.signalServed().connect(
--- a/Source/App/StatementLogs.h
+++ b/Source/App/StatementLogs.h
@@ -1,5 +1,5 @@
 /// \file
-/// The log lines about statements: one for each decision that touches one.
+/// Log lines about statements: one for each decision about a statement.
 
 #ifndef CORIANDERDYKE_APP_STATEMENTLOGS_H
 #define CORIANDERDYKE_APP_STATEMENTLOGS_H
@@ -8,11 +8,11 @@
 
 namespace corianderdyke {
 
-/// A refusal's code as logs and metrics have it.
+/// The name of a refusal's code in logs and metrics.
 const char *refusalCodeName(RefusalCode Code);
 
-/// Writes a line with the caller's id for each refusal, move and result that
-/// \p Pipeline tells, within the bounds of the catalogue.
+/// Writes a line with the caller's id for each refusal, retry and result that
+/// \p Pipeline signals, within the rate limits of the event catalogue.
 void subscribeStatementLogs(SessionPipeline &Pipeline, const Clock &Time);
 
 } // namespace corianderdyke
--- a/Source/App/SteeringMetrics.cpp
+++ b/Source/App/SteeringMetrics.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Metrics of a process where targets enforce their leadership themselves.
+/// Metrics of a process where targets enforce leadership themselves.
 
 #include "App/SteeringMetrics.h"
 
@@ -22,8 +22,8 @@
 
 } // namespace
 
-SteeringMetrics::SteeringMetrics(SteeringSources Given)
-    : From(std::move(Given)) {
+SteeringMetrics::SteeringMetrics(SteeringSources Sources)
+    : From(std::move(Sources)) {
   if (From.Pipeline != nullptr) {
     From.Pipeline->signalServed().connect(
         [this](const SessionJob &Job, const std::string &) {
@@ -31,13 +31,14 @@
         });
     From.Pipeline->signalRefused().connect(
         [this](const CallerSession &, const Statement &,
-               const StatementRefusal &Why,
-               const std::string &) { ++Refusals[refusalCodeName(Why.Code)]; });
+               const StatementRefusal &Refusal, const std::string &) {
+          ++Refusals[refusalCodeName(Refusal.Code)];
+        });
   }
   if (From.Control != nullptr)
     From.Control->promotionCoordinator().signalStep().connect(
-        [this](const std::string &, const std::string &What,
-               const std::string &) { ++Steps[What]; });
+        [this](const std::string &, const std::string &Step,
+               const std::string &) { ++Steps[Step]; });
 }
 
 void SteeringMetrics::handle(const HttpRequest &Request,
@@ -62,15 +63,15 @@
     addProxy(Out);
   if (From.Control != nullptr)
     addControl(Out);
-  Out.add(From.Delays);
+  Out.add(From.Latencies);
   return Out.text();
 }
 
 void SteeringMetrics::addProxy(MetricSet &To) const {
   const PipelineCounts &Counts = From.Pipeline->counts();
   const auto Count = [&To](const char *Name, const char *Label,
-                           const std::string &Value, std::uint64_t Of) {
-    To.add(Name, static_cast<double>(Of), {{Label, Value}});
+                           const std::string &Value, std::uint64_t Number) {
+    To.add(Name, static_cast<double>(Number), {{Label, Value}});
   };
   Count("corianderdyke_reads_total", "served_by", "replica",
         Counts.ReadsByReplica);
@@ -117,14 +118,15 @@
 }
 
 void SteeringMetrics::addControl(MetricSet &To) const {
-  const Consensus &Agreement = From.Control->consensus();
-  addElectionMetrics(To, Agreement);
+  const Consensus &ControlGroup = From.Control->consensus();
+  addElectionMetrics(To, ControlGroup);
   To.add("corianderdyke_control_leader", From.Control->leads() ? 1 : 0);
-  To.add("corianderdyke_control_term", static_cast<double>(Agreement.term()));
+  To.add("corianderdyke_control_term",
+         static_cast<double>(ControlGroup.term()));
   To.add("corianderdyke_control_revision",
-         static_cast<double>(Agreement.commitIndex()));
+         static_cast<double>(ControlGroup.commitIndex()));
   To.add("corianderdyke_control_voters",
-         static_cast<double>(Agreement.voters().size()));
+         static_cast<double>(ControlGroup.voters().size()));
   To.add("corianderdyke_proxies",
          static_cast<double>(From.Control->subscriberCount()));
   To.add("corianderdyke_plan_version",
--- a/Source/App/SteeringMetrics.h
+++ b/Source/App/SteeringMetrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// Metrics of a process where targets enforce their leadership themselves.
+/// Metrics of a process where targets enforce leadership themselves.
 
 #ifndef CORIANDERDYKE_APP_STEERINGMETRICS_H
 #define CORIANDERDYKE_APP_STEERINGMETRICS_H
@@ -14,23 +14,23 @@
 
 namespace corianderdyke {
 
-/// What the process consists of; null where it hasn't the role.
+/// The parts of the process; null where it does not have the role.
 struct SteeringSources {
   const Clock &Time;
   const Transport &Peers;
   SessionPipeline *Pipeline = nullptr;
   const TargetBroker *Broker = nullptr;
   const QuotaSeats *Quotas = nullptr;
-  const ControlClient *Feed = nullptr;
+  const ControlClient *Client = nullptr;
   SteeringNode *Control = nullptr;
   std::function<bool()> IsReady;
-  ProcessLatencies Delays = {};
+  ProcessLatencies Latencies = {};
 };
 
 /// Serves "/metrics" in the Prometheus text format.
 class SteeringMetrics final : public HttpService, public sigc::trackable {
 public:
-  explicit SteeringMetrics(SteeringSources Given);
+  explicit SteeringMetrics(SteeringSources Sources);
 
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpExchange> Exchange) override;
@@ -43,10 +43,11 @@
   void addControl(MetricSet &To) const;
 
   SteeringSources From;
-  /// Time to the answer by outcome: "read", "write", "commit", "refused".
+  /// Time from queueing to the result, by outcome: "read", "write" or "commit".
   std::map<std::string, DurationHistogram> Durations;
-  std::map<std::string, std::uint64_t> Refusals; ///< By code.
-  std::map<std::string, std::uint64_t> Steps;    ///< Of changes of primary.
+  std::map<std::string, std::uint64_t> Refusals; ///< Key: refusal code.
+  /// Key: step of a change of primary.
+  std::map<std::string, std::uint64_t> Steps;
 };
 
 } // namespace corianderdyke
--- a/Source/App/SteeringProcess.cpp
+++ b/Source/App/SteeringProcess.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// One running process where targets enforce their leadership themselves.
+/// A running process where targets enforce leadership themselves.
 
 #include "App/SteeringProcess.h"
 
@@ -15,9 +15,10 @@
 namespace {
 
 constexpr Millis StopCheckInterval(50);
-/// Part of the time for a stop in which sessions between statements are asked
-/// to leave; the rest is for those that are still at work.
-constexpr std::int64_t SessionsLeaveBy = 4; // of 6
+/// The stop timeout is divided into StopParts. Transactions end by the end of
+/// part TransactionsEndBy, sessions between statements are closed by the end of
+/// part SessionsClosedBy; the rest is for sessions that are still at work.
+constexpr std::int64_t SessionsClosedBy = 4;
 constexpr std::int64_t TransactionsEndBy = 3;
 constexpr std::int64_t StopParts = 6;
 
@@ -34,11 +35,11 @@
 Expected<std::unique_ptr<SteeringProcess>>
 SteeringProcess::make(const Settings &Options, std::string File,
                       std::unique_ptr<ProtocolAdapter> Adapter) {
-  std::unique_ptr<SteeringProcess> Made(
+  std::unique_ptr<SteeringProcess> Created(
       new SteeringProcess(Options, std::move(File), std::move(Adapter)));
-  if (auto Done = Made->open(); !Done)
+  if (auto Done = Created->open(); !Done)
     return tl::unexpected(Done.error());
-  return Made;
+  return Created;
 }
 
 Expected<void> SteeringProcess::open() {
@@ -59,7 +60,7 @@
 
 Expected<void> SteeringProcess::openMetrics() {
   Metrics = std::make_unique<SteeringMetrics>(SteeringSources{
-      Time, *Peers, Pipeline.get(), Broker.get(), Quotas.get(), Feed.get(),
+      Time, *Peers, Pipeline.get(), Broker.get(), Quotas.get(), Client.get(),
       Control.get(), [this] { return isReady(); },
       ProcessLatencies{&Loop.timerLatency(),
                        Disk ? &Disk->syncDurations() : nullptr}});
@@ -73,7 +74,7 @@
 }
 
 bool SteeringProcess::isReady() const {
-  return Pipeline && !Stopping && Feed->isConfirmed() &&
+  return Pipeline && !Stopping && Client->isConfirmed() &&
          Pipeline->plan().Version > 0;
 }
 
@@ -94,21 +95,21 @@
   TargetCommands = Adapter->makeTargetCommandPort(Loop, *Targets);
   Promotions = Adapter->makePromotionPort(
       Loop, Connector, {Options.PromotionEndpoint, Options.Name});
-  SteeringOptions Given;
-  Given.Name = Options.PeerEndpoint.Address;
-  Given.ProcessName = Options.Name;
-  Given.PeerPort = Options.PeerEndpoint.Port;
-  Given.Seeds = addressesOf(Options.Seeds);
-  Given.MayBootstrap = Options.MayBootstrap;
-  Given.ToleratedDiskLosses = Options.ToleratedDiskLosses;
-  Given.KeySecret = Options.PeerKey;
+  SteeringOptions NodeOptions;
+  NodeOptions.Name = Options.PeerEndpoint.Address;
+  NodeOptions.ProcessName = Options.Name;
+  NodeOptions.PeerPort = Options.PeerEndpoint.Port;
+  NodeOptions.Seeds = addressesOf(Options.Seeds);
+  NodeOptions.MayBootstrap = Options.MayBootstrap;
+  NodeOptions.ToleratedDiskLosses = Options.ToleratedDiskLosses;
+  NodeOptions.KeySecret = Options.PeerKey;
   Control = std::make_unique<SteeringNode>(
-      Given,
+      NodeOptions,
       SteeringDependencies{Time, Loop, *Peers, *TargetCommands, *Promotions},
       *Log, randomNumber());
-  DirectoryCalls =
+  DirectoryHandler =
       Adapter->makeDirectoryService(*Control, Options.DirectoryEndpoint);
-  auto Opened = listen(Options.DirectoryEndpoint, *DirectoryCalls);
+  auto Opened = listen(Options.DirectoryEndpoint, *DirectoryHandler);
   if (!Opened)
     return tl::unexpected(Opened.error());
   DirectoryPort = std::move(*Opened);
@@ -149,24 +150,25 @@
   Pipeline = std::make_unique<SessionPipeline>(
       SessionPipeline::Dependencies{
           Time, Loop, Connections, SessionFloors,
-          [this] { return Feed && Feed->isCurrent(); }, Options.PeerKey,
+          [this] { return Client && Client->isCurrent(); }, Options.PeerKey,
           Permits.get()},
       Options.OwnLocality);
-  Feed = std::make_unique<ControlClient>(
+  Client = std::make_unique<ControlClient>(
       ControlClientOptions{Self,
                            Options.PeerEndpoint.Port,
                            addressesOf(Options.Seeds),
                            {Options.Name, Options.RelayEndpoint,
                             Options.OwnLocality.FailureDomain}},
       Time, Loop, *Peers);
-  Feed->setQuotaSeats(Quotas.get());
+  Client->setQuotaSeats(Quotas.get());
   auto Callers =
       Adapter->listenForCallers(Loop, Options.SessionEndpoint, *Pipeline);
   if (!Callers)
     return tl::unexpected(Callers.error());
   CallerPort = std::move(*Callers);
-  ReadinessCalls = Adapter->makeReadinessService([this] { return isReady(); });
-  auto Opened = listen(Options.ReadinessEndpoint, *ReadinessCalls);
+  ReadinessHandler =
+      Adapter->makeReadinessService([this] { return isReady(); });
+  auto Opened = listen(Options.ReadinessEndpoint, *ReadinessHandler);
   if (!Opened)
     return tl::unexpected(Opened.error());
   ReadinessPort = std::move(*Opened);
@@ -174,13 +176,13 @@
 }
 
 void SteeringProcess::connectControl() {
-  Control->signalAudited().connect([](const AuditRecord &Line) {
-    logEvent(EventId::StateChanged, {{"action", Line.Action},
-                                     {"actor", Line.Actor},
-                                     {"subject", Line.Subject},
-                                     {"from", Line.From},
-                                     {"to", Line.To},
-                                     {"reason", Line.Reason}});
+  Control->signalAudited().connect([](const AuditRecord &Record) {
+    logEvent(EventId::StateChanged, {{"action", Record.Action},
+                                     {"actor", Record.Actor},
+                                     {"subject", Record.Subject},
+                                     {"from", Record.From},
+                                     {"to", Record.To},
+                                     {"reason", Record.Reason}});
   });
   Control->signalReplayed().connect([this] {
     logEvent(EventId::StateRecalled,
@@ -188,8 +190,9 @@
               {"targets", std::to_string(Control->state().targets().size())},
               {"last", std::to_string(Control->consensus().commitIndex())}});
   });
-  Control->signalLeadership().connect([](bool Leads) {
-    logEvent(Leads ? EventId::LeadershipGained : EventId::LeadershipLost, {});
+  Control->signalLeadership().connect([](bool IsLeading) {
+    logEvent(IsLeading ? EventId::LeadershipGained : EventId::LeadershipLost,
+             {});
   });
   Control->signalConsensusStatus().connect([this] {
     const Consensus &Group = Control->consensus();
@@ -201,17 +204,18 @@
                 {"voters", describe(Group.voters())}});
   });
   Control->promotionCoordinator().signalStep().connect(
-      [](const std::string &Group, const std::string &What,
-         const std::string &Why) {
+      [](const std::string &Group, const std::string &Step,
+         const std::string &Reason) {
         logEvent(EventId::PromotionStep,
-                 {{"group", Group}, {"step", What}, {"reason", Why}});
+                 {{"group", Group}, {"step", Step}, {"reason", Reason}});
       });
   Control->signalDiskStatus().connect([](const std::string &Refusal) {
     logEvent(Refusal.empty() ? EventId::DiskUsable : EventId::DiskRefuses,
              {{"error", Refusal}});
   });
   Control->signalFailed().connect([this](const Error &Problem) {
-    // What this host would say from here on could contradict the others.
+    // Later messages of this host could contradict those of the other hosts, so
+    // it stops.
     logEvent(EventId::DiskFailed, {{"error", Problem.Message}});
     ExitCode = 1;
     Loop.stop();
@@ -219,57 +223,58 @@
 }
 
 void SteeringProcess::connectProxy() {
-  Feed->signalPlan().connect([this] {
+  Client->signalPlan().connect([this] {
     logEvent(EventId::PlanInForce,
-             {{"version", std::to_string(Feed->plan().Version)},
+             {{"version", std::to_string(Client->plan().Version)},
               {"before", std::to_string(Pipeline->plan().Version)}});
     if (ConnectionSharing)
-      ConnectionSharing->setPlan(Feed->plan());
-    Permits->adopt(Feed->plan());
-    Pipeline->adopt(Feed->plan());
-    Pipeline->updateTargets(Feed->directory());
+      ConnectionSharing->setPlan(Client->plan());
+    Permits->adopt(Client->plan());
+    Pipeline->adopt(Client->plan());
+    Pipeline->updateTargets(Client->directory());
   });
-  Feed->signalDirectory().connect([this] {
+  Client->signalDirectory().connect([this] {
     if (ConnectionSharing)
-      ConnectionSharing->updateTargets(Feed->directory());
-    Pipeline->updateTargets(Feed->directory());
+      ConnectionSharing->updateTargets(Client->directory());
+    Pipeline->updateTargets(Client->directory());
   });
-  Feed->signalProxies().connect(
+  Client->signalProxies().connect(
       [this](std::size_t Count) { Pipeline->setProxyCount(Count); });
-  Feed->signalQuotas().connect([this] { Permits->handleSeatsChanged(); });
+  Client->signalQuotas().connect([this] { Permits->handleSeatsChanged(); });
   if (ConnectionSharing)
     connectRelay();
-  Feed->signalConnectivity().connect([](bool HasContact) {
-    logEvent(HasContact ? EventId::ControlFound : EventId::ControlLost, {});
+  Client->signalConnectivity().connect([](bool IsConnected) {
+    logEvent(IsConnected ? EventId::ControlFound : EventId::ControlLost, {});
   });
   Pipeline->signalTargetFailure().connect(
       sigc::mem_fun(*this, &SteeringProcess::reportTargetFailure));
   Pipeline->signalPrimaryAnswered().connect(
-      [this](const std::string &Id) { Feed->recordReachable(Id); });
+      [this](const std::string &Id) { Client->recordReachable(Id); });
   subscribeStatementLogs(*Pipeline, Time);
 }
 
 void SteeringProcess::connectRelay() {
-  Feed->signalProxyList().connect([this](const std::vector<ProxyRecord> &All) {
+  Client->signalProxyList().connect([this](
+                                        const std::vector<ProxyRecord> &All) {
     logEvent(EventId::ProxiesKnown, {{"proxies", std::to_string(All.size())}});
     ConnectionSharing->setProxies(All);
     Permits->setProxies(All);
     Pipeline->setProxyCount(All.size());
     // Statements may have waited for the list.
-    Pipeline->updateTargets(Feed->directory());
+    Pipeline->updateTargets(Client->directory());
   });
   Broker->signalTargetFailure().connect(
       sigc::mem_fun(*this, &SteeringProcess::reportTargetFailure));
   Broker->signalPrimaryAnswered().connect(
-      [this](const std::string &Id) { Feed->recordReachable(Id); });
+      [this](const std::string &Id) { Client->recordReachable(Id); });
 }
 
-void SteeringProcess::reportTargetFailure(const TargetFailure &Seen) {
+void SteeringProcess::reportTargetFailure(const TargetFailure &Problem) {
   if (admitEvent(EventId::TargetUnusable))
-    logEvent(
-        EventId::TargetUnusable,
-        {{"target", Seen.Id}, {"how", Seen.IsRefused ? "refused" : "silent"}});
-  Feed->recordUnreachable(Seen.Id);
+    logEvent(EventId::TargetUnusable,
+             {{"target", Problem.Id},
+              {"how", Problem.IsRefused ? "refused" : "silent"}});
+  Client->recordUnreachable(Problem.Id);
 }
 
 int SteeringProcess::run() {
@@ -282,9 +287,9 @@
     connectControl();
     Control->start();
   }
-  if (Feed) {
+  if (Client) {
     connectProxy();
-    Feed->start();
+    Client->start();
   }
   Loop.run();
   logEvent(EventId::Stopped, {{"name", Options.Name}});
@@ -299,33 +304,34 @@
     Loop.stop();
     return;
   }
-  Feed->announceStop();
+  Client->announceStop();
   if (Relay)
     Relay->announceStop();
   const Millis Now = Time.now();
   const Millis Part = Options.StopTimeout / StopParts;
   Pipeline->beginStop(Now + Part * TransactionsEndBy,
-                      Now + Part * SessionsLeaveBy);
+                      Now + Part * SessionsClosedBy);
   stopWhenIdle(Now + Part * (StopParts - 1));
 }
 
-void SteeringProcess::stopWhenIdle(Millis Until) {
-  // The balancer sends callers here until it has seen that this process isn't
-  // ready, so an early quiet moment is no reason to go.
-  const Millis Notice = Until -
-                        Options.StopTimeout / StopParts * (StopParts - 1) +
-                        Options.DrainDelay;
+void SteeringProcess::stopWhenIdle(Millis DeadlineAt) {
+  // The balancer sends callers here until it has observed that this process is
+  // not ready, so the process does not stop before then, even if idle.
+  const Millis EarliestStop =
+      DeadlineAt - Options.StopTimeout / StopParts * (StopParts - 1) +
+      Options.DrainDelay;
   const Millis Now = Time.now();
-  const bool IsQuiet =
+  const bool IsIdle =
       Pipeline->hasNoSessions() && (!Broker || !Broker->isBusy());
-  if ((IsQuiet && Now >= Notice) || Now >= Until) {
-    if (!IsQuiet)
+  if ((IsIdle && Now >= EarliestStop) || Now >= DeadlineAt) {
+    if (!IsIdle)
       logEvent(EventId::StopBoundReached,
                {{"unfinished", std::to_string(Pipeline->sessions())}});
     Loop.stop();
     return;
   }
-  Loop.after(StopCheckInterval, [this, Until] { stopWhenIdle(Until); });
+  Loop.after(StopCheckInterval,
+             [this, DeadlineAt] { stopWhenIdle(DeadlineAt); });
 }
 
 void SteeringProcess::reload() {
@@ -338,8 +344,8 @@
       logEvent(EventId::SettingsRefused, {{"error", Each.text()}});
     return;
   }
-  if (Feed)
-    Feed->setSeeds(addressesOf(Parsed->Seeds));
+  if (Client)
+    Client->setSeeds(addressesOf(Parsed->Seeds));
   logEvent(EventId::SettingsReloaded, {{"key", "group.seeds"}});
 }
 
--- a/Source/App/SteeringProcess.h
+++ b/Source/App/SteeringProcess.h
@@ -1,6 +1,6 @@
 /// \file
-/// One running process where targets enforce their leadership themselves, on
-/// real sockets and files.
+/// A running process where targets enforce leadership themselves, on real
+/// sockets and files.
 
 #ifndef CORIANDERDYKE_APP_STEERINGPROCESS_H
 #define CORIANDERDYKE_APP_STEERINGPROCESS_H
@@ -23,21 +23,22 @@
 
 namespace corianderdyke {
 
-/// Puts the slices together. Only this layer and the edge know sockets.
+/// Connects the components. Only this layer and the protocol adapter know
+/// sockets.
 class SteeringProcess : public sigc::trackable {
 public:
-  /// Opens the data folder and the ports; the first that fails is the error.
+  /// Opens the data folder and the ports; returns the first error.
   static Expected<std::unique_ptr<SteeringProcess>>
   make(const Settings &Options, std::string File,
        std::unique_ptr<ProtocolAdapter> Adapter);
 
-  /// Runs until a signal ends it; the exit code.
+  /// Runs until a signal ends it; returns the exit code.
   int run();
 
 private:
   SteeringProcess(const Settings &Options, std::string File,
-                  std::unique_ptr<ProtocolAdapter> Outer)
-      : Options(Options), File(std::move(File)), Adapter(std::move(Outer)) {}
+                  std::unique_ptr<ProtocolAdapter> Adapter)
+      : Options(Options), File(std::move(File)), Adapter(std::move(Adapter)) {}
 
   Expected<void> open();
   Expected<void> openControl();
@@ -50,9 +51,9 @@
   void connectControl();
   void connectProxy();
   void connectRelay();
-  void reportTargetFailure(const TargetFailure &Seen);
+  void reportTargetFailure(const TargetFailure &Problem);
   void beginStop();
-  void stopWhenIdle(Millis Until);
+  void stopWhenIdle(Millis DeadlineAt);
   void reload();
 
   Settings Options;
@@ -63,16 +64,16 @@
   std::unique_ptr<ProtocolAdapter> Adapter;
   std::unique_ptr<SocketTransport> Peers;
   std::unique_ptr<TargetConnector> Targets;
-  // Control.
+  // The control role.
   std::unique_ptr<TargetCommandPort> TargetCommands;
   std::unique_ptr<PromotionPort> Promotions;
   std::optional<FileDisk> Disk;
   std::optional<Journal> Records;
   std::optional<ReplicatedLog> Log;
   std::unique_ptr<SteeringNode> Control;
-  std::unique_ptr<HttpService> DirectoryCalls;
+  std::unique_ptr<HttpService> DirectoryHandler;
   std::unique_ptr<EventHttpServer> DirectoryPort;
-  // Proxy.
+  // The proxy role.
   FloorTable SessionFloors;
   std::unique_ptr<QuotaSeats> Quotas;
   std::unique_ptr<OperationPermits> Permits;
@@ -82,9 +83,9 @@
   std::unique_ptr<SharedConnector> ConnectionSharing;
   std::unique_ptr<RelayServer> Relay;
   std::unique_ptr<SessionPipeline> Pipeline;
-  std::unique_ptr<ControlClient> Feed;
+  std::unique_ptr<ControlClient> Client;
   std::unique_ptr<CallerListener> CallerPort;
-  std::unique_ptr<HttpService> ReadinessCalls;
+  std::unique_ptr<HttpService> ReadinessHandler;
   std::unique_ptr<EventHttpServer> ReadinessPort;
   std::unique_ptr<SteeringMetrics> Metrics;
   std::unique_ptr<EventHttpServer> MetricsPort;
