--- a/Source/Pipeline/CallerSession.h
+++ b/Source/Pipeline/CallerSession.h
@@ -1,5 +1,5 @@
 /// \file
-/// What one caller's session holds at its proxy.
+/// The state of one caller's session at its proxy.
 
 #ifndef CORIANDERDYKE_PIPELINE_CALLERSESSION_H
 #define CORIANDERDYKE_PIPELINE_CALLERSESSION_H
@@ -15,7 +15,7 @@
 /// Where a statement may run.
 enum class Placement : std::uint8_t {
   Primary,  ///< At a target that proves its lead.
-  AnyFresh, ///< Wherever the log holds the floor.
+  AnyFresh, ///< At any target whose log holds the floor.
 };
 
 /// One statement on its way through the proxy.
@@ -25,35 +25,36 @@
   Statement Stmt;
   std::weak_ptr<CallerSession> Session;
   RoutePolicy Route;
-  Millis ArrivedAt;  ///< Of its first byte, or of its transaction's.
+  Millis ArrivedAt;  ///< When the statement arrived.
   Millis DeadlineAt; ///< Of this statement.
-  /// Its wait for a connection counts from here: its arrival, or the moment at
-  /// which the answer to an earlier try, or the question for its floor, ended.
+  /// Start of its wait for a connection: its arrival, or the end of an earlier
+  /// try whose answer was lost, or of the wait for a floor or a permit.
   Millis WaitingSince;
-  /// Until then it may wait for a connection or be tried again.
+  /// Deadline for the wait for a connection and for retries.
   Millis QueueDeadline;
-  /// The same where nobody leads: nothing else can serve it.
+  /// The same deadline while no target leads: nothing else can serve the
+  /// statement then.
   Millis RetryDeadline;
   Stage CurrentStage = Stage::Waiting;
   Placement Destination = Placement::Primary;
   std::optional<LogPosition> Floor;
-  /// The floor is the session's own commit, which even a replica that is well
+  /// The floor is the last commit of the session, which even a healthy replica
   /// may not have yet.
   bool IsFloorOwnCommit = false;
   std::set<std::string> ExcludedTargets; ///< Targets that refused it.
   unsigned LaggingRefusals = 0;
-  bool HasAskedForFloor = false; ///< Once a try is enough.
+  bool HasAskedForFloor = false; ///< A floor was requested; done at most once.
   unsigned Tries = 0;
-  /// True once the caller's own text went out on the present try.
+  /// True once the caller's statement was sent in the current try.
   bool IsSent = false;
   Millis SentAt;
-  /// What went out may wait this long for a shared connection before it runs.
+  /// How long the sent command may wait for a shared connection before it runs.
   Millis MaxQueueTime;
   Millis QueuedAt; ///< When it began to wait for a connection.
-  Millis RetryAt;  ///< Waits until then after a refusal.
+  Millis RetryAt;  ///< Not retried before then after a refusal.
   TargetConnectionPtr Connection;
   bool Writes = false;
-  std::uint64_t PermitRequestId = 0; ///< Asked for its operation; 0: none.
+  std::uint64_t PermitRequestId = 0; ///< Of its operation; 0: none.
 };
 
 using SessionJobPtr = std::shared_ptr<SessionJob>;
@@ -74,25 +75,27 @@
   std::shared_ptr<CallerLink> Link;
   std::string Database;
   std::string KeyDigest;
-  /// Whose statements it runs. It never changes: where the plan gives the key
-  /// to another organisation, the session ends.
+  /// The organisation that it runs statements for. It never changes: if the
+  /// plan gives the key to another organisation, the session ends.
   std::string Organisation;
-  /// Since when the plan doesn't let it run for that organisation any more.
+  /// When a plan stopped assigning its key to that organisation.
   std::optional<Millis> RevokedAt;
   SessionValues Values;
   std::map<std::string, PreparedStatement> Prepared;
-  /// Set while it waits for a plan that knows it: until then at most.
+  /// Set while the session waits for a plan that contains its key: the deadline
+  /// of that wait.
   std::optional<Millis> AdmissionDeadline;
   SessionPhase Phase = SessionPhase::Idle;
-  /// The transaction was ended here, and its caller hasn't been told yet.
+  /// The proxy has ended the transaction, and the caller has not been informed
+  /// yet.
   bool IsAbortUnreported = false;
   std::optional<SessionTransaction> Transaction;
-  /// The session's own last commit by group: its reads must not miss it.
+  /// The session's last commit by group, which its reads must not miss.
   std::map<std::string, LogPosition> LastCommit;
   SessionJobPtr Current;
   std::deque<Statement> PendingStatements; ///< Behind the current one.
   bool IsStarting = false; ///< Its statements are being started.
-  bool IsClosed = false;   ///< The caller has left.
+  bool IsClosed = false;   ///< The session has ended.
 };
 
 using CallerSessionPtr = std::shared_ptr<CallerSession>;
--- a/Source/Pipeline/ConnectionAssignment.cpp
+++ b/Source/Pipeline/ConnectionAssignment.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How waiting statements get connections to targets.
+/// Assigns connections to targets to the statements that wait for them.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -9,32 +9,32 @@
 
 namespace {
 
-/// Connections of one proxy to one target that it may keep warm at least.
-constexpr std::size_t LeastShare = 1;
-/// What a statement costs more in another failure domain, in units of one
-/// statement that runs there already: the way there and back costs time and
-/// bytes between failure domains.
+/// Least share of a target's connections that one proxy gets.
+constexpr std::size_t MinShare = 1;
+/// Added cost of a target in another failure domain, in units of one statement
+/// in flight there: the round trip between failure domains costs time and
+/// traffic.
 constexpr double DistanceCost = 3;
-/// A replica that hadn't reached the floor when it last answered would
-/// refuse the read, which costs one way there and back.
+/// Added cost of a replica that was behind the floor in its last answer: it
+/// would refuse the read, which costs a round trip.
 constexpr double BehindCost = 3;
-/// How long a statement waits for a connection in use before another is
-/// opened: most statements end sooner.
-constexpr Millis WaitBeforeBurst(10);
-/// The primary is left to those that need it: what a read saves by one in its
-/// own failure domain is less than what a write behind it loses, which can go
-/// nowhere else. With less than the distance, a third of the reads ran there:
-/// with 300 proxies 8.1 of 100 operations that need the primary were late in
-/// place of 6.1.
+/// How long a statement waits for a connection in use before another is opened:
+/// most statements end sooner.
+constexpr Millis WaitBeforeOpening(10);
+/// Added cost of the primary for reads that a replica can serve. A read saves
+/// less by a primary in its own failure domain than a write behind it loses,
+/// since writes can run nowhere else. With a cost below DistanceCost, a third
+/// of the reads run at the primary: with 300 proxies, 8.1 of 100 operations
+/// that need the primary are late instead of 6.1.
 constexpr double PrimaryCost = DistanceCost + 1;
-/// Milliseconds of a target's mean answer time that weigh as much as one
-/// statement that runs there.
+/// Mean answer time of a target, in milliseconds, that costs as much as one
+/// statement in flight there.
 constexpr double LatencyUnit = 15;
 
 } // namespace
 
 void SessionPipeline::adopt(const RoutePlan &New) {
-  // Never back: callers have seen the later one.
+  // Older plans are ignored: callers have already seen the newer one.
   if (New.Version <= plan().Version)
     return;
   if (plan().Version == 0)
@@ -55,7 +55,7 @@
     const std::size_t All = Policy->usableConnections();
     const bool IsShared = Deps.Targets.sharesConnections(Name);
     for (auto &[Id, Pool] : Each.Pools) {
-      Pool.setShare(std::max(LeastShare, All / Proxies));
+      Pool.setShare(std::max(MinShare, All / Proxies));
       Pool.setPerOrganisation(!plan().Organisations.empty());
       Pool.setShared(IsShared, Deps.Time.now());
     }
@@ -65,15 +65,15 @@
 void SessionPipeline::updateTargets(const TargetDirectory &Directory) {
   const Millis Now = Deps.Time.now();
   for (const TargetRecord &Each : Directory.all()) {
-    // Nobody declared that group: no connection is opened on the strength of a
-    // heartbeat alone.
+    // The plan does not declare the group: a heartbeat alone opens no
+    // connection.
     if (Plan.group(Each.Group) == nullptr && Groups.count(Each.Group) == 0)
       continue;
     Group &In = Groups[Each.Group];
     const auto Pool = In.Pools.find(Each.Id);
     if (Pool == In.Pools.end()) {
       if (!Each.IsGone)
-        In.Pools.emplace(Each.Id, TargetPool(Each, LeastShare, Now));
+        In.Pools.emplace(Each.Id, TargetPool(Each, MinShare, Now));
       continue;
     }
     if (Pool->second.isNewIncarnation(Each))
@@ -98,9 +98,9 @@
     dispatchWaiting(Name);
 }
 
-// A target that starts again under its id may be back before its silence was
-// noticed. Whoever waits on a connection of its former life would wait for
-// good, and learns now that it's lost.
+// A target may restart under its id before its failure is detected. Statements
+// that wait on a connection of the earlier incarnation would never be answered,
+// so they are failed now.
 void SessionPipeline::closeStaleConnections(const std::string &GroupName,
                                             TargetPool &Pool) {
   for (const TargetConnectionPtr &Each : Pool.closeAll())
@@ -143,11 +143,11 @@
     const TargetRecord &Record = Pool.record();
     if (Record.IsGone)
       continue;
-    // No gateway reaches it at the moment.
+    // No gateway reaches the target at the moment.
     if (Pool.isShared() && Pool.isBackingOff(Now))
       continue;
-    // A leaving primary serves on until another has taken its place, or until
-    // the time that it was promised is nearly over.
+    // A leaving primary serves until another one is promoted, or until shortly
+    // before the end of the time that it was promised.
     if (Job.Destination == Placement::Primary &&
         (Id != In.Primary || !Pool.mayBePrimary(Now) ||
          !Pool.acceptsNewWork(Now)))
@@ -164,7 +164,7 @@
 }
 
 // Each cost is computed once: it changes with time, and a sort whose order
-// changes while it runs reads outside the list.
+// changes while it runs reads out of bounds.
 std::vector<TargetPool *>
 SessionPipeline::cheapestFirst(const Group &In,
                                const std::vector<TargetPool *> &Among,
@@ -184,9 +184,9 @@
   return Out;
 }
 
-// Load pattern: a burst of reads and writes. Reads have several targets, and
-// what needs the leader has one: each read there holds up writes that nobody
-// else can take.
+// In a burst of reads and writes, reads have several targets and statements for
+// the leader have one: each read at the leader delays writes that no other
+// target can run.
 void SessionPipeline::excludeCongestedPrimary(
     const Group &In, std::vector<TargetPool *> &Among) {
   Among.erase(std::remove_if(Among.begin(), Among.end(),
@@ -217,7 +217,7 @@
     return false;
   std::vector<TargetPool *> Choices = candidates(In, *Job);
   if (Choices.empty() && Job->Destination == Placement::AnyFresh) {
-    // Every replica refused it, or none is left.
+    // All replicas refused the read, or none is left.
     Job->Destination = Placement::Primary;
     Job->Floor.reset();
     Choices = candidates(In, *Job);
@@ -226,8 +226,8 @@
       (Job->Destination == Placement::Primary && Choices.front()->size() == 0 &&
        Choices.front()->isBackingOff(Now)))
     In.Outage.recordNoPrimary(Now);
-  // The best target gets a connection even while another has one free;
-  // otherwise callers would stay with the far target for good.
+  // Opens a connection to the cheapest target even while another target has an
+  // idle one; otherwise callers would stay with the distant target.
   const Millis Waited = Now - Job->QueuedAt;
   Choices.erase(
       std::remove_if(Choices.begin(), Choices.end(),
@@ -244,7 +244,8 @@
       return true;
     }
   }
-  // One connection on its way for all that wait: each costs the target a slot.
+  // One opening connection serves all waiting statements: each costs the target
+  // a slot.
   for (TargetPool *Pool : Choices)
     if (Pool->opening(Organisation) > 0 ||
         openIfAllowed(Job->Route.Group, *Pool, Organisation, Waited))
@@ -258,8 +259,8 @@
          Pool.mayOpen(Organisation, Deps.Time.now());
 }
 
-// Callers come to all proxies at the same moment, and a new connection takes
-// longer than most statements.
+// Callers arrive at all proxies at the same time, and opening a connection
+// takes longer than most statements.
 void SessionPipeline::warmUp(const std::string &GroupName, TargetPool &Pool,
                              Millis Now) {
   if (plan().Version == 0 || Pool.isShared() || Pool.opening() > 0 ||
@@ -273,9 +274,9 @@
                                     TargetPool &Pool,
                                     const std::string &Organisation,
                                     Millis Waited) {
-  // A connection costs the target as much as a statement, and one of the few
-  // that it takes from everybody; the next statement to end may free one.
-  // A link to shared ones costs nothing: as many as statements wait.
+  // Opening a connection costs the target as much as a statement and uses one
+  // of its few connections; the next statement to end may free one. A link to
+  // shared connections costs nothing: as many are opened as statements wait.
   if (Pool.isShared()) {
     if (Pool.opening() >= Groups[GroupName].Waiting.size() ||
         !mayOpen(Pool, Organisation))
@@ -283,7 +284,7 @@
     openConnection(GroupName, Pool, {Organisation});
     return true;
   }
-  if (Pool.size(Organisation) > 0 && Waited < WaitBeforeBurst)
+  if (Pool.size(Organisation) > 0 && Waited < WaitBeforeOpening)
     return false;
   if (Pool.opening(Organisation) > 0 || !mayOpen(Pool, Organisation))
     return false;
@@ -330,13 +331,13 @@
   TargetPool *Pool = poolOf(Gone);
   if (isAtLimit(Why))
     ++Counts.Openings.RefusedAtLimit;
-  // Behind a shared one the gateway reports its targets itself.
+  // For shared connections the gateway reports target failures itself.
   if (Pool != nullptr && Pool->handleClosed(Gone, Why, Deps.Time.now()) &&
       !Gone->isShared())
     TargetFailed.emit({Gone->address().Id, true});
   if (In.Probe.Connection == Gone)
     endProbe(GroupName);
-  // Whoever waits for an answer on it learns so now.
+  // Statements that wait for an answer on the connection fail now.
   std::vector<SessionJobPtr> Lost;
   for (const SessionJobPtr &Job : Running)
     if (Job->Connection == Gone)
--- a/Source/Pipeline/FloorProbes.cpp
+++ b/Source/Pipeline/FloorProbes.cpp
@@ -1,11 +1,11 @@
 /// \file
-/// Asks leaders for floors that reads wait for.
+/// Gets floors from leaders for the reads that wait for one.
 ///
-/// Load pattern: many proxies, each with little to do for a group, or all of
-/// them just started. None has seen the leader lately, so none knows a floor
-/// that is young enough, and every bounded read would run at the leader, where
-/// the writes are. An opening and its rollback take none of the target's
-/// slots and show the same position, once for all reads that wait.
+/// If many proxies each have few statements for a group, or all of them have
+/// just started, none has had a recent answer from the leader. Without a recent
+/// floor every bounded read would run at the leader, where the writes run. An
+/// opening and its rollback take none of the target's slots and return the same
+/// position, once for all reads that wait.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// A probe that isn't answered by then leaves its reads to the leader: the
-/// way there and back takes a few milliseconds.
-constexpr Millis ProbePatience(60);
+/// Reads run at the leader if the probe is not answered within this time: a
+/// round trip takes a few milliseconds.
+constexpr Millis ProbeTimeout(60);
 
 } // namespace
 
@@ -42,8 +42,8 @@
     return endProbe(Name);
   const TargetConnectionPtr On = Pool.idleForInternalUse();
   if (!On) {
-    // A link is open within a moment; a connection of its own takes the
-    // target a slot, which the read may as well have itself.
+    // A link to shared connections opens at once; a dedicated connection would
+    // take a slot of the target, which the read itself can use instead.
     if (!Pool.isShared() || !mayOpen(Pool, ""))
       return endProbe(Name);
     if (Pool.opening("") == 0)
@@ -54,7 +54,7 @@
   In.Probe = {On, Now};
   std::vector<TargetConnection::Step> Steps;
   Steps.push_back(
-      {{.Operation = TargetCommand::Kind::Begin, .MaxQueueTime = ProbePatience},
+      {{.Operation = TargetCommand::Kind::Begin, .MaxQueueTime = ProbeTimeout},
        [this, Name, On](const StatementAnswer &Answer) {
          floorAnswered(Name, On, Answer);
        }});
@@ -87,9 +87,9 @@
     const CallerSessionPtr Session = Job->Session.lock();
     if (!Session || Job->CurrentStage != SessionJob::Stage::Waiting)
       continue;
-    // It waited for the floor, not in the queue. A probe that got lost takes
-    // longer than a statement may wait there, and its reads would be refused
-    // without a single try.
+    // The read waited for the floor, not in the queue. A lost probe takes
+    // longer than a statement may wait in the queue, so its reads would be
+    // refused without a single try.
     Job->WaitingSince = Deps.Time.now();
     choosePlacement(*Session, *Job);
     enqueue(Job);
@@ -99,7 +99,7 @@
 void SessionPipeline::expireProbe(const std::string &Name, Group &In,
                                   Millis Now) {
   if (In.AwaitingFloor.empty() ||
-      Now - In.AwaitingFloor.front()->QueuedAt < ProbePatience)
+      Now - In.AwaitingFloor.front()->QueuedAt < ProbeTimeout)
     return;
   if (In.Probe.Connection)
     discard(In.Probe.Connection);
--- a/Source/Pipeline/FloorTable.cpp
+++ b/Source/Pipeline/FloorTable.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Proven floors: log positions that hold everything acknowledged before a
+/// Proven floors: log positions that hold every commit acknowledged before a
 /// known moment.
 
 #include "Pipeline/FloorTable.h"
@@ -11,8 +11,9 @@
 void FloorTable::record(const std::string &Group, LogPosition Position,
                         Millis SentAt, Millis Now) {
   std::deque<ObservedPosition> &Known = Groups[Group];
-  // A floor in the tail that a promotion rolled back is in no log any more:
-  // every replica would refuse it for as long as it's kept.
+  // A promotion rolls back the end of the former primary's log. A floor in that
+  // part is in no log any more: every replica would refuse it for as long as it
+  // is kept.
   if (!Known.empty() && Known.back().Position.Term > Position.Term)
     return;
   if (!Known.empty() && Known.back().Position.Term < Position.Term)
--- a/Source/Pipeline/FloorTable.h
+++ b/Source/Pipeline/FloorTable.h
@@ -1,14 +1,14 @@
 /// \file
-/// Proven floors: log positions that hold everything acknowledged before a
+/// Proven floors: log positions that hold every commit acknowledged before a
 /// known moment.
 ///
 /// A read may miss commits that are younger than its accepted age. A replica
-/// alone can't tell how old it is, and the time that it last heard of its
-/// primary proves nothing once another leads. A position that a leader showed
-/// in an answer to something sent at time T holds every commit acknowledged
-/// before T, whichever proxy carried it. A target whose log holds that
-/// position is fresh enough for any read that arrives within the accepted age
-/// after T, without clocks of other hosts and without control.
+/// cannot determine alone how old its log is, and the time of its last message
+/// from its primary proves nothing once another target leads. A position that a
+/// leader returns in an answer to a command sent at time T holds every commit
+/// acknowledged before T, whichever proxy carried it. A target whose log holds
+/// that position is fresh enough for any read that arrives within the accepted
+/// age after T, without clocks of other hosts and without control.
 
 #ifndef CORIANDERDYKE_PIPELINE_FLOORTABLE_H
 #define CORIANDERDYKE_PIPELINE_FLOORTABLE_H
@@ -25,7 +25,8 @@
 
 class FloorTable {
 public:
-  /// A position that a leader showed, and when it was asked for it.
+  /// A log position that a leader returned, and when the command for it was
+  /// sent.
   struct ObservedPosition {
     LogPosition Position;
     Millis SentAt;
@@ -34,31 +35,31 @@
     auto operator<=>(const ObservedPosition &) const = default;
   };
 
-  /// A target that proved its lead showed \p Position in an answer to something
-  /// that was sent at \p SentAt and arrived by \p Now.
+  /// Records \p Position, which a target that proved that it leads returned in
+  /// an answer to a command sent at \p SentAt; the answer arrived by \p Now.
   void record(const std::string &Group, LogPosition Position, Millis SentAt,
               Millis Now);
 
-  /// True where a target that says that it leads lacks what its own term had
-  /// shown by \p SentAt. A primary that starts again under its id without its
-  /// log still takes transactions, and their callers would miss commits that
-  /// were acknowledged. Within a term a log that's kept never shrinks.
+  /// True if a target that claims to lead lacks a position of its own term that
+  /// was known by \p SentAt. A primary that restarts under its id without its
+  /// log still accepts transactions, and their callers would miss acknowledged
+  /// commits. Within a term, a log that is kept never shrinks.
   bool isRegression(const std::string &Group, LogPosition Position,
                     Millis SentAt) const;
 
-  /// The lowest position that is a floor for a read which arrived at
-  /// \p ArrivedAt and accepts \p AcceptedAge; the lowest lets the most
-  /// replicas serve it. Nothing where no proof is young enough.
+  /// Returns the lowest position that is a floor for a read which arrived at \p
+  /// ArrivedAt and accepts \p AcceptedAge; the lowest allows the most replicas
+  /// to serve it. Returns nothing if no proof is recent enough.
   std::optional<LogPosition> floor(const std::string &Group, Millis ArrivedAt,
                                    Millis AcceptedAge) const;
 
-  /// The youngest proof, to be told to other proxies.
+  /// Returns the newest proof, for other proxies.
   std::optional<ObservedPosition> latest(const std::string &Group) const;
 
 private:
   /// Longest accepted age that is supported; older proofs are dropped.
   static constexpr Millis Retention = Millis(60000);
-  /// Proofs this close together are worth one; bounds the table.
+  /// Proofs closer together than this are merged, which bounds the table.
   static constexpr Millis Spacing = Millis(20);
   static constexpr std::size_t MaxPositions = 512;
 
--- a/Source/Pipeline/OperationQuotas.cpp
+++ b/Source/Pipeline/OperationQuotas.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// Operations get a permit within their organisation's quota before they look
-/// for a target.
+/// Gets a permit within the organisation's quota for each operation before the
+/// operation gets a target.
 ///
-/// A short wait smooths what comes unevenly within the quota. What would wait
+/// Short waits smooth bursts within the quota. An operation that would wait
 /// longer than its objective is refused at once, with the time at which the
-/// quota has room again.
+/// quota has permits again.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -38,7 +38,8 @@
   if (Session->Transaction)
     Session->Transaction->IsCountedInQuota = true;
   const Millis Now = Deps.Time.now();
-  // It waited for the quota, not in a target's queue; floors are younger now.
+  // The operation waited for its quota, not in the queue of a target; newer
+  // floors may be known now.
   if (Now > Job->QueuedAt) {
     Job->WaitingSince = Now;
     choosePlacement(*Session, *Job);
--- a/Source/Pipeline/PipelineTimes.cpp
+++ b/Source/Pipeline/PipelineTimes.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What ends with time: waits, statements, idle transactions, and sessions
-/// before a planned stop.
+/// Applies time limits: to waiting and running statements, idle transactions,
+/// and sessions before a planned stop.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// A statement without an answer for this long, or for its objective where
-/// that is longer, counts as lost where it may be sent again or taken back.
-constexpr Millis AnswerPatience(250);
-/// A target from which nothing comes for this long, while an answer is due, is
-/// told to control: several times what statements take.
-constexpr Millis SilenceNoticed(200);
-/// Opening a transaction takes a target no work.
-constexpr Millis OpeningPatience(200);
+/// Shortest answer timeout of a statement that may be sent again or rolled
+/// back; the objective counts if it is longer.
+constexpr Millis MinAnswerTimeout(250);
+/// A target that sends nothing for this long while an answer is due is reported
+/// to control: several times the usual duration of statements.
+constexpr Millis UnresponsiveAfter(200);
+/// Timeout for opening a transaction, which costs a target no work.
+constexpr Millis BeginTimeout(200);
 
 } // namespace
 
@@ -40,8 +40,8 @@
       for (const TargetConnectionPtr &Connection : Open)
         if (Connection->stage() == TargetConnection::Stage::Opening) {
           IsUrgent = true;
-          constexpr Millis OpenPatience(400);
-          if (Now - Connection->openedAt() > OpenPatience) {
+          constexpr Millis ConnectTimeout(400);
+          if (Now - Connection->openedAt() > ConnectTimeout) {
             Connection->close();
             closed(Name, Connection, std::nullopt);
           }
@@ -68,26 +68,27 @@
 void SessionPipeline::expireWaiting(Group &In, Millis Now) {
   const std::list<SessionJobPtr> Waiting = In.Waiting;
   for (const SessionJobPtr &Job : Waiting) {
-    // The next statement of a caller that was just refused has connections
-    // assigned anew. One that got a connection by that has been sent: its
-    // caller would be told that it hasn't run, and send it a second time.
+    // A refusal below may start the caller's next statement, which assigns
+    // connections again. A job that got a connection that way has been sent:
+    // refusing it as not run would make its caller send it twice.
     if (Job->CurrentStage != SessionJob::Stage::Waiting)
       continue;
-    const bool IsHopeless = Job->Destination == Placement::Primary &&
-                            !In.Outage.isWorthWaiting(Now, Job->RetryDeadline);
-    if (!IsHopeless && Now < effectiveQueueDeadline(*Job))
+    const bool IsOutageTooLong =
+        Job->Destination == Placement::Primary &&
+        !In.Outage.isWorthWaiting(Now, Job->RetryDeadline);
+    if (!IsOutageTooLong && Now < effectiveQueueDeadline(*Job))
       continue;
     In.Waiting.remove(Job);
     const Millis Back =
         In.forecast(*Job).expectedWait(In.waiting(*Job) + 1, Now);
     std::string Why = "no connection came free; come back after " +
                       std::to_string(Back.count()) + " ms";
-    if (IsHopeless)
+    if (IsOutageTooLong)
       Why = "no target leads; come back after " +
             std::to_string(In.Outage.retryAfter(Now).count()) + " ms";
     finishRefused(Job, {RefusalCode::Busy, std::move(Why)},
-                  IsHopeless ? "no leader within its time"
-                             : "waited for a connection");
+                  IsOutageTooLong ? "no leader within its time"
+                                  : "waited for a connection");
   }
 }
 
@@ -99,11 +100,11 @@
   if (Now < Job->SentAt + answerTimeout(*Job, IsAlone))
     return;
   const TargetConnectionPtr Used = Job->Connection;
-  // An answer that got lost is no sign that the target is in trouble while
-  // others come from it; a change of primary would cost more than it mends.
+  // A lost answer does not mean that the target has failed while other answers
+  // arrive from it; a change of primary would cost more than it gains.
   const TargetPool *Pool = poolOf(Used);
-  // What came in the same millisecond, such as the opening of the connection,
-  // was no answer to what was sent then.
+  // An answer that arrived in the millisecond of the sending, such as the one
+  // to the opening of the connection, belongs to something sent earlier.
   if (Pool == nullptr || Pool->lastAnswer() <= Job->SentAt)
     reportUnresponsive(Used, Now);
   discard(Used);
@@ -116,22 +117,22 @@
                                 " ms");
 }
 
-// A statement may be waited for longer than it takes to see that nothing at
-// all comes from its target. Control hears of it by then, and a change of
-// primary begins that much sooner.
+// A statement's answer timeout may be longer than it takes to detect that the
+// target sends nothing at all. Reporting that to control earlier starts the
+// change of primary earlier.
 void SessionPipeline::checkUnresponsive(const SessionJobPtr &Job, Millis Now) {
   const TargetPool *Pool = poolOf(Job->Connection);
   if (Pool == nullptr || Pool->isShared() ||
-      Now < Job->SentAt + SilenceNoticed || Pool->lastAnswer() > Job->SentAt ||
-      Pool->isBackingOff(Now))
+      Now < Job->SentAt + UnresponsiveAfter ||
+      Pool->lastAnswer() > Job->SentAt || Pool->isBackingOff(Now))
     return;
   reportUnresponsive(Job->Connection, Now);
 }
 
 void SessionPipeline::reportUnresponsive(const TargetConnectionPtr &Used,
                                          Millis Now) {
-  // Behind a shared connection the gateway may be the silent one; it reports
-  // its targets itself.
+  // With a shared connection the gateway may be the one that does not respond;
+  // it reports its targets itself.
   if (!Used || Used->isShared())
     return;
   if (TargetPool *Pool = poolOf(Used))
@@ -139,32 +140,33 @@
   TargetFailed.emit({Used->address().Id, false});
 }
 
-// A statement that may run again, or whose transaction is rolled back with
-// its connection, isn't waited for longer than answers usually take. A write
-// on its own and a commit are: nobody else can tell what became of them.
+// A statement that may run again, or whose transaction is rolled back with its
+// connection, times out after the usual answer time. A write outside a
+// transaction and a commit have their whole deadline: only their answers show
+// whether they took effect.
 Millis SessionPipeline::answerTimeout(const SessionJob &Job,
                                       bool IsAlone) const {
   if (!Job.IsSent)
-    return OpeningPatience + Job.MaxQueueTime;
-  const bool Settles =
+    return BeginTimeout + Job.MaxQueueTime;
+  const bool DecidesOutcome =
       Job.Stmt.Kind == StatementKind::Commit || (IsAlone && Job.Writes);
   const Millis Rest = Job.DeadlineAt - Job.SentAt;
-  if (Settles || (IsAlone && Deps.Time.now() >= Job.RetryDeadline))
+  if (DecidesOutcome || (IsAlone && Deps.Time.now() >= Job.RetryDeadline))
     return Rest;
-  return std::min(Rest, std::max(AnswerPatience, Job.Route.Objective) +
+  return std::min(Rest, std::max(MinAnswerTimeout, Job.Route.Objective) +
                             Job.MaxQueueTime);
 }
 
 void SessionPipeline::endIdleTransactions(Millis Now) {
-  // Ending one doesn't end its session.
+  // Ending a transaction does not end its session.
   for (const auto &[Id, Each] : Sessions) {
     if (!Each->Transaction || Each->Current)
       continue;
-    const bool TooLong =
+    const bool HasTimedOut =
         Now - Each->Transaction->LastUsed > plan().TransactionIdleTimeout ||
         exceedsRevocationGrace(*Each, Now);
-    const bool Stops = IsStopping && Now >= TransactionsUntil;
-    if (!TooLong && !Stops)
+    const bool MustStop = IsStopping && Now >= TransactionsUntil;
+    if (!HasTimedOut && !MustStop)
       continue;
     endTransaction(std::move(*Each->Transaction));
     Each->Transaction.reset();
@@ -185,7 +187,8 @@
 void SessionPipeline::closeIdleSessions(Millis Now) {
   if (!IsStopping)
     return;
-  // An even pace from the beginning to the bound.
+  // Closes sessions at a constant rate from the beginning of the stop to its
+  // deadline.
   const auto Span =
       std::max<std::int64_t>(1, (SessionsUntil - StopBeganAt).count());
   const auto Passed = std::min<std::int64_t>(Span, (Now - StopBeganAt).count());
--- a/Source/Pipeline/PrimaryOutage.h
+++ b/Source/Pipeline/PrimaryOutage.h
@@ -1,11 +1,11 @@
 /// \file
-/// Tells whether to wait for a group's next leader.
+/// Decides whether statements wait for a group's next leader.
 ///
-/// Load pattern: the primary fails, and every statement that needs a leader
-/// has nowhere to go until another is promoted. If all of them waited to
-/// their deadlines, callers whose time ends first would lose it to a wait
-/// that couldn't help; if all were refused at once, callers would use up
-/// their few tries within milliseconds of a gap that is nearly over.
+/// When the primary fails, statements that need a leader have no target until
+/// another one is promoted. If all of them waited to their deadlines, callers
+/// whose time ends before the promotion would wait in vain; if all were refused
+/// at once, callers would use up their few retries within milliseconds, even in
+/// an outage that is almost over.
 
 #ifndef CORIANDERDYKE_PIPELINE_PRIMARYOUTAGE_H
 #define CORIANDERDYKE_PIPELINE_PRIMARYOUTAGE_H
@@ -19,13 +19,13 @@
 
 class PrimaryOutage {
 public:
-  /// Nobody could take a statement for the leader.
+  /// No target could run a statement for the leader.
   void recordNoPrimary(Millis Now) {
     if (!Since)
       Since = Now;
   }
 
-  /// True while nobody can take statements for the leader.
+  /// True while no target can run statements for the leader.
   bool isActive() const { return Since.has_value(); }
 
   /// A leader answered.
@@ -34,14 +34,14 @@
       return;
     const Millis Lasted = Now - *Since;
     Since.reset();
-    // Blips say nothing about how long a change of leader takes.
+    // Short interruptions do not show how long a change of leader takes.
     if (Lasted > ShortOutage)
       TypicalDuration =
-          std::clamp((TypicalDuration + Lasted) / 2, Shortest, Longest);
+          std::clamp((TypicalDuration + Lasted) / 2, MinDuration, MaxDuration);
   }
 
-  /// True where a statement that may wait until \p Until has a good chance to
-  /// see the next leader.
+  /// True if a statement that may wait until \p Until is likely to be served by
+  /// the next leader.
   bool isWorthWaiting(Millis Now, Millis Until) const {
     if (!Since || Now - *Since <= ShortOutage)
       return true;
@@ -49,22 +49,22 @@
     return Now < Back && Back < Until;
   }
 
-  /// When a refused caller should come back.
+  /// Returns the time after which a refused caller should retry.
   Millis retryAfter(Millis Now) const {
     const Millis Back = Since ? *Since + TypicalDuration : Now;
     return std::max(Back - Now, ShortOutage);
   }
 
 private:
-  /// A connection that broke, or word of a promotion that is on its way, is
-  /// over within this time.
+  /// A lost connection or a late message about a promotion is over within this
+  /// time.
   static constexpr Millis ShortOutage = Millis(120);
-  static constexpr Millis Shortest = Millis(200);
-  static constexpr Millis Longest = Millis(4000);
+  static constexpr Millis MinDuration = Millis(200);
+  static constexpr Millis MaxDuration = Millis(4000);
 
   std::optional<Millis> Since;
-  /// How long changes of leader took lately. It starts with detection in half
-  /// a second and a promotion of a second.
+  /// Usual duration of recent changes of leader. The initial value allows half
+  /// a second for detection and one second for a promotion.
   Millis TypicalDuration = Millis(1500);
 };
 
--- a/Source/Pipeline/PrimarySearch.cpp
+++ b/Source/Pipeline/PrimarySearch.cpp
@@ -1,13 +1,13 @@
 /// \file
-/// Finds a group's leader among its targets, where the one that is known
-/// doesn't lead.
+/// Finds a group's leader among its targets while the known primary does not
+/// lead.
 ///
-/// Load pattern: a primary is replaced, and word of it is late: the host that
-/// leads control has just ended, or this proxy is cut off from control but not
-/// from the targets. Each statement for the leader would go to the former one,
-/// be refused, and use up its caller's tries, for as long as the cut lasts. A
-/// target that opens a transaction which may write proves its lead; the
-/// opening takes none of its slots, and nobody's word is needed.
+/// When a primary is replaced while the control leader has failed, or while
+/// this proxy is cut off from control but not from the targets, the proxy is
+/// informed late. Each statement for the leader would go to the former primary,
+/// be refused, and use up its caller's retries for as long as the outage lasts.
+/// A target that opens a read-write transaction proves that it leads; the
+/// opening takes none of its slots and needs no message from control.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Between two rounds of questions: a promotion takes several of these, and a
-/// question costs a way there and back.
+/// Interval between two rounds of probes: a promotion takes several intervals,
+/// and a probe costs a round trip.
 constexpr Millis SearchInterval(60);
 
 } // namespace
@@ -32,7 +32,7 @@
       continue;
     const TargetConnectionPtr On = Pool.idleForInternalUse();
     if (!On) {
-      // Used by the next round.
+      // The next round uses the connection.
       if (Pool.isShared() && Pool.opening("") == 0 && mayOpen(Pool, ""))
         openConnection(Name, Pool, {.IsInternal = true});
       continue;
@@ -67,19 +67,19 @@
   In.Outage.recordPrimary(Now);
 }
 
-// Control's word goes before what was found here only once it's newer: before
-// that it's the word which proved wrong.
+// The primary that control reports replaces the one found here only with a
+// newer epoch: the report of the earlier epoch proved wrong.
 void SessionPipeline::adoptPrimary(const std::string &Name, Group &In,
                                    const TargetDirectory &Known) {
-  const auto Told = Known.primaryOf(Name);
-  const std::uint64_t Since = Told ? Told->PrimaryEpoch : 0;
+  const auto Reported = Known.primaryOf(Name);
+  const std::uint64_t Since = Reported ? Reported->PrimaryEpoch : 0;
   const TargetRecord *Found = Known.find(In.DiscoveredPrimary);
   const bool IsFoundGone = Found == nullptr || Found->IsGone;
   if (Since > In.ControlPrimarySince || IsFoundGone)
     In.DiscoveredPrimary.clear();
   In.ControlPrimarySince = Since;
   if (In.DiscoveredPrimary.empty())
-    In.Primary = Told ? Told->Id : "";
+    In.Primary = Reported ? Reported->Id : "";
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/QueueLimits.cpp
+++ b/Source/Pipeline/QueueLimits.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// How long statements may wait for a connection, and who is told at once that
-/// it would take too long.
+/// Limits how long statements wait for a connection, and refuses those at once
+/// that would wait too long.
 ///
-/// Load pattern: more comes than targets can do, for seconds.
+/// The limits apply when, for seconds, more statements arrive than the targets
+/// can serve.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -12,32 +13,33 @@
 
 namespace {
 
-/// Part of its timeout that a statement may wait for a connection, or be
-/// tried again. Less than half: a caller who is refused then has time for
-/// another proxy, and what is started then has time to be answered.
-constexpr std::int64_t WaitParts = 2; // of 5
+/// Part of its timeout during which a statement may wait for a connection or be
+/// retried. Less than half: a refused caller then has time for another proxy,
+/// and a statement that is sent has time to be answered.
+constexpr std::int64_t WaitParts = 2; // Of TimeoutParts.
 constexpr std::int64_t TimeoutParts = 5;
 
-/// A statement that waits for a connection for as long as its whole objective
-/// is late already. Refused then, its caller has time for other proxies; held
-/// to two fifths of the timeout, a burst makes all that waits run out of time.
-/// Objectives of less than this are met by none that waits.
-constexpr Millis LeastObjective(100);
+/// Shortest objective that limits the wait; no statement that waits meets a
+/// shorter one. A statement that waits for a connection for its whole objective
+/// is already late. If it is refused then, its caller has time for other
+/// proxies; if it may wait for two fifths of the timeout, all statements that
+/// wait in a burst time out.
+constexpr Millis MinObjective(100);
 
-/// Halves of a target's mean answer time that a statement needs after it was
-/// sent: answers of one kind differ by several times.
+/// Time that a statement needs after it was sent, in halves of the target's
+/// mean answer time: answers of one kind differ by several times.
 constexpr std::int64_t AnswerMargin = 3;
-/// Part of the time left for it that a statement may wait in the queue. With
-/// all of it everyone who is served under overload has waited it out, and those
-/// who were refused come back too late for another try.
-constexpr std::int64_t QueuePart = 4;
+/// Divisor of the time left: a statement may wait in the queue for this part of
+/// it. If it may wait for all of it, every statement that is served under
+/// overload has waited that long, and callers that are refused retry too late.
+constexpr std::int64_t QueueDivisor = 4;
 /// For this long after a proxy's first plan, statements may wait for their
-/// whole objective. After a loss of power all callers reconnect at once, before
+/// whole objective. After a power failure all callers reconnect at once, before
 /// the connections to targets are open: the queue is long, but it drains.
-constexpr Millis ReturnLasts(800);
-/// A statement may wait this long even where its objective is shorter than
-/// what answers take: load changes within it.
-constexpr Millis LeastWait(50);
+constexpr Millis StartupPeriod(800);
+/// A statement may wait this long even if its objective is shorter than the
+/// usual answer time: the load changes within this time.
+constexpr Millis MinWait(50);
 
 } // namespace
 
@@ -47,7 +49,7 @@
       Job.ArrivedAt + Job.Route.StatementTimeout * WaitParts / TimeoutParts;
   Job.QueueDeadline =
       std::min(Job.RetryDeadline,
-               Job.ArrivedAt + std::max(Job.Route.Objective, LeastObjective));
+               Job.ArrivedAt + std::max(Job.Route.Objective, MinObjective));
 }
 
 Millis SessionPipeline::remainingQueueTime(const SessionJob &Job) const {
@@ -62,19 +64,20 @@
     return LacksLeader ? Job.RetryDeadline : Job.QueueDeadline;
   const Millis Objective = Job.QueueDeadline - Job.ArrivedAt;
   Millis Wait = Objective;
-  if (Deps.Time.now() >= FirstPlanAt + ReturnLasts) {
-    // What is sent at the end of its objective is answered after it.
+  if (Deps.Time.now() >= FirstPlanAt + StartupPeriod) {
+    // A statement that is sent at the end of its objective is answered after
+    // it.
     const Millis Answer = answerTime(In->second, Job) * AnswerMargin / 2;
-    Wait = std::max((Objective - Answer) / QueuePart,
-                    std::min(Objective, LeastWait));
+    Wait = std::max((Objective - Answer) / QueueDivisor,
+                    std::min(Objective, MinWait));
   }
-  // Time spent on an earlier try whose answer was lost doesn't count as
+  // Time spent on an earlier try whose answer was lost does not count as
   // waiting.
   return std::min(Job.WaitingSince + Wait,
                   std::max(Job.RetryDeadline, Job.ArrivedAt + Wait));
 }
 
-// Behind a gateway others count too: it gives each its turn.
+// A gateway schedules the statements of all proxies itself.
 bool SessionPipeline::isFull(const TargetPool &Pool) const {
   if (Pool.isShared())
     return false;
@@ -87,7 +90,8 @@
 }
 
 bool SessionPipeline::refuseIfTooLate(Group &In, const SessionJobPtr &Job) {
-  // How long a change of leader takes isn't told by the pace before it.
+  // The departure rate before a change of leader does not predict how long the
+  // change takes.
   if (Job->Destination == Placement::Primary && In.Outage.isActive())
     return false;
   const Millis Now = Deps.Time.now();
--- a/Source/Pipeline/ReplicaLag.h
+++ b/Source/Pipeline/ReplicaLag.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a target's log holds, as far as its answers showed.
+/// Tracks the position of a target's log, as observed in its answers.
 
 #ifndef CORIANDERDYKE_PIPELINE_REPLICALAG_H
 #define CORIANDERDYKE_PIPELINE_REPLICALAG_H
@@ -13,17 +13,17 @@
 
 class ReplicaLag {
 public:
-  /// An answer showed where its log stands.
+  /// Records the log position of an answer.
   void recordPosition(LogPosition Shown, Millis Now) {
     Position = Shown;
     PositionAt = Now;
   }
-  /// It refused a read for want of a floor, or ran one that had a floor. One
-  /// that lags by more than callers accept does so for seconds, and each read
-  /// that tries it loses the way there and back: it's tried again later each
-  /// time.
+  /// Records that the target refused a read because its log lacks the floor. A
+  /// target that lags by more than callers accept does so for seconds, and each
+  /// read that tries it loses a round trip: it is retried with exponential
+  /// backoff.
   void recordLagRefusal(Millis Now) {
-    // Reads that were on their way together count once.
+    // Reads that were in flight together count once.
     if (isBackingOff(Now))
       return;
     LastBackoff = LastBackoff == Millis()
@@ -33,14 +33,15 @@
   }
   void recordCaughtUp() { LastBackoff = BackoffUntil = Millis(); }
   bool isBackingOff(Millis Now) const { return Now < BackoffUntil; }
-  /// True where it's likely to refuse a read that asks for \p Floor. What an
-  /// answer showed some time ago says nothing: it has received since.
+  /// True if the target is likely to refuse a read with the floor \p Floor. An
+  /// old position does not count: the target has received more of the log
+  /// since.
   bool isBehind(LogPosition Floor, Millis Now) const {
     return Position < Floor && Now - PositionAt < PositionMaxAge;
   }
 
 private:
-  /// Replicas that are well catch up in a fraction of this.
+  /// Healthy replicas catch up in a fraction of this.
   static constexpr Millis PositionMaxAge = Millis(150);
   static constexpr Millis InitialBackoff = Millis(100);
   static constexpr Millis MaxBackoff = Millis(1600);
--- a/Source/Pipeline/SessionOpenings.cpp
+++ b/Source/Pipeline/SessionOpenings.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Sessions that open before a plan knows them, and those whose key a plan
-/// takes away.
+/// Opens sessions, also before a plan with their key arrives, and ends those
+/// whose key a plan removes.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// How long an opening waits for this process's first plan, or for word that
-/// the plan which doesn't know its key is the newest. Well below the time for
-/// which callers wait for an opening: after all processes were down the plan
-/// comes sooner, and a caller that is refused meanwhile has used up a try.
-constexpr Millis PlanPatience(1000);
-/// How long a transaction goes on after its session's key was taken away.
-constexpr Millis RevokedTransactionLasts(1000);
+/// How long an opening waits for the first plan of this process, or for
+/// confirmation that a plan without its key is the newest. Well below the time
+/// for which callers wait for an opening: after an outage of all processes the
+/// plan arrives earlier, and a caller that is refused before has used up a
+/// retry.
+constexpr Millis PlanWaitTimeout(1000);
+/// How long a transaction may continue after its session's key was revoked.
+constexpr Millis RevokedTransactionGrace(1000);
 
 } // namespace
 
@@ -36,7 +37,7 @@
 
 void SessionPipeline::waitForPlan(const CallerSessionPtr &Session) {
   if (!Session->AdmissionDeadline)
-    Session->AdmissionDeadline = Deps.Time.now() + PlanPatience;
+    Session->AdmissionDeadline = Deps.Time.now() + PlanWaitTimeout;
   Ticker.requestWithin(WaitingInterval);
 }
 
@@ -87,7 +88,7 @@
                     {RefusalCode::Busy,
                      "no plan that is known to be the newest has this; come "
                      "back after " +
-                         std::to_string(PlanPatience.count()) + " ms"});
+                         std::to_string(PlanWaitTimeout.count()) + " ms"});
     else if (plan().Version > 0 && isPlanCurrent())
       admit(Each);
     else
@@ -97,7 +98,7 @@
 
 bool SessionPipeline::isRevoked(const CallerSession &Session) const {
   const RoutePolicy *Route = Plan.route(Session.Database);
-  // A session without a route learns so with its next statement.
+  // The next statement of a session without a route is refused.
   return Route != nullptr &&
          Organisations.findOrganisation(*Route, Session.KeyDigest) !=
              Session.Organisation;
@@ -131,7 +132,7 @@
 bool SessionPipeline::exceedsRevocationGrace(const CallerSession &Session,
                                              Millis Now) {
   return Session.RevokedAt &&
-         Now - *Session.RevokedAt >= RevokedTransactionLasts;
+         Now - *Session.RevokedAt >= RevokedTransactionGrace;
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/SessionPipeline.cpp
+++ b/Source/Pipeline/SessionPipeline.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The life of callers' sessions: what is answered here and what needs a
-/// target.
+/// The life cycle of callers' sessions: starts their statements, and answers
+/// those that need no target.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -20,7 +20,7 @@
   return {Code, std::move(Why)};
 }
 
-bool promisesNothingKept(RefusalCode Code) {
+bool guaranteesNothingKept(RefusalCode Code) {
   switch (Code) {
   case RefusalCode::Busy:
   case RefusalCode::Unreachable:
@@ -82,8 +82,8 @@
     return replyRefused(Session, Stmt,
                         refused(RefusalCode::Malformed, Stmt.Text),
                         "not understood");
-  // Its caller learns from a promise that it may begin anew; a complaint about
-  // the statement would end the whole operation.
+  // This code guarantees the caller that nothing is kept and that it may begin
+  // again; an error about the statement would end the whole operation.
   if (std::exchange(Session->IsAbortUnreported, false) &&
       Stmt.Kind != StatementKind::Rollback &&
       Stmt.Kind != StatementKind::Commit)
@@ -129,8 +129,9 @@
   }
 }
 
-// What needs no target is answered here: a target's slot is scarce, and the
-// values and names are given to whichever connection runs a later statement.
+// Answers statements that need no target: slots of targets are scarce, and
+// session values and prepared names are set on the connection that runs a later
+// statement.
 void SessionPipeline::answerLocally(const CallerSessionPtr &Session,
                                     const Statement &Stmt) {
   if (Stmt.Kind == StatementKind::Set) {
@@ -155,8 +156,8 @@
         Session, Stmt,
         refused(RefusalCode::Malformed, "a transaction is open already"),
         "transaction open");
-  // It takes a connection only with its first statement: callers pause, and
-  // connections are scarce.
+  // The transaction gets a connection only with its first statement: callers
+  // pause, and connections are scarce.
   SessionTransaction New;
   New.IsReadOnly = Stmt.Kind == StatementKind::BeginRead;
   New.StartedAt = Deps.Time.now();
@@ -181,8 +182,8 @@
     return;
   if (Ended.HasSetValues)
     Used->invalidateValues();
-  // The connection serves another session only once the target has said that
-  // nothing is open on it.
+  // The connection serves another session only once the target has confirmed
+  // that no transaction is open on it.
   Used->send({rollBackStep(Used)});
 }
 
@@ -210,7 +211,7 @@
 void SessionPipeline::replyRefused(const CallerSessionPtr &Session,
                                    const Statement &Stmt, StatementRefusal Why,
                                    const std::string &Grounds) {
-  if (promisesNothingKept(Why.Code))
+  if (guaranteesNothingKept(Why.Code))
     ++Counts.NotRun;
   else if (Why.Code == RefusalCode::Unknown)
     ++Counts.Unknown;
@@ -245,7 +246,7 @@
       Job->CurrentStage = SessionJob::Stage::Done;
       Session->Current.reset();
     } else {
-      // Its answer decides what becomes of the connection.
+      // The answer decides whether the connection is reused.
       return;
     }
   }
@@ -263,7 +264,7 @@
 void SessionPipeline::startJob(const CallerSessionPtr &Session,
                                const Statement &Stmt) {
   const RoutePolicy *Route = Plan.route(Session->Database);
-  // A change of routes holds from the next transaction on.
+  // A change of routes applies from the next transaction on.
   const bool IsBound =
       Session->Transaction && Session->Transaction->Connection != nullptr;
   if (Route == nullptr && !IsBound)
@@ -328,7 +329,8 @@
   if (MayWrite || Job.Route.Reads == Freshness::Primary ||
       Job.LaggingRefusals > 1)
     return;
-  // What a transaction must not miss is counted from its own first byte.
+  // The accepted age of a transaction counts from the arrival of its first
+  // statement.
   const Millis From = Within ? Within->StartedAt : Job.ArrivedAt;
   auto Floor = Deps.Floors.floor(Job.Route.Group, From, Job.Route.MaxStaleness);
   if (!Floor)
@@ -344,7 +346,8 @@
   Job.Destination = Placement::AnyFresh;
 }
 
-// A read that would go to the leader only for want of a young floor.
+// True for a read that would run at the leader only because no floor is recent
+// enough.
 bool SessionPipeline::wantsFloor(const CallerSession &Session,
                                  const SessionJob &Job) {
   const auto &Within = Session.Transaction;
@@ -364,7 +367,7 @@
   Job->CurrentStage = SessionJob::Stage::Waiting;
   Job->QueuedAt = Deps.Time.now();
   Group &In = Groups[Job->Route.Group];
-  // In the order of priority, then of arrival.
+  // Ordered by priority, then by arrival.
   auto Place = In.Waiting.end();
   while (Place != In.Waiting.begin() &&
          (*std::prev(Place))->Route.Priority > Job->Route.Priority)
--- a/Source/Pipeline/SessionPipeline.h
+++ b/Source/Pipeline/SessionPipeline.h
@@ -2,12 +2,11 @@
 /// Carries the statements of callers' sessions to targets that enforce their
 /// leadership themselves.
 ///
-/// Under this policy a proxy needs no lease to be truthful. A write reaches
-/// its callers as done only with the answer of a target that leads, which the
-/// target itself guarantees. A read is proved fresh by the target that runs
-/// it: inside a transaction that only a leader accepts, or on a log that
-/// holds a proven floor. Control may be cut off, frozen or gone: callers are
-/// served on.
+/// A proxy under this policy needs no lease. It reports a write as done only
+/// with the answer of a target that leads, which the target itself guarantees.
+/// The target that runs a read proves that it is fresh: inside a transaction
+/// that only a leader accepts, or on a log that holds a proven floor. Callers
+/// are served while control is cut off, frozen or down.
 
 #ifndef CORIANDERDYKE_PIPELINE_SESSIONPIPELINE_H
 #define CORIANDERDYKE_PIPELINE_SESSIONPIPELINE_H
@@ -35,7 +34,7 @@
   std::uint64_t ReadsByPrimary = 0;
   std::uint64_t Writes = 0;
   std::uint64_t Commits = 0;
-  std::uint64_t NotRun = 0;  ///< StatementRefusal, and nothing is kept.
+  std::uint64_t NotRun = 0;  ///< Refused, and nothing is kept.
   std::uint64_t Failed = 0;  ///< Ran and failed, or ran out of time.
   std::uint64_t Unknown = 0; ///< May have run.
   std::uint64_t Retries = 0;
@@ -60,12 +59,12 @@
     Clock &Time;
     Scheduler &Timers;
     TargetConnector &Targets;
-    /// Shared with whatever else of this process learns floors.
+    /// Shared with the other parts of this process that record floors.
     FloorTable &Floors;
-    /// True while control confirms that the plan is the newest; without it a
-    /// key isn't refused as unknown. Empty: always.
+    /// True while control confirms that the plan is the newest. While it is
+    /// false, an unknown key is not refused. Empty: always true.
     std::function<bool()> IsPlanCurrent = nullptr;
-    /// What callers' keys are digested with, the same as at control hosts.
+    /// Secret for the digests of callers' keys; the same at control hosts.
     std::string KeySecret = {};
     /// Null: no organisation is limited.
     PermitSource *Permits = nullptr;
@@ -74,20 +73,19 @@
   SessionPipeline(Dependencies Deps, Locality OwnLocality);
   ~SessionPipeline();
 
-  /// Callers.
-  /// Opens a session; \p Key says for which organisation.
+  /// Opens a session for the organisation that \p Key belongs to.
   std::uint64_t open(const std::string &Database, const std::string &Key,
                      std::shared_ptr<CallerLink> Link);
   void receive(std::uint64_t Id, Statement Stmt);
   void handleDisconnect(std::uint64_t Id);
 
-  /// What control said.
+  /// Updates from control.
   void adopt(const RoutePlan &New);
   void updateTargets(const TargetDirectory &Directory);
   void setProxyCount(std::size_t Count);
 
-  /// A planned stop. Sessions between statements are closed a few at a time,
-  /// so that they don't all come back at once elsewhere.
+  /// Begins a planned stop. Idle sessions are closed a few at a time, so that
+  /// their callers do not all reconnect to other proxies at once.
   void beginStop(Millis TransactionsBy, Millis SessionsBy);
   bool hasNoSessions() const { return Sessions.empty(); }
   std::size_t sessions() const { return Sessions.size(); }
@@ -96,7 +94,7 @@
   const PipelineCounts &counts() const { return Counts; }
   std::vector<PoolReport> pools() const;
 
-  /// Emitted when a target couldn't be reached.
+  /// Emitted when a target could not be reached.
   sigc::signal<void(const TargetFailure &)> &signalTargetFailure() {
     return TargetFailed;
   }
@@ -104,7 +102,7 @@
   sigc::signal<void(const std::string &)> &signalPrimaryAnswered() {
     return PrimaryAnswered;
   }
-  /// Emitted with each statement that isn't answered with a result.
+  /// Emitted with each statement that is refused.
   sigc::signal<void(const CallerSession &, const Statement &,
                     const StatementRefusal &, const std::string &)> &
   signalRefused() {
@@ -122,9 +120,10 @@
   }
 
 private:
-  /// A busy target is asked again after this long, about one statement's
-  /// work, and later each time up to about what its queue takes to drain. At
-  /// one pace, retries of many proxies fill the queue before anything new.
+  /// Pause before a busy target is asked again: about the time of one statement
+  /// at first, then longer each time up to about the time that its queue takes
+  /// to drain. With a constant pause, the retries of many proxies fill the
+  /// queue before new statements.
   static constexpr Millis BusyPause = Millis(10);
   static constexpr Millis LongestBusyPause = Millis(40);
   static Millis busyPause(const SessionJob &Job) {
@@ -132,30 +131,30 @@
                     LongestBusyPause);
   }
 
-  /// How often bounds are looked at: while statements wait or connections open,
-  /// while statements run, and while sessions stand idle. Each look wakes the
-  /// process, which costs a small host about as much as a statement does.
+  /// How often deadlines are checked: while statements wait or connections
+  /// open, while statements run, and while sessions are idle. Each check wakes
+  /// the process, which costs a small host about as much as a statement.
   static constexpr Millis WaitingInterval = Millis(20);
   static constexpr Millis RunningInterval = Millis(50);
   static constexpr Millis IdleInterval = Millis(250);
 
-  /// One question to a group's leader for its position, on behalf of all
-  /// reads that wait for it.
+  /// A request to a group's leader for its log position, shared by all reads
+  /// that wait for it.
   struct FloorProbe {
-    TargetConnectionPtr Connection; ///< Null while none is under way.
+    TargetConnectionPtr Connection; ///< Null while none is in flight.
     Millis SentAt;
   };
 
   struct Group {
     std::map<std::string, TargetPool> Pools; ///< By target.
     std::string Primary;                     ///< Empty where none is known.
-    /// The primary where it was found here against control's last word.
+    /// The primary found by this proxy, where it differs from the one that
+    /// control reported last; else empty.
     std::string DiscoveredPrimary;
-    std::uint64_t ControlPrimarySince =
-        0; ///< Of the primary in control's last word.
+    std::uint64_t ControlPrimarySince = 0; ///< Epoch reported by control.
     Millis SearchAgainAt;
     std::list<SessionJobPtr> Waiting;
-    /// Bounded reads that wait for a young floor.
+    /// Bounded reads that wait for a recent floor.
     std::list<SessionJobPtr> AwaitingFloor;
     FloorProbe Probe;
     PrimaryOutage Outage;
@@ -167,7 +166,7 @@
       return Of.Destination == Placement::Primary ? PrimaryForecast
                                                   : ReplicaForecast;
     }
-    /// Statements that wait for the same targets.
+    /// Number of waiting statements with the same placement.
     std::size_t waiting(const SessionJob &Like) const {
       return static_cast<std::size_t>(std::count_if(
           Waiting.begin(), Waiting.end(), [&Like](const SessionJobPtr &Each) {
@@ -182,14 +181,14 @@
   bool isPlanCurrent() const;
   void rejectSession(const CallerSessionPtr &Session,
                      const StatementRefusal &Why);
-  /// Openings that waited for a plan that knows them.
+  /// Admits sessions that waited for a plan with their database and key.
   void admitPendingOpenings();
   void processPendingOpenings(Millis Now);
-  // Sessions whose key the plan took away.
+  // Sessions whose key is no longer in the plan.
   void revokeSessions();
   bool isRevoked(const CallerSession &Session) const;
   void endIfRevoked(const CallerSessionPtr &Session);
-  /// True where its transaction has gone on for too long since.
+  /// True if its transaction has run for too long since the revocation.
   static bool exceedsRevocationGrace(const CallerSession &Session, Millis Now);
   void startNext(const CallerSessionPtr &Session);
   void start(const CallerSessionPtr &Session, const Statement &Stmt);
@@ -211,7 +210,7 @@
   void enqueue(const SessionJobPtr &Job);
   void enqueueOrWaitForFloor(const SessionJobPtr &Job);
   // Quotas of organisations.
-  /// True where a statement's operation may begin. Else it waits or is
+  /// True if the statement's operation may begin now. Otherwise it waits or is
   /// refused.
   bool beginOperation(const CallerSessionPtr &Session,
                       const SessionJobPtr &Job);
@@ -227,11 +226,11 @@
   void expireProbe(const std::string &Name, Group &In, Millis Now);
   void dispatchWaiting(const std::string &Name);
   bool assign(Group &In, const SessionJobPtr &Job);
-  /// True where one more statement would only wait inside the target.
+  /// True if one more statement would only wait inside the target.
   bool isFull(const TargetPool &Pool) const;
-  /// Refuses a statement that can't be served in time any more.
+  /// Refuses a statement that can no longer be served in time.
   bool refuseIfTooLate(Group &In, const SessionJobPtr &Job);
-  /// What a statement usually takes from sending to answer.
+  /// Usual time from sending a statement to its answer.
   Millis answerTime(const Group &In, const SessionJob &Job) const;
   std::vector<TargetPool *> candidates(Group &In, const SessionJob &Job);
   static void excludeCongestedPrimary(const Group &In,
@@ -241,9 +240,9 @@
                 const SessionJob &Job, Millis Now) const;
   double cost(const Group &In, const TargetPool &Pool, const SessionJob &Job,
               Millis Now) const;
-  /// True where another connection to that target is this proxy's to open.
+  /// True if this proxy may open another connection to the target.
   bool mayOpen(const TargetPool &Pool, const std::string &Organisation) const;
-  /// Opens what a pool keeps warm, once, ahead of the first statements.
+  /// Opens a pool's warm connections, once, ahead of the first statements.
   void warmUp(const std::string &GroupName, TargetPool &Pool, Millis Now);
   bool openIfAllowed(const std::string &GroupName, TargetPool &Pool,
                      const std::string &Organisation, Millis Waited);
@@ -257,7 +256,7 @@
   void discard(const TargetConnectionPtr &Used);
   TargetPool *poolOf(const TargetConnectionPtr &Used);
 
-  // Finding who leads.
+  // Finding the leader.
   void searchPrimary(const std::string &Name, Group &In, Millis Now);
   void searchAnswered(const std::string &Name, const TargetConnectionPtr &On,
                       Millis SentAt, const StatementAnswer &Answer);
@@ -270,7 +269,7 @@
   void openAndRun(const SessionJobPtr &Job, bool AtLeader);
   TargetConnection::Step openingStep(const SessionJobPtr &Job, bool AtLeader);
   void runStatement(const SessionJobPtr &Job, bool RollBackAfter);
-  /// How long a statement may wait at most.
+  /// Sets how long a statement may wait at most.
   static void setWaitDeadlines(SessionJob &Job);
   /// When a statement that still has no connection is refused.
   Millis effectiveQueueDeadline(const SessionJob &Job) const;
@@ -278,7 +277,8 @@
   Millis remainingQueueTime(const SessionJob &Job) const;
   TargetCommand commandOf(const SessionJobPtr &Job,
                           std::vector<TargetConnection::Step> &Before);
-  /// Ends what is open on a connection, which is free with the answer.
+  /// Rolls back the open transaction of a connection and releases the
+  /// connection with the answer.
   TargetConnection::Step rollBackStep(const TargetConnectionPtr &On);
   void transactionOpened(const SessionJobPtr &Job, bool AtLeader,
                          const StatementAnswer &Answer);
@@ -296,14 +296,14 @@
                              const StatementAnswer &Answer);
   void answeredAlone(const SessionJobPtr &Job, const CallerSessionPtr &Session,
                      const StatementAnswer &Answer);
-  /// No gateway reaches the target: others are asked meanwhile.
+  /// No gateway reaches the target: retries at other targets.
   void retryThroughAnother(const SessionJobPtr &Job,
                            const TargetConnectionPtr &Used,
                            const StatementRefusal &Why);
   void handleLostConnection(const SessionJobPtr &Job,
                             const std::string &Grounds);
-  /// The gateway has answered no keepalive. Retries a read outside a
-  /// transaction elsewhere; everything else waits for its answer.
+  /// The gateway has not answered keepalives. Retries a read outside a
+  /// transaction elsewhere; all other statements wait for their answers.
   void handleKeepaliveTimeout(const TargetConnectionPtr &Silent);
   void tryAgain(const SessionJobPtr &Job, const StatementRefusal &Why,
                 Millis After);
@@ -338,8 +338,8 @@
   Millis TransactionsUntil;
   Millis SessionsUntil;
   std::size_t SessionsAtStop = 0;
-  /// Times of all targets' answers together: one proxy among hundreds has too
-  /// few from each to know what's usual there.
+  /// Answer times of all targets together: one proxy among hundreds gets too
+  /// few answers from each target to know its usual answer time.
   StatementWindow AnswerTimes;
   PipelineCounts Counts;
   sigc::signal<void(const TargetFailure &)> TargetFailed;
--- a/Source/Pipeline/StatementAnswers.cpp
+++ b/Source/Pipeline/StatementAnswers.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What targets' answers, and their absence, mean for callers.
+/// Handles the answers of targets, and lost answers.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Targets that one statement is tried at.
+/// Limit for the tries of one statement.
 constexpr unsigned MaxTries = 6;
 
 StatementRefusal refused(RefusalCode Code, std::string Why) {
@@ -61,9 +61,10 @@
     discard(Job->Connection);
     return;
   }
-  // A success that its target didn't sign answers something else: an answer
-  // got lost or came twice on the way. Passed on, its caller would be told of
-  // a result that nobody has; all that follows on the connection is as wrong.
+  // A successful result without the target's signature does not belong to this
+  // statement: an answer was lost or duplicated on the way. The caller must not
+  // get it, and all later answers on the connection are shifted in the same
+  // way.
   if (!Answer.Refusal && Answer.Signature.empty()) {
     const std::string From =
         Job->Connection ? Job->Connection->address().Id : "";
@@ -82,7 +83,8 @@
   SessionTransaction &Within = *Session->Transaction;
   Within.LastUsed = Deps.Time.now();
   const bool Commits = Job->Stmt.Kind == StatementKind::Commit;
-  // The commit of a transaction that wrote nothing proves no lead.
+  // The commit of a transaction without writes does not prove that the target
+  // leads.
   recordAnswer(Job, Answer,
                Within.AtPrimary && (!Commits || Within.HasWritten));
   if (Answer.Refusal && Answer.Refusal->Code == RefusalCode::Busy &&
@@ -101,7 +103,7 @@
   }
   if (!Answer.Refusal && !Commits &&
       Answer.Phase != SessionPhase::InTransaction) {
-    // The target doesn't hold the transaction any more.
+    // The target no longer holds the transaction.
     discard(Within.Connection);
     return handleLostConnection(Job, "the target had ended the transaction");
   }
@@ -153,9 +155,9 @@
   recordAnswer(Job, Answer, AtLeader);
   const TargetConnectionPtr Used = std::move(Job->Connection);
   const std::string Target = Used->address().Id;
-  // A read at the leader is followed by the end of its transaction.
+  // The rollback that follows a read at the leader releases its connection.
   if (AtLeader && !Job->Writes) {
-    // The connection is released by the rollback's answer.
+    // Released by the answer to the rollback.
   } else if (Answer.Phase == SessionPhase::Idle) {
     release(Used);
   } else {
@@ -174,7 +176,8 @@
       Job->ExcludedTargets.insert(Target);
       return tryAgain(Job, *Answer.Refusal, Millis(0));
     case RefusalCode::NoStatement:
-      // What the target holds for this connection isn't what is noted here.
+      // The prepared statements that the target holds for this connection
+      // differ from the recorded ones.
       discard(Used);
       return tryAgain(Job, *Answer.Refusal, Millis(0));
     default:
@@ -226,12 +229,12 @@
   tryAgain(Job, Why, Millis(0));
 }
 
-// Load pattern: many gateways end at the same moment, and each proxy detects
-// each of them by itself. A read that is retried through another gateway before
-// the failed one is given up can still meet its objective.
+// When many gateways fail at the same time, each proxy detects each of them by
+// itself. A read that is retried through another gateway before the failed one
+// is given up can still meet its objective.
 //
-// Not while answers are slow everywhere: the gateway is then overloaded, and
-// retries add to its load.
+// Nothing is retried while answers are slow everywhere: the gateway is then
+// overloaded, and retries add to its load.
 void SessionPipeline::handleKeepaliveTimeout(
     const TargetConnectionPtr &Silent) {
   if (!AnswerTimes.isUncongested())
@@ -256,9 +259,9 @@
            Millis(0));
 }
 
-// The connection is gone or its answer overdue. What the caller may be told
-// depends on what had been sent: a promise that nothing is kept must be true
-// whatever the target did with it.
+// The connection is lost or its answer overdue. The refusal depends on what was
+// sent: a refusal that guarantees that nothing is kept must be true whatever
+// the target did with the statement.
 void SessionPipeline::handleLostConnection(const SessionJobPtr &Job,
                                            const std::string &Grounds) {
   Running.erase(Job);
--- a/Source/Pipeline/StatementRuns.cpp
+++ b/Source/Pipeline/StatementRuns.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What is sent on a connection, and in which order.
+/// Sends commands on connections to targets, in the order that each statement
+/// needs.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -24,11 +25,11 @@
   runStatement(Job, false);
 }
 
-// A transaction's first statement goes out only once the target has opened
-// the transaction: behind a refused opening it would run on its own. A read
-// that must miss nothing runs inside a transaction too, which only a leader
-// opens. A primary that was replaced answers a plain read from its old log,
-// and its caller would miss what the new primary has acknowledged.
+// The first statement of a transaction is sent only once the target has opened
+// the transaction: after a refused opening it would run on its own. A read that
+// must not miss any commit also runs inside a transaction, which only a leader
+// opens: a replaced primary answers a plain read from its old log, without the
+// commits that the new primary has acknowledged.
 void SessionPipeline::openTransaction(const SessionJobPtr &Job, bool AtLeader) {
   if (Job->Connection->isShared())
     return openAndRun(Job, AtLeader);
@@ -68,7 +69,7 @@
   if (Answer.Refusal || Answer.Phase != SessionPhase::InTransaction)
     return openingRefused(Job, Answer);
   if (!Session || !Session->Transaction || Session->IsClosed) {
-    // The caller left meanwhile.
+    // The caller has disconnected in the meantime.
     Running.erase(Job);
     Job->CurrentStage = SessionJob::Stage::Done;
     if (Session)
@@ -80,14 +81,14 @@
   Session->Transaction->Connection = Job->Connection;
   Session->Transaction->AtPrimary = AtLeader;
   Job->MaxQueueTime = Millis(0);
-  // A gateway sends the statement by itself.
+  // A gateway sends the statement itself.
   if (!Job->IsSent)
     runStatement(Job, false);
 }
 
-// The opening and the first statement go to the gateway in one write, and the
-// gateway sends the second only once the first has succeeded. A read alone is
-// followed by the end of its transaction.
+// Sends the opening and the first statement to the gateway in one write; the
+// gateway sends the statement only once the opening has succeeded. A read
+// outside a transaction is followed by a rollback.
 void SessionPipeline::openAndRun(const SessionJobPtr &Job, bool AtLeader) {
   const CallerSessionPtr Session = Job->Session.lock();
   const TargetConnectionPtr On = Job->Connection;
@@ -95,8 +96,8 @@
   On->appendValueSteps(Session->Values, Steps);
   TargetCommand Own = commandOf(Job, Steps);
   Own.NeedsPrevious = true;
-  // After a refused opening the job may be under way again elsewhere when the
-  // refusal of the statement behind it arrives.
+  // After a refused opening, the job may already run elsewhere when the refusal
+  // of the statement behind the opening arrives.
   const auto IsThisTry = [Job, Try = Job->Tries] { return Job->Tries == Try; };
   Steps.push_back(openingStep(Job, AtLeader));
   Steps.push_back(
@@ -108,7 +109,7 @@
     TargetConnection::Step End = rollBackStep(On);
     End.Handler = [IsThisTry, Ended = std::move(End.Handler)](
                       const StatementAnswer &Answer) {
-      // Not sent, behind a refused opening.
+      // The rollback was not sent, because the opening was refused.
       if (Answer.Refusal && !IsThisTry())
         return;
       Ended(Answer);
@@ -126,8 +127,8 @@
                                   Job->SentAt);
 }
 
-// As if it had said that it doesn't lead. Where a gateway has sent the
-// statement behind the opening already, its answer is for a try that is over.
+// Treats the target as one that does not lead. If a gateway has already sent
+// the statement behind the opening, its answer belongs to a finished try.
 void SessionPipeline::handleLostLog(const SessionJobPtr &Job) {
   if (TargetPool *Pool = poolOf(Job->Connection))
     Pool->recordNotPrimary(Deps.Time.now());
@@ -143,9 +144,10 @@
   const TargetConnectionPtr On = Job->Connection;
   const StatementRefusal Why = Answer.Refusal.value_or(
       StatementRefusal{RefusalCode::Busy, "the target opened no transaction"});
-  // The next try is settled before the connection is free: whoever gets it may
-  // be refused at once, and the answers that this try is still owed come with
-  // that. Taken for answers to the job they would be told to its caller.
+  // Schedules the next try before the connection is released: the statement
+  // that gets the connection may be refused at once, and answers that are still
+  // due to this try arrive with that refusal. They must not be sent to the
+  // caller as answers to the job.
   retryOpening(Job, On, Why);
   if (Answer.Phase == SessionPhase::Idle)
     release(On);
@@ -174,7 +176,7 @@
     return handleLostLog(Job);
   if (!Answer.Refusal && Answer.Phase == SessionPhase::InTransaction) {
     Job->MaxQueueTime = Millis(0);
-    // A gateway sends the statement by itself.
+    // A gateway sends the statement itself.
     if (!Job->IsSent)
       runStatement(Job, true);
     return;
--- a/Source/Pipeline/StatementWindow.h
+++ b/Source/Pipeline/StatementWindow.h
@@ -1,16 +1,17 @@
 /// \file
-/// How many statements one proxy has under way at a target at a time.
+/// Limits how many statements one proxy has in flight at a target.
 ///
-/// Load pattern: more statements come than a target works on, for seconds. Sent
-/// as connections come free they wait inside the target, first come first
-/// served: what is urgent stands behind what isn't, every answer takes several
-/// times as long, and beyond its queue the target refuses. Held back at the
-/// proxy they go out by priority, and those that would be late are told so.
+/// When, for seconds, more statements arrive than a target can run, statements
+/// that are sent as connections become free wait inside the target in order of
+/// arrival: urgent ones wait behind others, every answer takes several times as
+/// long, and beyond its queue the target refuses. Statements that are held back
+/// at the proxy are sent by priority, and those that would be late are refused.
 ///
-/// The answer times tell whether they wait there: against the least that the
-/// target took lately, which is its work alone. While they are near it the
-/// window grows, so a target with slots free is never held back; beyond a
-/// multiple of it the window shrinks, down to one statement a proxy.
+/// Answer times show whether statements wait inside the target: they are
+/// compared with the lowest recent mean, which is the work alone. While they
+/// are near it the window grows, so a target with free slots is never held
+/// back; beyond a multiple of it the window shrinks, down to one statement per
+/// proxy.
 
 #ifndef CORIANDERDYKE_PIPELINE_STATEMENTWINDOW_H
 #define CORIANDERDYKE_PIPELINE_STATEMENTWINDOW_H
@@ -24,19 +25,19 @@
 
 class StatementWindow {
 public:
-  /// A statement was answered \p Taken after it was sent.
+  /// Records that a statement was answered \p Taken after it was sent.
   void recordAnswerTime(Millis Taken, Millis Now) {
     const auto Last = std::max(static_cast<double>(Taken.count()), 1.0);
     Mean += Gain * (Last - Mean);
     updateBaseline(Last);
     if (!isCongested()) {
-      Size = std::min(Size + 1 / Size, Largest);
+      Size = std::min(Size + 1 / Size, MaxSize);
       return;
     }
-    // Once for all that were under way together.
+    // Shrinks once for all statements that were in flight together.
     if (Now < ShrinkAgainAt)
       return;
-    Size = std::max(Size * Shrink, 1.0);
+    Size = std::max(Size * ShrinkFactor, 1.0);
     ShrinkAgainAt = Now + Millis(static_cast<std::int64_t>(Mean));
   }
 
@@ -47,40 +48,41 @@
   bool isCongested() const {
     return Baseline > 0 && Mean > Baseline * CongestionFactor;
   }
-  /// True where answers are known to come about as soon as the work allows.
+  /// True if enough answers are known and they do not indicate waiting.
   bool isUncongested() const { return Baseline > 0 && !isCongested(); }
   /// Mean time from sending to answer, in milliseconds.
   double mean() const { return Mean; }
 
 private:
-  /// Answers of one kind differ by several times, and the least of a moving
-  /// mean of ten is a matter of luck: it was half of the true mean, and targets
-  /// that were well counted as crowded. Batches of more answers are nearer.
+  /// Answer times of one kind of statement differ by several times, and the
+  /// lowest of a moving mean over ten answers is mostly chance: it is half of
+  /// the true mean, so that healthy targets count as congested. Batches of more
+  /// answers are closer to the mean.
   void updateBaseline(double Last) {
     BatchSum += Last;
-    if (++BatchSize < Batch)
+    if (++BatchSize < BatchLength)
       return;
-    const double OfBatch = BatchSum / Batch;
+    const double OfBatch = BatchSum / BatchLength;
     Baseline =
         Baseline == 0 ? OfBatch : std::min(OfBatch, Baseline * (1 + Drift));
     BatchSum = 0;
     BatchSize = 0;
   }
 
-  /// A moving mean over about ten answers: statements of one kind differ by
+  /// Moving mean over about ten answers: statements of one kind differ by
   /// several times.
   static constexpr double Gain = 0.1;
-  static constexpr int Batch = 32;
-  /// The least mean rises by this part with each batch, so that a target whose
-  /// work has become longer isn't taken for crowded for good: by a half in
-  /// 900 answers.
+  static constexpr int BatchLength = 32;
+  /// The baseline rises by this part with each batch, so that a target whose
+  /// statements now take longer does not count as congested for good: by a half
+  /// in 900 answers.
   static constexpr double Drift = 0.015;
-  /// Two statements wait for each that runs: a slot that comes free finds the
-  /// next one there, though each proxy counts only its own.
+  /// Two statements wait for each one that runs: a freed slot always finds the
+  /// next statement at the target, although each proxy counts only its own.
   static constexpr double CongestionFactor = 2;
-  static constexpr double Shrink = 0.8;
-  /// More than a proxy has connections to one target.
-  static constexpr double Largest = 64;
+  static constexpr double ShrinkFactor = 0.8;
+  /// More than the connections of a proxy to one target.
+  static constexpr double MaxSize = 64;
 
   double Mean = 5;
   double Baseline = 0; ///< 0 before the first batch.
--- a/Source/Pipeline/TargetConnection.cpp
+++ b/Source/Pipeline/TargetConnection.cpp
@@ -73,7 +73,8 @@
 
 void TargetConnection::answered(const StatementAnswer &Answer) {
   if (PendingHandlers.empty()) {
-    // An answer to nothing: the order of answers can't be trusted any more.
+    // An answer without a command: the order of answers can no longer be
+    // trusted.
     closed(std::nullopt);
     return;
   }
--- a/Source/Pipeline/TargetConnection.h
+++ b/Source/Pipeline/TargetConnection.h
@@ -12,17 +12,17 @@
 
 namespace corianderdyke {
 
-/// A shape that a caller prepared.
+/// A statement that a caller prepared.
 struct PreparedStatement {
-  std::string Text; ///< What is prepared, without the name.
+  std::string Text; ///< The statement text, without the name.
   bool Writes = false;
 
   auto operator<=>(const PreparedStatement &) const = default;
 };
 
-/// Remembers which session values and prepared names the target holds for
-/// this connection. A statement that ran with another session's values would
-/// return that session's view of the data.
+/// Tracks which session values and prepared names the target holds for this
+/// connection. A statement that ran with another session's values would return
+/// that session's view of the data.
 class TargetConnection {
 public:
   enum class Stage : std::uint8_t { Opening, Idle, Busy, Closed };
@@ -36,23 +36,24 @@
   struct Events {
     std::function<void()> OnOpen;
     std::function<void(std::optional<StatementRefusal>)> OnClose;
-    std::function<void()> OnKeepaliveTimeout = nullptr; ///< As a link's.
+    std::function<void()> OnKeepaliveTimeout = nullptr; ///< As TargetLink's.
   };
 
   TargetConnection(TargetConnector &Connector, const TargetAddress &To,
                    Millis Now, Events Handlers);
 
-  /// Adds what gives this connection exactly these values.
+  /// Appends the steps that give this connection exactly the values \p Wanted.
   void appendValueSteps(const SessionValues &Wanted, std::vector<Step> &Out);
-  /// Adds what makes a shape known here; the name that it has here.
+  /// Appends the step that prepares \p Shape on this connection, if needed, and
+  /// returns its name here.
   std::string prepare(const PreparedStatement &Shape, std::vector<Step> &Out);
-  /// Sends steps in one write. One without a handler must succeed: where it
-  /// fails the connection closes, since what the target holds for it isn't
-  /// known any more.
+  /// Sends \p Steps in one write. If a step without a handler fails, the
+  /// connection closes, since the state that the target holds for it is then
+  /// unknown.
   void send(std::vector<Step> Steps);
-  /// Ends it at once; no handler runs any more.
+  /// Closes the connection at once; no handler runs afterwards.
   void close();
-  /// The values can't be relied on: the next use clears them.
+  /// Marks the session values as unknown: the next use resets them.
   void invalidateValues() { AreValuesValid = false; }
   bool hasValues(const SessionValues &Wanted) const {
     return AreValuesValid && Values == Wanted;
@@ -64,7 +65,7 @@
   void setBusy(bool Busy, Millis Now);
   Millis idleSince() const { return IdleSince; }
   Millis openedAt() const { return OpenedAt; }
-  /// True once the target has taken the connection.
+  /// True once the target has accepted the connection.
   bool hasOpened() const { return HasOpened; }
 
 private:
@@ -78,7 +79,7 @@
   Stage CurrentStage = Stage::Opening;
   SessionValues Values;
   bool AreValuesValid = true;
-  /// Names at the target by shape; lost with a reset.
+  /// Names at the target by prepared statement; cleared by a reset.
   std::map<PreparedStatement, std::string> Prepared;
   std::uint64_t NextName = 1;
   bool HasOpened = false;
--- a/Source/Pipeline/TargetPool.cpp
+++ b/Source/Pipeline/TargetPool.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The connections of this proxy to one target, and what it knows of it.
+/// The connections of this proxy to one target, and its observations of the
+/// target.
 
 #include "Pipeline/TargetPool.h"
 
@@ -32,8 +33,9 @@
   return Best;
 }
 
-// A link to shared connections takes one of its own organisation with each
-// statement, so only one that is marked keeps questions from waiting for that.
+// A link to shared connections uses one of its own organisation for each
+// statement. Only an internal link uses any of them, so that probes do not wait
+// for a connection of one organisation.
 TargetConnectionPtr TargetPool::idleForInternalUse() const {
   TargetConnectionPtr Best;
   for (const TargetConnectionPtr &Each : All)
@@ -169,11 +171,12 @@
                             ? Record.IsPrimary && acceptsNewWork(Now)
                             : !Record.IsGone;
   const std::size_t Kept = ServesOn ? minWarmConnections() : 0;
-  const Millis IdleBorne = IsPerOrganisation && IsSaturated && !IsRetiring
+  const Millis IdleLimit = IsPerOrganisation && IsSaturated && !IsRetiring
                                ? SaturatedIdleTimeout
                                : IdleTimeout;
   std::vector<TargetConnectionPtr> Before = All;
-  // The one that was idle for longest goes first; links all stay or all go.
+  // Closes the one that has been idle longest first; links are all kept or all
+  // closed.
   if (!IsShared)
     std::sort(
         Before.begin(), Before.end(),
@@ -190,7 +193,7 @@
       continue;
     if (Each->stage() != TargetConnection::Stage::Idle)
       continue;
-    if (ServesOn && Now - Each->idleSince() < IdleBorne)
+    if (ServesOn && Now - Each->idleSince() < IdleLimit)
       continue;
     Each->close();
     remove(Each);
--- a/Source/Pipeline/TargetPool.h
+++ b/Source/Pipeline/TargetPool.h
@@ -1,5 +1,6 @@
 /// \file
-/// The connections of this proxy to one target, and what it knows of it.
+/// The connections of this proxy to one target, and its observations of the
+/// target.
 
 #ifndef CORIANDERDYKE_PIPELINE_TARGETPOOL_H
 #define CORIANDERDYKE_PIPELINE_TARGETPOOL_H
@@ -13,19 +14,19 @@
 
 namespace corianderdyke {
 
-/// A target that couldn't be used, as seen here.
+/// A target that this proxy could not use.
 struct TargetFailure {
   std::string Id;
-  bool IsRefused = false; ///< Refused or reset; else silent.
+  bool IsRefused = false; ///< Refused or reset; else no response.
 
   auto operator<=>(const TargetFailure &) const = default;
 };
 
-/// What connections to targets cost them, for metrics: each that is begun
-/// takes a slot for about as long as a statement does.
+/// Counts openings of connections to targets, for metrics: each one takes a
+/// slot of the target for about as long as a statement does.
 struct OpeningCounts {
   std::uint64_t Begun = 0;
-  std::uint64_t RefusedAtLimit = 0; ///< The target had as many as it takes.
+  std::uint64_t RefusedAtLimit = 0; ///< The target was at its connection limit.
 
   auto operator<=>(const OpeningCounts &) const = default;
 };
@@ -34,15 +35,15 @@
   return Why && Why->Code == RefusalCode::ConnectionLimit;
 }
 
-/// For whom a connection is opened.
+/// Why a connection is opened.
 struct ConnectionPurpose {
   std::string Organisation = {};
   bool IsInternal = false;
 };
 
-/// Keeps few connections warm. The target counts connections of all proxies
-/// together, and a new one costs it a slot, so each proxy keeps its share
-/// and goes beyond it only while the target takes more.
+/// Keeps few connections warm. The target limits the connections of all proxies
+/// together, and opening one costs it a slot, so each proxy keeps its share and
+/// exceeds it only while the target accepts more.
 class TargetPool {
 public:
   struct OpenHandlers {
@@ -58,55 +59,59 @@
       : Record(std::move(Of)), Share(Share), Observed(Now) {}
 
   const TargetRecord &record() const { return Record; }
-  /// True where \p New is a later life of the target: connections of the
-  /// earlier one are dead, whoever holds them.
+  /// True if \p New is a later incarnation of the target: connections to the
+  /// earlier one are dead.
   bool isNewIncarnation(const TargetRecord &New) const {
     return Record.Incarnation > 0 && New.Incarnation > Record.Incarnation;
   }
-  /// Takes over what the target says of itself. With a later life all that
-  /// was learned of the earlier one is forgotten.
+  /// Applies a new record of the target. A later incarnation clears all
+  /// observations of the earlier one.
   void update(const TargetRecord &New, Millis Now);
   void setShare(std::size_t New) { Share = New; }
-  /// Connections belong to organisations: none is opened ahead of need.
+  /// Sets whether connections belong to organisations; none is then opened
+  /// ahead of need.
   void setPerOrganisation(bool New) { IsPerOrganisation = New; }
-  /// All shares together are in use, so that nobody leaves any to others: none
-  /// is passed.
-  void limitToShare(bool New) { Burst = New ? 0 : UsualBurst; }
-  /// The target has all the work that it may get: what an opening takes of it
-  /// is dearer than an idle connection.
+  /// Sets whether the share is a hard limit: all proxies together use all
+  /// shares, so that none is left over to exceed it.
+  void limitToShare(bool New) { Burst = New ? 0 : DefaultBurst; }
+  /// Sets whether the target has all the work that it may get: opening a
+  /// connection then costs it more than an idle connection does.
   void setSaturated(bool New) { IsSaturated = New; }
-  /// Others hold the target's connections now: what is idle here is closed.
+  /// Sets whether other processes hold the target's connections now: idle
+  /// connections here are closed.
   void setRetiring(bool New) { IsRetiring = New; }
-  /// From now on connections are links to those that all proxies share, or
-  /// no longer; the ones of the other kind are closed as they come free.
+  /// Sets whether connections are links to those that all proxies share.
+  /// Connections of the other kind are closed when they become idle.
   void setShared(bool New, Millis Now);
   bool isShared() const { return IsShared; }
 
-  /// An idle connection of an organisation, one that carries these values
-  /// where there is one. A connection never changes its organisation.
+  /// Returns an idle connection of \p Organisation, preferably one with the
+  /// values \p Wanted, or null. A connection never changes its organisation.
   TargetConnectionPtr idle(const std::string &Organisation,
                            const SessionValues &Wanted) const;
-  /// An idle connection for a question of the process's own.
+  /// Returns an idle connection for a request of the process itself, or null.
   TargetConnectionPtr idleForInternalUse() const;
-  /// Connections that an organisation has or will have, and those of them
-  /// that are being opened.
+  /// Number of connections of \p Organisation, including those that are being
+  /// opened, and number of the latter alone.
   std::size_t size(const std::string &Organisation) const;
   std::size_t opening(const std::string &Organisation) const;
-  /// True where there's room for another one, also where an idle connection
-  /// of another organisation would have to go.
+  /// True if another connection may be opened, also if an idle connection of
+  /// another organisation must be closed for it.
   bool mayOpen(const std::string &Organisation, Millis Now) const;
-  /// Begins another connection, in the place of the one that has been idle
-  /// for longest where no other is free. The handlers run later, on the loop,
-  /// and not once the connection was closed from here.
+  /// Opens another connection. At the limit it replaces the one that has been
+  /// idle longest. The handlers run later, on the loop, and not after this
+  /// object has closed the connection.
   void open(TargetConnector &Connector, const ConnectionPurpose &For,
             Millis Now, OpenHandlers Handlers);
-  /// A connection has ended by itself; true where that's a sign that the
-  /// target can't be used. One that ends after it was open is none: whoever
-  /// needs the next learns in a moment whether there is one.
+  /// Handles a connection that was closed by the other side or by an error.
+  /// Returns true if that indicates that the target cannot be used. The end of
+  /// an established connection does not: the next attempt to connect shows
+  /// whether the target is available.
   bool handleClosed(const TargetConnectionPtr &Gone,
                     const std::optional<StatementRefusal> &Why, Millis Now);
   void remove(const TargetConnectionPtr &Gone);
-  /// Closes all of them; whoever waits on one is still to be told.
+  /// Closes all connections and returns them; the caller must fail the
+  /// statements that wait on them.
   std::vector<TargetConnectionPtr> closeAll();
   std::size_t opening() const {
     return inStage(TargetConnection::Stage::Opening);
@@ -115,40 +120,43 @@
   std::size_t size() const { return All.size(); }
   const std::vector<TargetConnectionPtr> &connections() const { return All; }
 
-  /// The target took no further connection: stay below for a while.
+  /// The target refused a connection at its limit: lowers the limit here for a
+  /// while.
   void recordConnectionRefused(Millis Now);
-  /// It can't be reached: try later, later each time.
+  /// The target cannot be reached: retries with exponential backoff.
   void recordUnreachable(Millis Now);
   void recordReachable(Millis Now);
   Millis lastAnswer() const { return Observed.LastAnswer; }
-  /// False once a leaving target must get nothing new.
+  /// False once a leaving target must get no new work.
   bool acceptsNewWork(Millis Now) const {
     return !Record.IsGone && (!Record.IsLeaving ||
                               Now - Observed.LeavingSince < LeavingGracePeriod);
   }
   bool isBackingOff(Millis Now) const { return Now < Observed.BackoffUntil; }
-  /// True while fewer connections stand than are kept warm.
+  /// True while fewer connections exist than are kept warm.
   bool needsWarmConnections() const {
     return !IsPerOrganisation && !Record.IsGone &&
            All.size() < minWarmConnections();
   }
-  /// True until it had as many connections as are kept warm, so that those
-  /// which a target ends later aren't opened again without need.
+  /// Returns true until the pool has once had as many connections as are kept
+  /// warm, so that connections which a target closes later are not reopened
+  /// without need.
   bool updateNeedsWarmup() {
     Observed.IsWarmed = Observed.IsWarmed || IsPerOrganisation ||
                         All.size() >= minWarmConnections();
     return !Observed.IsWarmed;
   }
-  /// Lets the limit grow again, and closes what stands idle beyond the share.
+  /// Raises the limit again after a refusal, and closes connections that have
+  /// been idle too long beyond the warm ones.
   void maintain(Millis Now);
 
-  /// Statements that may be under way here at a time, and what they take.
+  /// Limit for statements in flight at the target, and their answer times.
   StatementWindow &window() { return Observed.Window; }
   const StatementWindow &window() const { return Observed.Window; }
-  /// What its log holds, as far as answers showed.
+  /// Position of the target's log, as observed in answers.
   ReplicaLag &lag() { return Observed.Lag; }
   const ReplicaLag &lag() const { return Observed.Lag; }
-  /// It said that it doesn't lead.
+  /// The target answered that it does not lead.
   void recordNotPrimary(Millis Now) {
     Observed.NotPrimaryUntil = Now + PrimaryRecheckInterval;
   }
@@ -170,46 +178,47 @@
     });
   }
   std::size_t connectionLimit() const;
-  /// The connection that was idle for longest and may go for another
-  /// organisation's; null where there is none.
+  /// Returns the connection that has been idle longest and may be closed for
+  /// another organisation's; null if there is none.
   TargetConnectionPtr replaceable(const std::string &Organisation) const;
 
-  /// A leaving target is promised no new work after some seconds; this is
+  /// A leaving target is guaranteed no new work after some seconds; this is
   /// well below that, and longer than a planned change of primary takes.
   static constexpr Millis LeavingGracePeriod = Millis(4000);
-  /// Links that one proxy has at most; they cost the target nothing, so this
-  /// only bounds the memory.
+  /// Limit for the links of one proxy; they cost the target nothing, so this
+  /// only bounds memory.
   static constexpr std::size_t MaxLinks = 256;
-  /// Above the share by this many, while nobody else needs them.
-  static constexpr std::size_t UsualBurst = 2;
-  /// Part of the share that is kept warm. After a loss of power the target
-  /// counts the former connections for seconds; there must be room for new
-  /// ones beside them.
+  /// How far a proxy may exceed its share while other proxies do not use
+  /// theirs.
+  static constexpr std::size_t DefaultBurst = 2;
+  /// Divisor of the share for the connections that are kept warm. After a power
+  /// failure the target counts the former connections for seconds; new ones
+  /// must fit beside them.
   static constexpr std::size_t WarmDivisor = 2;
   /// Idle connections beyond the warm ones are closed after this long: longer
-  /// than most gaps within a burst. Four times as long leaves so many open at
-  /// a loss of power that callers find none for two seconds after it.
+  /// than most gaps within a burst. With four times as long, so many are open
+  /// at a power failure that callers get none for two seconds after it.
   static constexpr Millis IdleTimeout = Millis(250);
-  /// The same where connections belong to organisations and the target
-  /// has none of its slots to spare.
+  /// The same where connections belong to organisations and the target has no
+  /// free slots.
   static constexpr Millis SaturatedIdleTimeout = Millis(4000);
-  /// After a refused connection the next is tried this much later.
+  /// Pause after a refused connection before the next is opened.
   static constexpr Millis RefusedPause = Millis(50);
-  /// The limit is raised by one this often after a refusal.
+  /// Interval at which the limit is raised by one after a refusal.
   static constexpr Millis LimitRecovery = Millis(1000);
   static constexpr Millis LimitRecoveryWhereDivided = Millis(250);
   static constexpr Millis InitialBackoff = Millis(50);
   static constexpr Millis MaxBackoff = Millis(800);
-  /// A target that doesn't lead is asked again after this long, in case the
-  /// word of its promotion is late.
+  /// A target that does not lead is tried again after this long, in case the
+  /// message about its promotion is late.
   static constexpr Millis PrimaryRecheckInterval = Millis(60);
 
-  /// What was learned of one life of the target.
+  /// Observations of one incarnation of the target.
   struct Observations {
     explicit Observations(Millis Now) : LeavingSince(Now), LimitRaisedAt(Now) {}
 
     bool IsWarmed = false;
-    Millis LeavingSince;              ///< Where the record says that it leaves.
+    Millis LeavingSince;              ///< When the target began to leave.
     std::optional<std::size_t> Limit; ///< Learned from a refusal.
     Millis LimitRaisedAt;
     Millis NextOpenAt; ///< After a refused connection.
@@ -227,7 +236,7 @@
   bool IsPerOrganisation = false;
   bool IsRetiring = false;
   bool IsSaturated = false;
-  std::size_t Burst = UsualBurst;
+  std::size_t Burst = DefaultBurst;
   std::vector<TargetConnectionPtr> All;
   Observations Observed;
 };
