--- a/Source/Quota/Messages.h
+++ b/Source/Quota/Messages.h
@@ -1,5 +1,5 @@
 /// \file
-/// What proxies and control tell each other about organisations' quotas.
+/// Messages between proxies and control about organisations' quotas.
 
 #ifndef CORIANDERDYKE_QUOTA_MESSAGES_H
 #define CORIANDERDYKE_QUOTA_MESSAGES_H
@@ -12,14 +12,14 @@
 
 namespace corianderdyke {
 
-/// Equal parts of each organisation's quota. Few, so that a proxy which gives
-/// out permits for one sees most of what comes; several, so that losing one
-/// leaves most of the quota.
+/// Number of equal parts of each organisation's quota. Few, so that a proxy
+/// that holds one sees most of the organisation's operations; several, so that
+/// the loss of one leaves most of the quota.
 constexpr std::uint32_t SeatsPerOrganisation = 3;
 
-/// How long a seat lasts without being renewed. A proxy that is cut off or
-/// frozen keeps it unused for others for this long; a control group that is
-/// gone for less than this stops no permits.
+/// Duration of a seat without renewal. A proxy that is cut off or frozen keeps
+/// its seats from others for this long; an outage of the control group that is
+/// shorter than this stops no permits.
 constexpr Millis SeatLeaseDuration(8000);
 
 /// One part of an organisation's quota.
@@ -33,7 +33,7 @@
   }
 };
 
-/// Seats of an organisation that a proxy is to hold.
+/// Number of seats of an organisation that a proxy should hold.
 struct SeatDemand {
   std::string Organisation;
   std::uint32_t Count = 0;
@@ -44,13 +44,13 @@
   }
 };
 
-/// Renews seats and asks for others.
+/// Renews seats and requests others.
 struct SeatRequest {
   std::uint64_t Sequence = 0; ///< 0: no request.
   Millis SentAt; ///< By the proxy's clock; echoed and not interpreted.
   /// Term of the leader whose grants the proxy follows.
   std::uint64_t LeaderTerm = 0;
-  std::uint64_t Nonce = 0;        ///< That this leader gave the process.
+  std::uint64_t Nonce = 0;        ///< That this leader issued to the process.
   std::uint64_t AppliedGrant = 0; ///< The last grant contained in Held.
   std::vector<QuotaSeat> Held;
   std::vector<SeatDemand> Wanted;
@@ -61,8 +61,8 @@
   }
 };
 
-/// All seats of a proxy, counted from SentAt by its own clock. Without a
-/// duration it only names the leader's term, and a nonce for the next request.
+/// All seats of a proxy, valid from SentAt by its own clock. With a duration of
+/// 0 it only contains the leader's term and a nonce for the next request.
 struct SeatGrant {
   ProcessId Proxy;
   std::uint64_t Sequence = 0; ///< Of the request that it answers.
@@ -78,7 +78,7 @@
   }
 };
 
-/// A proxy asks the holder of a seat for permits to begin operations.
+/// Request of a proxy to the holder of a seat for permits to begin operations.
 struct PermitRequest {
   std::uint64_t Number = 0; ///< New for each request of a proxy.
   std::string Organisation;
@@ -94,7 +94,7 @@
   std::uint64_t Number = 0; ///< Of the request that it answers.
   std::uint32_t Granted = 0;
   bool HasSeat = false;
-  Millis RetryAfter; ///< Until there is another; only with a seat.
+  Millis RetryAfter; ///< Until a permit is available; only with a seat.
 
   auto operator<=>(const PermitReply &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
--- a/Source/Quota/OperationPermits.cpp
+++ b/Source/Quota/OperationPermits.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Gets permits to begin operations from those who hold seats of a quota.
+/// Gets permits to begin operations from the holders of quota seats.
 
 #include "Quota/OperationPermits.h"
 
@@ -11,16 +11,17 @@
 
 namespace {
 
-/// A holder that hasn't answered after this long is passed over: well above
-/// the way there and back on a slow link.
-constexpr Millis ReplyPatience(60);
-/// An answer isn't expected any more after this long.
-constexpr Millis LatestReply(2000);
-/// A holder that didn't answer is asked last for this long.
-constexpr Millis AvoidFor(500);
-/// Between two rounds while no holder is known to have a seat, and at least.
-constexpr Millis PauseWithoutSeat(40);
-constexpr Millis LeastPause(5);
+/// A holder that has not answered after this long is skipped: well above the
+/// round trip of a slow link.
+constexpr Millis ReplyTimeout(60);
+/// Unanswered requests are dropped after this long.
+constexpr Millis RequestRetention(2000);
+/// A holder that did not answer is asked last for this long.
+constexpr Millis HolderBackoff(500);
+/// Pause between two rounds while no holder is known to have a seat, and the
+/// shortest pause.
+constexpr Millis NoSeatPause(40);
+constexpr Millis MinPause(5);
 
 } // namespace
 
@@ -72,7 +73,8 @@
     for (const ProxyRecord &Holder : Known)
       if (Holder.Name == Self)
         ++Own[Each];
-    // Each proxy begins elsewhere, so that all holders are asked alike.
+    // Each proxy begins with another holder, so that all holders get equal
+    // load.
     if (!Known.empty())
       std::rotate(Known.begin(),
                   Known.begin() + static_cast<std::ptrdiff_t>(
@@ -118,7 +120,7 @@
   stopTimer(Of);
   if (Of.Waiters.empty())
     return;
-  // The plan may have taken the limit away meanwhile.
+  // The plan may have removed the limit in the meantime.
   if (!isLimited(Organisation))
     return begin(dequeue(Of, static_cast<std::uint32_t>(Of.Waiters.size())));
   Of.HolderIndex = 0;
@@ -144,18 +146,18 @@
   if (Next.Name == Self)
     return answered(Organisation, Seats.takePermits(Organisation, Count, Now));
   std::erase_if(Requests, [Now](const auto &Each) {
-    return Now - Each.second.At >= LatestReply;
+    return Now - Each.second.At >= RequestRetention;
   });
   Requests[Of.RequestNumber] = {Organisation, Now};
   Deps.Peers.send({Next.RelayEndpoint.Address, PeerPort}, Delivery::Datagram,
                   PermitRequest{Of.RequestNumber, Organisation, Count});
-  setTimer(Of, Organisation, ReplyPatience, &OperationPermits::timedOut);
+  setTimer(Of, Organisation, ReplyTimeout, &OperationPermits::timedOut);
 }
 
 void OperationPermits::timedOut(const std::string &Organisation) {
   Queue &Of = Queues[Organisation];
   Of.RequestNumber = 0;
-  BackoffUntil[Of.Holder] = Deps.Time.now() + AvoidFor;
+  BackoffUntil[Of.Holder] = Deps.Time.now() + HolderBackoff;
   ++Of.HolderIndex;
   askNext(Organisation);
 }
@@ -210,7 +212,8 @@
   ++Of.HolderIndex;
   Of.NextRoundAt = Deps.Time.now();
   const std::vector<Handler> Permitted = dequeue(Of, Answer.Granted);
-  // Those behind them don't wait for what the handlers do.
+  // The next request is sent before the handlers run, so that operations
+  // further back do not wait for them.
   if (!Of.Waiters.empty())
     askNext(Organisation);
   begin(Permitted);
@@ -221,7 +224,7 @@
   if (Of.Waiters.empty())
     return;
   const Millis Pause =
-      std::max(LeastPause, Of.MinRetryAfter.value_or(PauseWithoutSeat));
+      std::max(MinPause, Of.MinRetryAfter.value_or(NoSeatPause));
   Of.NextRoundAt = Deps.Time.now() + Pause;
   setTimer(Of, Organisation, Pause, &OperationPermits::beginRound);
   refuseExpiringBefore(Organisation, Of.NextRoundAt);
--- a/Source/Quota/OperationPermits.h
+++ b/Source/Quota/OperationPermits.h
@@ -1,15 +1,16 @@
 /// \file
-/// Gets permits to begin operations from those proxies that hold the seats of
-/// an organisation's quota, and gives out those of this proxy's own seats.
+/// Gets permits to begin operations from the proxies that hold the seats of an
+/// organisation's quota, and gives out those of this proxy's own seats.
 ///
-/// Load pattern: an organisation's callers come through all proxies, a few a
-/// minute at each. A part of the quota at each proxy would be too small for two
-/// callers in a row, while all others have theirs to spare; so permits are
-/// pooled at few proxies, and each operation asks for one.
+/// An organisation's callers may be spread over all proxies, with a few
+/// operations a minute at each. A part of the quota at each proxy would be too
+/// small for two operations in a row while all other parts are unused, so
+/// permits are pooled at few proxies and each operation requests one.
 ///
-/// Load pattern: one organisation sends far more than its quota. At any time a
-/// proxy asks once for all of its operations that wait, and while none of the
-/// holders has a permit, those that can't wait as long are refused at once.
+/// If one organisation sends far more than its quota, a proxy has only one
+/// request in flight for all of its waiting operations, and while no holder has
+/// a permit, operations that cannot wait until one is available are refused at
+/// once.
 
 #ifndef CORIANDERDYKE_QUOTA_OPERATIONPERMITS_H
 #define CORIANDERDYKE_QUOTA_OPERATIONPERMITS_H
@@ -25,8 +26,8 @@
 
 namespace corianderdyke {
 
-/// The proxies that are to hold an organisation's seats, by seat: the same at
-/// all proxies that know the same list.
+/// Returns the proxies that should hold an organisation's seats, by seat: the
+/// same at all proxies that know the same list.
 std::vector<ProxyRecord> seatHolders(const std::string &Organisation,
                                      const std::vector<ProxyRecord> &Proxies);
 
@@ -50,10 +51,10 @@
                               Handler OnAnswer) override;
   void cancel(std::uint64_t Number) override;
 
-  /// What control said.
+  /// Updates from control.
   void adopt(const RoutePlan &Plan);
   void setProxies(std::vector<ProxyRecord> All);
-  /// Seats of this proxy have changed.
+  /// Called when the seats of this proxy have changed.
   void handleSeatsChanged();
 
 private:
@@ -63,13 +64,12 @@
     Handler OnAnswer;
   };
 
-  /// One organisation's operations that wait here.
+  /// The operations of one organisation that wait here.
   struct Queue {
     std::list<Waiting> Waiters;
-    std::uint64_t RequestNumber =
-        0;                       ///< Number of the request under way; 0: none.
-    std::size_t HolderIndex = 0; ///< Of the holder that is asked.
-    std::string Holder;          ///< Its name.
+    std::uint64_t RequestNumber = 0; ///< In flight; 0: none.
+    std::size_t HolderIndex = 0;     ///< Of the holder that is asked.
+    std::string Holder;              ///< Its name.
     std::optional<Millis>
         MinRetryAfter; ///< Until one of those asked has a permit.
     Millis NextRoundAt;
@@ -90,12 +90,12 @@
   void beginRound(const std::string &Organisation);
   void askNext(const std::string &Organisation);
   void answered(const std::string &Organisation, const PermitReply &Answer);
-  /// Takes as many operations out of a queue, the oldest first.
+  /// Removes up to \p Permits operations from a queue, the oldest first.
   static std::vector<Handler> dequeue(Queue &Of, std::uint32_t Permits);
-  /// Lets them begin; the handlers may ask for others.
+  /// Begins operations; the handlers may request further permits.
   static void begin(const std::vector<Handler> &Permitted);
   void endRound(const std::string &Organisation);
-  /// Refuses those whose time is over by then.
+  /// Refuses the operations whose deadlines are before \p When.
   void refuseExpiringBefore(const std::string &Organisation, Millis When);
   void setTimer(Queue &Of, const std::string &Organisation, Millis Span,
                 void (OperationPermits::*Then)(const std::string &));
@@ -108,9 +108,9 @@
   QuotaSeats &Seats;
   std::vector<ProxyRecord> Proxies;
   std::map<std::string, std::vector<ProxyRecord>> Holders;
-  std::map<std::string, Millis> BackoffUntil; ///< Holders that didn't answer.
+  std::map<std::string, Millis> BackoffUntil; ///< Of unresponsive holders.
   std::map<std::string, Queue> Queues;
-  /// Sent and not answered, by number. A late answer's permits are used too.
+  /// Unanswered requests by number. Permits of a late answer are used too.
   std::map<std::uint64_t, SentRequest> Requests;
   std::uint64_t NextNumber = 1;
 };
--- a/Source/Quota/PermitSource.h
+++ b/Source/Quota/PermitSource.h
@@ -1,5 +1,5 @@
 /// \file
-/// Where permits to begin operations come from.
+/// Interface for getting permits to begin operations.
 
 #ifndef CORIANDERDYKE_QUOTA_PERMITSOURCE_H
 #define CORIANDERDYKE_QUOTA_PERMITSOURCE_H
@@ -15,17 +15,17 @@
 
 class PermitSource {
 public:
-  /// Nothing with a permit; else when to come back.
+  /// Receives nothing with a permit; else the time after which to retry.
   using Handler = std::function<void(std::optional<Millis>)>;
 
   virtual ~PermitSource() = default;
 
   virtual bool isLimited(const std::string &Organisation) const = 0;
-  /// Asks for one permit, which is refused once it can't be had before
-  /// \p Until. The handler may run at once.
+  /// Requests one permit. The request is refused once no permit can be
+  /// available before \p Until. The handler may run before this returns.
   virtual std::uint64_t requestPermit(const std::string &Organisation,
                                       Millis Until, Handler OnAnswer) = 0;
-  /// Its operation doesn't need it any more; the handler won't run.
+  /// Cancels a request; its handler will not run.
   virtual void cancel(std::uint64_t Number) = 0;
 };
 
--- a/Source/Quota/QuotaSeats.cpp
+++ b/Source/Quota/QuotaSeats.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The parts of organisations' quotas that this proxy gives out permits of.
+/// The seats of organisations' quotas that this proxy holds and gives out
+/// permits from.
 
 #include "Quota/QuotaSeats.h"
 
@@ -11,16 +12,19 @@
 namespace {
 
 constexpr double MillisPerSecond = 1000;
-/// What is tolerated in a window is divided, since seats may begin anew twice
-/// in one. Part of the tolerated share by which rate and burst are raised.
-constexpr double ShareOfRate = 0.6;
-/// Part of the tolerated share with which all seats together begin.
-constexpr double ShareOfStart = 0.15;
-/// Part of the tolerated operations that each seat's bucket may hold beside
-/// its burst.
-constexpr double OperationsOfBucket = 0.1;
-/// Part of the tolerated operations with which all seats together begin.
-constexpr double OperationsOfStart = 0.3;
+/// The tolerances of a window are split between the limits and the initial
+/// tokens, since seats may start with initial tokens twice in one window. This
+/// is the part of the tolerated fraction by which rate and burst are raised.
+constexpr double RatePart = 0.6;
+/// Part of the tolerated fraction that all seats together get as initial
+/// tokens.
+constexpr double InitialPart = 0.15;
+/// Part of the tolerated operations that each seat's bucket may hold in
+/// addition to its burst.
+constexpr double BucketOperationsPart = 0.1;
+/// Part of the tolerated operations that all seats together get as initial
+/// tokens.
+constexpr double InitialOperationsPart = 0.3;
 
 } // namespace
 
@@ -58,10 +62,10 @@
   if (Found == Limits.end())
     return {};
   const double Part =
-      (1 + Tolerance.Fraction * ShareOfRate) / SeatsPerOrganisation;
+      (1 + Tolerance.Fraction * RatePart) / SeatsPerOrganisation;
   return {Found->second.PerSecond * Part,
           Found->second.Burst * Part +
-              Tolerance.Operations * OperationsOfBucket};
+              Tolerance.Operations * BucketOperationsPart};
 }
 
 double QuotaSeats::firstTokens(const std::string &Organisation) const {
@@ -72,8 +76,8 @@
                               static_cast<double>(Tolerance.Window.count()) /
                               MillisPerSecond +
                           Found->second.Burst;
-  return (InWindow * Tolerance.Fraction * ShareOfStart +
-          Tolerance.Operations * OperationsOfStart) /
+  return (InWindow * Tolerance.Fraction * InitialPart +
+          Tolerance.Operations * InitialOperationsPart) /
          SeatsPerOrganisation;
 }
 
@@ -92,7 +96,7 @@
     Bucket &Of = Found->second;
     const double Passed =
         static_cast<double>((Now - Of.CountedAt).count()) / MillisPerSecond;
-    // A bucket that holds less than one token never gives any.
+    // A bucket with a capacity below one token would never give out any.
     Of.Tokens = std::min(std::max(1.0, Limit.Burst),
                          Of.Tokens + Passed * Limit.PerSecond);
     Of.CountedAt = Now;
@@ -135,7 +139,7 @@
   }
   if (Grant.Sequence <= AppliedGrant || Grant.Sequence > Sequence)
     return false;
-  // What had ended begins anew.
+  // Seats whose lease has ended start with initial tokens.
   if (Now >= LeaseEnd)
     Seats.clear();
   std::map<QuotaSeat, Bucket> New;
--- a/Source/Quota/QuotaSeats.h
+++ b/Source/Quota/QuotaSeats.h
@@ -1,5 +1,6 @@
 /// \file
-/// The parts of organisations' quotas that this proxy gives out permits of.
+/// The seats of organisations' quotas that this proxy holds and gives out
+/// permits from.
 
 #ifndef CORIANDERDYKE_QUOTA_QUOTASEATS_H
 #define CORIANDERDYKE_QUOTA_QUOTASEATS_H
@@ -11,44 +12,45 @@
 
 namespace corianderdyke {
 
-/// What operators let organisations pass beyond their quotas, in any window.
+/// How far operators let organisations exceed their quotas, in any window.
 struct QuotaTolerance {
-  double Fraction = 0;   ///< Of rate and burst.
-  double Operations = 0; ///< Beside it.
+  double Fraction = 0;   ///< Part of rate and burst.
+  double Operations = 0; ///< In addition to Fraction.
   Millis Window = Millis(5000);
 
   auto operator<=>(const QuotaTolerance &) const = default;
 };
 
-/// Seats are leases: each counts from the moment when its request was sent. A
-/// seat's permits come from a token bucket with the seat's part of rate and
-/// burst, so that the permits of all seats in any window are within the quota.
+/// Seats are leases: each lasts from the moment when its request was sent. Its
+/// permits come from a token bucket with the seat's part of rate and burst, so
+/// that the permits of all seats in any window are within the quota.
 class QuotaSeats {
 public:
   explicit QuotaSeats(ProcessId Self, QuotaTolerance Tolerance = {})
       : Self(std::move(Self)), Tolerance(Tolerance) {}
 
-  /// Limits hold at once; seats stay.
+  /// Applies the limits of \p Plan at once; the seats stay.
   void adopt(const RoutePlan &Plan);
   bool isLimited(const std::string &Organisation) const {
     return Limits.count(Organisation) != 0;
   }
-  /// Organisations with a quota.
+  /// Names of the organisations with a quota.
   std::vector<std::string> limitedOrganisations() const;
 
-  /// How many seats of which organisations this proxy is to hold.
+  /// Sets how many seats of each organisation this proxy should hold.
   void setWanted(std::map<std::string, std::uint32_t> New);
-  /// True where it lacks a seat that it's to hold.
+  /// True if this proxy lacks a seat that it should hold.
   bool lacksSeat(Millis Now) const;
 
-  /// Gives out as many permits as there are, \p Count at most.
+  /// Gives out the available permits, \p Count at most.
   PermitReply takePermits(const std::string &Organisation, std::uint32_t Count,
                           Millis Now);
 
-  /// The next request; none where nothing is limited.
+  /// Returns the next request; an empty one if nothing is limited.
   SeatRequest request(Millis Now);
-  /// Takes a grant in; one for another process, of an earlier leader or out of
-  /// order is ignored. True where the next request should go out at once.
+  /// Applies a grant. Grants for another process, of an earlier leader or out
+  /// of order are ignored. Returns true if the next request should be sent at
+  /// once.
   bool apply(const SeatGrant &Grant, Millis Now);
 
   std::size_t held(Millis Now) const {
@@ -62,8 +64,8 @@
   };
 
   Quota limitOfSeat(const std::string &Organisation) const;
-  /// Tokens that a seat begins with, where what its former holder gave out
-  /// lately isn't known.
+  /// Initial tokens of a seat, for which the permits that its former holder
+  /// recently gave out are unknown.
   double firstTokens(const std::string &Organisation) const;
 
   ProcessId Self;
@@ -73,7 +75,7 @@
   std::map<QuotaSeat, Bucket> Seats;
   std::uint64_t Sequence = 0;
   std::uint64_t LeaderTerm = 0;
-  std::uint64_t Nonce = 0; ///< Given by that leader.
+  std::uint64_t Nonce = 0; ///< From the leader of LeaderTerm.
   std::uint64_t AppliedGrant = 0;
   Millis LeaseEnd = Millis(-1);
 };
--- a/Source/Quota/SeatLedger.cpp
+++ b/Source/Quota/SeatLedger.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The control leader's record of who holds which part of a quota.
+/// The control leader's record of the holders of quota seats.
 
 #include "Quota/SeatLedger.h"
 
@@ -11,25 +11,25 @@
 
 namespace {
 
-/// Two clocks differ by this much of a span at most, in parts of a million.
+/// Bound for the drift between two clocks, in parts per million of a span.
 constexpr std::uint32_t ClockDriftPpm = 1000;
 
-/// A seat waits this long for the one that it was noted for: several times as
-/// long as a proxy that lacks one takes to ask again.
-constexpr Millis NotedKept(1500);
+/// How long a committed assignment is held for its proxy: several times as long
+/// as a proxy that lacks a seat takes to send its next request.
+constexpr Millis AssignmentHold(1500);
 
-Millis longestSeat() {
+Millis maxSeatLease() {
   return maxLeaseAcrossClocks(SeatLeaseDuration, ClockDriftPpm);
 }
 
 } // namespace
 
 void SeatLedger::startTerm(std::uint64_t LeaderTerm,
-                           const SeatAssignments &Noted, Millis Now) {
+                           const SeatAssignments &Committed, Millis Now) {
   *this = SeatLedger();
   Term = LeaderTerm;
-  AwaitReportsUntil = Now + longestSeat();
-  for (const auto &[Which, Name] : Noted)
+  AwaitReportsUntil = Now + maxSeatLease();
+  for (const auto &[Which, Name] : Committed)
     Seats[Which].Name = Name;
 }
 
@@ -48,14 +48,14 @@
       continue;
     const bool IsHeld = std::find(Request.Held.begin(), Request.Held.end(),
                                   Which) != Request.Held.end();
-    const bool IsFormers = Each.HasReported && Each.Holder != Proxy;
-    const bool IsUnderWay = Each.HasReported && !IsFormers &&
-                            Each.GrantSequence > Request.AppliedGrant;
+    const bool IsOfFormerProcess = Each.HasReported && Each.Holder != Proxy;
+    const bool IsGrantInFlight = Each.HasReported && !IsOfFormerProcess &&
+                                 Each.GrantSequence > Request.AppliedGrant;
     Each.HasReported = true;
-    if (!IsHeld && !IsUnderWay)
+    if (!IsHeld && !IsGrantInFlight)
       Each.HeldUntil = Millis();
     else if (IsHeld)
-      Each.HeldUntil = std::max(Each.HeldUntil, Now + longestSeat());
+      Each.HeldUntil = std::max(Each.HeldUntil, Now + maxSeatLease());
     if (Each.Holder != Proxy)
       Each.GrantSequence = 0;
     Each.Holder = Proxy;
@@ -65,21 +65,21 @@
 void SeatLedger::grant(const ProcessId &Proxy, const SeatRequest &Request,
                        const SeatDemand &Wanted, Millis Now, SeatGrant &Out) {
   std::uint32_t Given = 0;
-  const std::uint32_t Most = std::min(Wanted.Count, SeatsPerOrganisation);
+  const std::uint32_t MaxCount = std::min(Wanted.Count, SeatsPerOrganisation);
   for (std::uint32_t Index = 0; Index < SeatsPerOrganisation; ++Index) {
     const QuotaSeat Which{Wanted.Organisation, Index};
     const auto Known = Seats.find(Which);
-    if (Given >= Most || Known == Seats.end() || Known->second.IsReserved ||
+    if (Given >= MaxCount || Known == Seats.end() || Known->second.IsReserved ||
         Known->second.Name != Proxy.Name)
       continue;
-    Known->second.HeldUntil = Now + longestSeat();
+    Known->second.HeldUntil = Now + maxSeatLease();
     Known->second.GrantSequence = Request.Sequence;
     Out.Seats.push_back(Which);
     ++Given;
   }
-  // What lacks is noted first, and granted with a later request.
-  for (std::uint32_t Index = 0; Index < SeatsPerOrganisation && Given < Most;
-       ++Index) {
+  // Missing seats are committed first, and granted with a later request.
+  for (std::uint32_t Index = 0;
+       Index < SeatsPerOrganisation && Given < MaxCount; ++Index) {
     Seat &Other = Seats[{Wanted.Organisation, Index}];
     if (!isFree(Other, Now) || Other.Name == Proxy.Name)
       continue;
@@ -110,7 +110,7 @@
   if (Request.LeaderTerm > Term)
     return std::nullopt;
   SeatGrant Out{Proxy, Request.Sequence, Request.SentAt, Millis(), Term, 0, {}};
-  // What it reports of an earlier term may still grow by a late grant.
+  // A late grant of an earlier term may still add to its report.
   if (!isLatest(Proxy, Request)) {
     Out.Nonce = ++LastNonce;
     UnconfirmedProcesses[Proxy.Name] = {Proxy, Out.Nonce};
@@ -136,9 +136,9 @@
     Seat &Of = Seats[Which];
     Of = Seat();
     Of.Name = Name;
-    // Nobody of that name was granted it before.
+    // No process of that name was granted the seat before.
     Of.HasReported = true;
-    Of.HeldUntil = Now + NotedKept;
+    Of.HeldUntil = Now + AssignmentHold;
     const auto Process = Latest.find(Name);
     if (Process != Latest.end())
       Of.Holder = Process->second.Id;
--- a/Source/Quota/SeatLedger.h
+++ b/Source/Quota/SeatLedger.h
@@ -1,19 +1,18 @@
 /// \file
-/// The control leader's record of who holds which part of a quota.
+/// The control leader's record of the holders of quota seats.
 ///
-/// At any moment a seat has one holder at most, because
-///  - the group notes the name of a seat's holder before it's granted, so that
-///    every later leader knows whose word it must wait for;
-///  - a seat is given to another name only once its holder has reported that
-///    it's released, or its lease has ended by every clock within the drift
-///    bound;
-///  - a grant under way counts until a report contains a later one;
+/// At any moment a seat has at most one holder, because
+///  - the control group commits the name of a seat's holder before the seat is
+///    granted, so that every later leader knows whose report it must wait for;
+///  - a seat is assigned to another name only once its holder has reported its
+///    release, or its lease has ended by every clock within the drift bound;
+///  - a grant in flight counts until a report contains a later one;
 ///  - a report counts only once its proxy follows this leader's term, since a
-///    late grant of the predecessor could add to an earlier one.
-/// A later process of the same name holds nothing of the former one's, which
-/// has ended, and may have its seats at once. A process counts as the latest of
-/// its name once it sends back the last nonce that was given for the name: the
-/// late request of one that has ended can't.
+///    late grant of the previous leader could add to an earlier report.
+/// A later process of the same name holds no seats of the former process, which
+/// has ended, and may get them at once. A process counts as the latest of its
+/// name once it returns the last nonce that was issued for the name: a late
+/// request of a process that has ended cannot contain it.
 
 #ifndef CORIANDERDYKE_QUOTA_SEATLEDGER_H
 #define CORIANDERDYKE_QUOTA_SEATLEDGER_H
@@ -25,31 +24,34 @@
 
 namespace corianderdyke {
 
-/// Names of the holders by seat; empty where none was noted.
+/// Names of the holders by seat; empty where none is committed.
 using SeatAssignments = std::map<QuotaSeat, std::string>;
 
 class SeatLedger {
 public:
-  /// Starts as the leader of a term with what the group has noted.
-  void startTerm(std::uint64_t LeaderTerm, const SeatAssignments &Noted,
+  /// Starts a term as its leader with the committed assignments.
+  void startTerm(std::uint64_t LeaderTerm, const SeatAssignments &Committed,
                  Millis Now);
 
-  /// Answers a request that came in at \p ReceivedAt. The caller makes sure
-  /// that this host still led after that moment. Nothing for an old request.
+  /// Answers a request that arrived at \p ReceivedAt. The caller ensures that
+  /// this host was still the leader after that moment. Returns nothing for an
+  /// old request.
   std::optional<SeatGrant>
   answer(const ProcessId &Proxy, const SeatRequest &Request, Millis ReceivedAt);
 
-  /// Holders that the group should note; each seat waits until it has.
+  /// Returns the assignments that the control group should commit; each seat is
+  /// granted only after that.
   SeatAssignments takeProposedAssignments();
-  /// The group has noted them; they ask for their seats soon.
+  /// The control group has committed \p Done; the holders request their seats
+  /// soon.
   void applyCommitted(const SeatAssignments &Done, Millis Now);
 
 private:
   struct Seat {
-    std::string Name;         ///< As noted.
-    bool IsReserved = false;  ///< Another name is about to be noted.
+    std::string Name;         ///< Committed holder.
+    bool IsReserved = false;  ///< Another name is being committed.
     bool HasReported = false; ///< Its holder has reported in this term.
-    ProcessId Holder;         ///< That it was granted to or that reported it.
+    ProcessId Holder;         ///< Process that was granted or reported it.
     Millis HeldUntil;
     std::uint64_t GrantSequence = 0; ///< Sequence of the last grant.
   };
@@ -64,7 +66,8 @@
     std::uint64_t Nonce = 0;
   };
 
-  /// True where it's the latest process of its name, as from now on.
+  /// True if \p Proxy is, or becomes with this request, the latest process of
+  /// its name.
   bool isLatest(const ProcessId &Proxy, const SeatRequest &Request);
   bool isFree(const Seat &Of, Millis Now) const;
   void applyReport(const ProcessId &Proxy, const SeatRequest &Request,
@@ -77,7 +80,7 @@
   std::map<QuotaSeat, Seat> Seats;
   /// The latest process of each name.
   std::map<std::string, Process> Latest;
-  /// Those that were given a nonce last, by name.
+  /// The processes with the last nonces, by name.
   std::map<std::string, UnconfirmedProcess> UnconfirmedProcesses;
   std::uint64_t LastNonce = 0;
   SeatAssignments ProposedAssignments;
