--- a/Source/Statements/Links.h
+++ b/Source/Statements/Links.h
@@ -1,6 +1,6 @@
 /// \file
-/// The ports through which statements come in and go out: one towards
-/// callers, one towards targets.
+/// Interfaces through which statements arrive and leave: links to callers and
+/// links to targets.
 
 #ifndef CORIANDERDYKE_STATEMENTS_LINKS_H
 #define CORIANDERDYKE_STATEMENTS_LINKS_H
@@ -14,22 +14,22 @@
 
 namespace corianderdyke {
 
-/// The way back to one caller.
+/// Link to one caller.
 class CallerLink {
 public:
   virtual ~CallerLink() = default;
 
-  /// Tells that the session is open.
+  /// Reports that the session is open.
   virtual void accept() = 0;
-  /// Tells why it isn't, and closes.
+  /// Reports why the session is refused, and closes the link.
   virtual void reject(const StatementRefusal &Why) = 0;
   /// Answers the oldest unanswered statement.
   virtual void answer(const StatementAnswer &Answer) = 0;
-  /// Closes once everything written has left.
+  /// Closes the link once all written data has been sent.
   virtual void close() = 0;
 };
 
-/// What goes to a target on one connection.
+/// One command to a target on one connection.
 struct TargetCommand {
   enum class Kind : std::uint8_t {
     Reset, ///< Clears the values and prepared names of the connection.
@@ -39,7 +39,7 @@
     BeginRead,
     Rollback,
     Run,     ///< The caller's text, unchanged.
-    Execute, ///< A prepared name of ours with the caller's arguments.
+    Execute, ///< A name prepared by this process, with the caller's arguments.
     Status,
     StopReceiving,
     ResumeReceiving,
@@ -47,19 +47,20 @@
   };
 
   Kind Operation = Kind::Run;
-  std::string Id = {};   ///< The caller's statement; empty for one of our own.
-  std::string Text = {}; ///< The caller's text, a shape, a value or arguments.
+  std::string Id = {};   ///< Of the caller's statement; else empty.
+  std::string Text = {}; ///< Statement, text to prepare, value or arguments.
   std::string Name = {}; ///< Of a value or a prepared statement.
   /// The target refuses unless its log holds this position.
   std::optional<LogPosition> MinPosition = {};
-  std::uint64_t Term = 0; ///< For orders about the lead.
-  /// Where connections are shared: whose turn is first, 0 the highest, and
-  /// how long this may wait for its turn before it's refused as not run.
+  std::uint64_t Term = 0; ///< For commands that change the leader.
+  /// Where connections are shared: the priority, 0 being the highest, and how
+  /// long the command may wait for a connection before it is refused as not
+  /// run.
   std::uint32_t Priority = 0;
   Millis MaxQueueTime = {};
-  /// Where connections are shared: neither this nor what follows it in the
-  /// same write is sent unless the command before it succeeded. It saves a
-  /// way to the gateway and back.
+  /// Where connections are shared: this command and those that follow it in the
+  /// same write are sent only if the command before it succeeded. It saves a
+  /// round trip to the gateway.
   bool NeedsPrevious = false;
 
   bool operator==(const TargetCommand &) const = default;
@@ -69,7 +70,8 @@
   }
 };
 
-/// True for commands that only change what the target holds for a connection.
+/// True for commands that only change the state that the target holds for a
+/// connection.
 inline bool isSessionStateCommand(TargetCommand::Kind What) {
   return What == TargetCommand::Kind::Reset ||
          What == TargetCommand::Kind::SetValue ||
@@ -80,14 +82,14 @@
 class TargetLink {
 public:
   struct Events {
-    /// The target took the connection.
+    /// The target has accepted the connection.
     std::function<void()> OnOpen;
     std::function<void(StatementAnswer)> OnAnswer;
-    /// No answer will come any more; the refusal tells what the target said
-    /// on opening, where it said anything.
+    /// No more answers will arrive; the refusal is the target's answer to the
+    /// opening, if there was one.
     std::function<void(std::optional<StatementRefusal>)> OnClose;
-    /// Answers are due and the other side doesn't answer keepalives either.
-    /// They may still come. Not raised by every link; may be empty.
+    /// Answers are due and the other side does not answer keepalives either.
+    /// The answers may still arrive. Not all links raise this; may be empty.
     std::function<void()> OnKeepaliveTimeout = nullptr;
   };
 
@@ -95,21 +97,23 @@
 
   /// Sends commands in one write.
   virtual void send(const std::vector<TargetCommand> &Commands) = 0;
-  /// True where it's no connection of its own: it takes one of those that
-  /// all proxies share, for one transaction or statement at a time.
+  /// True if it is not a dedicated connection: it uses one of those that all
+  /// proxies share, for one transaction or statement at a time.
   virtual bool isShared() const { return false; }
 };
 
-/// Where a target is, whom to expect there, and on whose behalf.
+/// Address of a target, its expected identity, and the organisation that the
+/// connection is for.
 struct TargetAddress {
   std::string Group;
   std::string Id;
   Endpoint Address;
-  /// Whose statements the connection carries; the target is told. Empty where
-  /// the plan declares no organisations.
+  /// The organisation whose statements the connection carries; it is sent to
+  /// the target. Empty if the plan declares no organisations.
   std::string Organisation = {};
-  /// It carries no caller's statement, only the process's own questions: a
-  /// shared link may then use any organisation's connection.
+  /// True if the connection carries no statements of callers, only requests of
+  /// the process itself: a shared link may then use the connection of any
+  /// organisation.
   bool IsInternal = false;
 
   auto operator<=>(const TargetAddress &) const = default;
@@ -127,12 +131,12 @@
   virtual std::unique_ptr<TargetLink> open(const TargetAddress &To,
                                            TargetLink::Events Events) = 0;
 
-  /// False while it isn't known yet which of the targets' connections are
-  /// this process's to open.
+  /// False while it is not known yet how many connections to the targets this
+  /// process may open.
   virtual bool knowsShares() const { return true; }
 
-  /// True where links to a group's targets are shared ones: one more costs
-  /// the target nothing.
+  /// True if links to a group's targets are shared: one more costs the target
+  /// nothing.
   virtual bool sharesConnections(const std::string &Group) const {
     (void)Group;
     return false;
--- a/Source/Statements/Statement.h
+++ b/Source/Statements/Statement.h
@@ -1,6 +1,6 @@
 /// \file
-/// Statements of callers and answers of targets as values, whatever protocol
-/// carries them.
+/// Statements of callers and answers of targets as values, independent of the
+/// protocol that carries them.
 
 #ifndef CORIANDERDYKE_STATEMENTS_STATEMENT_H
 #define CORIANDERDYKE_STATEMENTS_STATEMENT_H
@@ -14,8 +14,8 @@
 
 namespace corianderdyke {
 
-/// A place in the log of a database group. A later term comes after every
-/// place of an earlier one.
+/// A position in the log of a database group. A later term comes after every
+/// position of an earlier one.
 struct LogPosition {
   std::uint64_t Term = 0;
   std::uint64_t Number = 0;
@@ -31,41 +31,41 @@
   Rollback,
   Read,
   Write,
-  Set,     ///< Gives a session value.
-  Prepare, ///< Names a statement shape.
-  Execute, ///< Runs a prepared shape with arguments.
+  Set,     ///< Sets a session value.
+  Prepare, ///< Prepares a statement under a name.
+  Execute, ///< Runs a prepared statement with arguments.
   Deallocate,
-  Malformed, ///< Couldn't be read; Text says why.
+  Malformed, ///< Could not be parsed; Text says why.
 };
 
 struct Statement {
   StatementKind Kind = StatementKind::Malformed;
-  std::string Id;        ///< The caller's, carried to the target unchanged.
+  std::string Id;        ///< The caller's id, sent to the target unchanged.
   std::string Text;      ///< As the caller sent it.
   std::string Name;      ///< Of a session value or a prepared statement.
-  std::string Value;     ///< The session value, or the shape to prepare.
-  std::string Arguments; ///< Of an execution, behind the name.
-  bool Writes = false;   ///< The shape to prepare is one of a write.
+  std::string Value;     ///< The session value, or the statement to prepare.
+  std::string Arguments; ///< Of Execute, after the name.
+  bool Writes = false;   ///< The statement to prepare writes.
 
   bool operator==(const Statement &) const = default;
 };
 
 /// Why a statement has no result.
 enum class RefusalCode : std::uint8_t {
-  Busy,            ///< Didn't run: no capacity.
-  Unreachable,     ///< Didn't run: nobody asked reaches the target.
-  Aborted,         ///< Nothing of the transaction is kept.
-  Lagging,         ///< Didn't run: the log lacks the position asked for.
-  ReadOnly,        ///< Didn't run: the target doesn't lead.
-  Misrouted,       ///< Didn't run: another target answers at that address.
-  ConnectionLimit, ///< Didn't run: the target takes no more connections.
-  NoStatement,     ///< Didn't run: no such prepared statement.
-  NoDatabase,      ///< Didn't run: no route has that name.
-  Malformed,       ///< Didn't run: not understood, or not allowed now.
+  Busy,        ///< Did not run: no capacity.
+  Unreachable, ///< Did not run: no gateway that was asked reaches the target.
+  Aborted,     ///< Nothing of the transaction is kept.
+  Lagging,     ///< Did not run: the log lacks the required position.
+  ReadOnly,    ///< Did not run: the target does not lead.
+  Misrouted,   ///< Did not run: another target answers at that address.
+  ConnectionLimit, ///< Did not run: the target is at its connection limit.
+  NoStatement,     ///< Did not run: no such prepared statement.
+  NoDatabase,      ///< Did not run: no route has that name.
+  Malformed,       ///< Did not run: not valid, or not allowed in this phase.
   Failed,          ///< Ran and failed.
-  Timeout,         ///< Ran or may have.
-  Unknown,         ///< May have run; nobody can tell.
-  Unauthorised,    ///< Didn't run: the caller's key isn't one of the plan's.
+  Timeout,         ///< Ran or may have run.
+  Unknown,         ///< May have run; the outcome is unknown.
+  Unauthorised,    ///< Did not run: the caller's key is not in the plan.
 };
 
 struct StatementRefusal {
@@ -76,16 +76,16 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(Code, Reason); }
 };
 
-/// Where a session stands after an answer.
+/// Transaction state of a session after an answer.
 enum class SessionPhase : std::uint8_t { Idle, InTransaction, Failed };
 
-/// A whole answer to one statement.
+/// The complete answer to one statement.
 struct StatementAnswer {
   std::vector<std::string> Rows;
   std::string Signature; ///< The target's signature of the result; opaque here.
   std::optional<StatementRefusal> Refusal;
   SessionPhase Phase = SessionPhase::Idle;
-  std::optional<LogPosition> Position; ///< Where the target's log stood.
+  std::optional<LogPosition> Position; ///< Position of the target's log.
 
   bool operator==(const StatementAnswer &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
