--- a/Source/Plan/PlanIndex.h
+++ b/Source/Plan/PlanIndex.h
@@ -1,6 +1,6 @@
 /// \file
-/// Finds routes and groups of a plan by name: hundreds of groups, at each
-/// statement and each change of a target.
+/// Finds routes and groups of a plan by name. Lookups run for each statement
+/// and each change of a target, with hundreds of groups.
 
 #ifndef CORIANDERDYKE_PLAN_PLANINDEX_H
 #define CORIANDERDYKE_PLAN_PLANINDEX_H
@@ -11,14 +11,14 @@
 
 namespace corianderdyke {
 
-/// Holds a plan; what it finds is good until the next one is set.
+/// Holds a plan. Pointers that it returns are valid until the next set().
 class PlanIndex {
 public:
   void set(RoutePlan New) {
     Plan = std::move(New);
     Routes.clear();
     Groups.clear();
-    // The first of a name counts, as in the plan.
+    // The first entry of a name counts, as in the plan.
     for (const RoutePolicy &Each : Plan.Routes)
       Routes.emplace(Each.Database, &Each);
     for (const GroupPolicy &Each : Plan.Groups)
--- a/Source/Plan/RoutePlan.cpp
+++ b/Source/Plan/RoutePlan.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What operators declare about routes and database groups, under a version.
+/// Routes, database groups and organisations that operators declare, under a
+/// version.
 
 #include "Plan/RoutePlan.h"
 
@@ -12,7 +13,7 @@
 
 namespace {
 
-/// Names and keys travel as words of a line.
+/// True if \p Text can be sent as one word of a line, as names and keys are.
 bool isWord(const std::string &Text) {
   return !Text.empty() &&
          std::none_of(Text.begin(), Text.end(), [](unsigned char Each) {
@@ -34,7 +35,7 @@
     if (Each.Limit && (Each.Limit->PerSecond < 0 || Each.Limit->Burst < 0))
       Out.push_back(Where + "rate and burst must not be negative");
     for (const std::string &Key : Each.Keys) {
-      // The message names no key: it goes into logs.
+      // The message omits the key because it is logged.
       if (!isWord(Key))
         Out.push_back(Where + "a key must be one word");
       const auto [Holder, IsNew] = Holders.emplace(Key, Each.Name);
--- a/Source/Plan/RoutePlan.h
+++ b/Source/Plan/RoutePlan.h
@@ -1,5 +1,6 @@
 /// \file
-/// What operators declare about routes and database groups, under a version.
+/// Routes, database groups and organisations that operators declare, under a
+/// version.
 
 #ifndef CORIANDERDYKE_PLAN_ROUTEPLAN_H
 #define CORIANDERDYKE_PLAN_ROUTEPLAN_H
@@ -17,11 +18,11 @@
 
 namespace corianderdyke {
 
-/// What a read must not miss.
+/// Which commits a read must see.
 enum class Freshness : std::uint8_t {
   Primary,          ///< Any commit acknowledged before the read.
   BoundedStaleness, ///< Any acknowledged longer ago than the accepted age.
-  ReadYourWrites,   ///< As Bounded, and any commit of the same session.
+  ReadYourWrites, ///< As BoundedStaleness, and any commit of the same session.
 };
 
 /// How statements to one database name are served.
@@ -47,17 +48,19 @@
 
 struct GroupPolicy {
   std::string Name;
-  std::uint32_t MaxConnections = 0; ///< A target's, from all sides together.
-  std::uint32_t SyncReplicas = 0;   ///< That hold a commit before its answer.
+  /// Limit of one target for all its clients together.
+  std::uint32_t MaxConnections = 0;
+  /// Replicas that hold a commit before it is acknowledged.
+  std::uint32_t SyncReplicas = 0;
 
-  /// Connections to a target that all proxies may hold together, one at least.
+  /// Connections to a target that all proxies together may hold, at least one.
   std::size_t usableConnections() const {
     return std::max<std::size_t>(MaxConnections, ReservedConnections + 1) -
            ReservedConnections;
   }
 
-  /// Left for control, and for those that the target hasn't noticed to be
-  /// closed.
+  /// Reserved for control, and for closed connections that the target still
+  /// counts.
   static constexpr std::size_t ReservedConnections = 2;
 
   auto operator<=>(const GroupPolicy &) const = default;
@@ -66,27 +69,28 @@
   }
 };
 
-/// How many operations an organisation may begin, over all proxies.
+/// Limit for the operations that an organisation may begin at all proxies
+/// together.
 struct Quota {
   double PerSecond = 0;
-  double Burst = 0; ///< Operations beyond the rate at one moment.
+  double Burst = 0; ///< Operations that may begin at once beyond the rate.
 
   auto operator<=>(const Quota &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(PerSecond, Burst); }
 };
 
-/// In place of an organisation, for callers of public routes.
+/// Stands for the organisation of callers of public routes.
 constexpr const char *PublicOrganisation = "-";
 
-/// A customer, known by the keys that its callers open sessions with.
+/// A customer, identified by the keys with which its callers open sessions.
 struct PlannedOrganisation {
   std::string Name;
-  /// As declared, at control hosts alone; empty at proxies.
+  /// The declared keys, at control hosts only; empty at proxies.
   std::vector<std::string> Keys;
-  /// Keyed digests of the keys, at proxies alone.
+  /// Keyed digests of the keys, at proxies only.
   std::vector<std::string> KeyDigests;
   std::uint32_t Priority = 0;
-  std::optional<Quota> Limit; ///< Nothing where it isn't limited.
+  std::optional<Quota> Limit; ///< Empty if not limited.
 
   auto operator<=>(const PlannedOrganisation &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
@@ -95,13 +99,13 @@
 };
 
 struct RoutePlan {
-  std::uint64_t Version = 0; ///< 0: none was ever accepted.
+  std::uint64_t Version = 0; ///< 0: no plan was accepted yet.
   std::vector<RoutePolicy> Routes;
   std::vector<GroupPolicy> Groups;
-  /// Empty: callers need no key, and targets are told of no organisation.
+  /// Empty: callers need no key, and no organisation is sent to targets.
   std::vector<PlannedOrganisation> Organisations;
   Millis TransactionIdleTimeout = Millis(3000);
-  /// The operator's own document, to be shown again in full.
+  /// The operator's original document, for display.
   std::string Document;
 
   bool operator==(const RoutePlan &) const = default;
@@ -111,7 +115,7 @@
   }
 };
 
-/// All that keeps a plan from being accepted; empty where nothing does.
+/// Returns all reasons why \p Plan is not valid; empty if it is valid.
 std::vector<std::string> validationErrors(const RoutePlan &Plan);
 
 } // namespace corianderdyke
