--- a/Source/Organisations/OrganisationTable.cpp
+++ b/Source/Organisations/OrganisationTable.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which organisation a caller's key belongs to, at a proxy.
+/// Maps callers' keys to organisations at a proxy.
 
 #include "Organisations/OrganisationTable.h"
 
--- a/Source/Organisations/OrganisationTable.h
+++ b/Source/Organisations/OrganisationTable.h
@@ -1,8 +1,8 @@
 /// \file
-/// Which organisation a caller's key belongs to, at a proxy.
+/// Maps callers' keys to organisations at a proxy.
 ///
-/// Proxies know keyed digests alone: a caller's key leaves neither the
-/// connection that it came on nor the control hosts' plan.
+/// Proxies hold only keyed digests: callers' keys exist in plain text only on
+/// the connections that they arrive on and in the plan at the control hosts.
 
 #ifndef CORIANDERDYKE_ORGANISATIONS_ORGANISATIONTABLE_H
 #define CORIANDERDYKE_ORGANISATIONS_ORGANISATIONTABLE_H
@@ -13,22 +13,23 @@
 
 namespace corianderdyke {
 
-/// The digest by which proxies know \p Key; \p Secret is the processes' own.
+/// Returns the digest of \p Key that proxies compare; \p Secret is shared by
+/// all processes.
 std::string callerKeyDigest(const std::string &Secret, const std::string &Key);
 
-/// The plan without what operators alone may read: digests stand in place of
-/// the keys.
+/// Returns the plan without the parts that only operators may read: digests
+/// replace the keys.
 RoutePlan replaceKeysByDigests(RoutePlan Plan, const std::string &Secret);
 
 class OrganisationTable {
 public:
   OrganisationTable() = default;
-  /// \p Plan is one without keys.
+  /// \p Plan contains digests in place of keys.
   explicit OrganisationTable(const RoutePlan &Plan);
 
-  /// Whose statements a session runs on a route. Empty where the plan declares
-  /// no organisations, PublicOrganisation on a public route, nothing where the
-  /// plan doesn't know the key.
+  /// Returns the organisation of a session on \p Route: empty if the plan
+  /// declares no organisations, PublicOrganisation on a public route, nothing
+  /// if the plan does not contain the key.
   std::optional<std::string>
   findOrganisation(const RoutePolicy &Route,
                    const std::string &KeyDigest) const;
