--- a/Source/Pipeline/ConnectionAssignment.cpp
+++ b/Source/Pipeline/ConnectionAssignment.cpp
@@ -52,10 +52,10 @@
     const GroupPolicy *Policy = Plan.group(Name);
     if (Policy == nullptr)
       continue;
-    const std::size_t All = Policy->usableConnections();
+    const std::size_t Usable = Policy->usableConnections();
     const bool IsShared = Deps.Targets.sharesConnections(Name);
     for (auto &[Id, Pool] : Each.Pools) {
-      Pool.setShare(std::max(MinShare, All / Proxies));
+      Pool.setShare(std::max(MinShare, Usable / Proxies));
       Pool.setPerOrganisation(!plan().Organisations.empty());
       Pool.setShared(IsShared, Deps.Time.now());
     }
@@ -69,11 +69,11 @@
     // connection.
     if (Plan.group(Each.Group) == nullptr && Groups.count(Each.Group) == 0)
       continue;
-    Group &In = Groups[Each.Group];
-    const auto Pool = In.Pools.find(Each.Id);
-    if (Pool == In.Pools.end()) {
+    Group &G = Groups[Each.Group];
+    const auto Pool = G.Pools.find(Each.Id);
+    if (Pool == G.Pools.end()) {
       if (!Each.IsGone)
-        In.Pools.emplace(Each.Id, TargetPool(Each, MinShare, Now));
+        G.Pools.emplace(Each.Id, TargetPool(Each, MinShare, Now));
       continue;
     }
     if (Pool->second.isNewIncarnation(Each))
@@ -116,30 +116,30 @@
 }
 
 void SessionPipeline::dispatchWaiting(const std::string &Name) {
-  Group &In = Groups[Name];
-  if (In.IsDispatching)
+  Group &G = Groups[Name];
+  if (G.IsDispatching)
     return;
-  In.IsDispatching = true;
+  G.IsDispatching = true;
   const Millis Now = Deps.Time.now();
-  for (auto Each = In.Waiting.begin(); Each != In.Waiting.end();) {
+  for (auto Each = G.Waiting.begin(); Each != G.Waiting.end();) {
     const SessionJobPtr Job = *Each;
-    if (Job->RetryAt > Now || !assign(In, Job)) {
+    if (Job->RetryAt > Now || !assign(G, Job)) {
       ++Each;
       continue;
     }
-    Each = In.Waiting.erase(Each);
-    In.forecast(*Job).recordDeparture(In.waiting(*Job), Now);
-    const TargetConnectionPtr On = Job->Connection;
-    run(Job, On);
+    Each = G.Waiting.erase(Each);
+    G.forecast(*Job).recordDeparture(G.waiting(*Job), Now);
+    const TargetConnectionPtr Connection = Job->Connection;
+    run(Job, Connection);
   }
-  In.IsDispatching = false;
+  G.IsDispatching = false;
 }
 
-std::vector<TargetPool *> SessionPipeline::candidates(Group &In,
+std::vector<TargetPool *> SessionPipeline::candidates(Group &G,
                                                       const SessionJob &Job) {
   const Millis Now = Deps.Time.now();
   std::vector<TargetPool *> Out;
-  for (auto &[Id, Pool] : In.Pools) {
+  for (auto &[Id, Pool] : G.Pools) {
     const TargetRecord &Record = Pool.record();
     if (Record.IsGone)
       continue;
@@ -149,7 +149,7 @@
     // A leaving primary serves until another one is promoted, or until shortly
     // before the end of the time that it was promised.
     if (Job.Destination == Placement::Primary &&
-        (Id != In.Primary || !Pool.mayBePrimary(Now) ||
+        (Id != G.Primary || !Pool.mayBePrimary(Now) ||
          !Pool.acceptsNewWork(Now)))
       continue;
     if (Job.Destination == Placement::AnyFresh &&
@@ -159,20 +159,20 @@
     Out.push_back(&Pool);
   }
   if (Job.Destination == Placement::AnyFresh && Out.size() > 1)
-    excludeCongestedPrimary(In, Out);
-  return cheapestFirst(In, Out, Job, Now);
+    excludeCongestedPrimary(G, Out);
+  return cheapestFirst(G, Out, Job, Now);
 }
 
 // Each cost is computed once: it changes with time, and a sort whose order
 // changes while it runs reads out of bounds.
 std::vector<TargetPool *>
-SessionPipeline::cheapestFirst(const Group &In,
-                               const std::vector<TargetPool *> &Among,
+SessionPipeline::cheapestFirst(const Group &G,
+                               const std::vector<TargetPool *> &Candidates,
                                const SessionJob &Job, Millis Now) const {
   std::vector<std::pair<double, TargetPool *>> Ranked;
-  Ranked.reserve(Among.size());
-  for (TargetPool *Each : Among)
-    Ranked.emplace_back(cost(In, *Each, Job, Now), Each);
+  Ranked.reserve(Candidates.size());
+  for (TargetPool *Each : Candidates)
+    Ranked.emplace_back(cost(G, *Each, Job, Now), Each);
   std::stable_sort(Ranked.begin(), Ranked.end(),
                    [](const auto &Left, const auto &Right) {
                      return Left.first < Right.first;
@@ -188,16 +188,16 @@
 // the leader have one: each read at the leader delays writes that no other
 // target can run.
 void SessionPipeline::excludeCongestedPrimary(
-    const Group &In, std::vector<TargetPool *> &Among) {
-  Among.erase(std::remove_if(Among.begin(), Among.end(),
-                             [&In](const TargetPool *Each) {
-                               return Each->record().Id == In.Primary &&
-                                      Each->window().isCongested();
-                             }),
-              Among.end());
+    const Group &G, std::vector<TargetPool *> &Candidates) {
+  Candidates.erase(std::remove_if(Candidates.begin(), Candidates.end(),
+                                  [&G](const TargetPool *Each) {
+                                    return Each->record().Id == G.Primary &&
+                                           Each->window().isCongested();
+                                  }),
+                   Candidates.end());
 }
 
-double SessionPipeline::cost(const Group &In, const TargetPool &Pool,
+double SessionPipeline::cost(const Group &G, const TargetPool &Pool,
                              const SessionJob &Job, Millis Now) const {
   double Out =
       static_cast<double>(Pool.busy()) + Pool.window().mean() / LatencyUnit;
@@ -205,27 +205,27 @@
     Out += DistanceCost;
   if (Job.Floor && Pool.lag().isBehind(*Job.Floor, Now))
     Out += BehindCost;
-  if (Pool.record().Id == In.Primary)
+  if (Pool.record().Id == G.Primary)
     Out += PrimaryCost;
   return Out;
 }
 
-bool SessionPipeline::assign(Group &In, const SessionJobPtr &Job) {
+bool SessionPipeline::assign(Group &G, const SessionJobPtr &Job) {
   const Millis Now = Deps.Time.now();
   const CallerSessionPtr Session = Job->Session.lock();
   if (!Session)
     return false;
-  std::vector<TargetPool *> Choices = candidates(In, *Job);
+  std::vector<TargetPool *> Choices = candidates(G, *Job);
   if (Choices.empty() && Job->Destination == Placement::AnyFresh) {
     // All replicas refused the read, or none is left.
     Job->Destination = Placement::Primary;
     Job->Floor.reset();
-    Choices = candidates(In, *Job);
+    Choices = candidates(G, *Job);
   }
   if (Choices.empty() ||
       (Job->Destination == Placement::Primary && Choices.front()->size() == 0 &&
        Choices.front()->isBackingOff(Now)))
-    In.Outage.recordNoPrimary(Now);
+    G.Outage.recordNoPrimary(Now);
   // Opens a connection to the cheapest target even while another target has an
   // idle one; otherwise callers would stay with the distant target.
   const Millis Waited = Now - Job->QueuedAt;
@@ -301,9 +301,9 @@
             {[this, GroupName](const TargetConnectionPtr &Open) {
                opened(GroupName, Open);
              },
-             [this, GroupName](const TargetConnectionPtr &Gone,
-                               const std::optional<StatementRefusal> &Why) {
-               closed(GroupName, Gone, Why);
+             [this, GroupName](const TargetConnectionPtr &Connection,
+                               const std::optional<StatementRefusal> &Refusal) {
+               closed(GroupName, Connection, Refusal);
              },
              [this](const TargetConnectionPtr &Silent) {
                handleKeepaliveTimeout(Silent);
@@ -312,71 +312,72 @@
 }
 
 void SessionPipeline::opened(const std::string &GroupName,
-                             const TargetConnectionPtr &Made) {
-  Made->setBusy(false, Deps.Time.now());
-  if (TargetPool *Pool = poolOf(Made)) {
+                             const TargetConnectionPtr &Connection) {
+  Connection->setBusy(false, Deps.Time.now());
+  if (TargetPool *Pool = poolOf(Connection)) {
     Pool->recordReachable(Deps.Time.now());
     warmUp(GroupName, *Pool, Deps.Time.now());
   }
-  const Group &In = Groups[GroupName];
-  if (!In.AwaitingFloor.empty() && !In.Probe.Connection)
+  const Group &G = Groups[GroupName];
+  if (!G.AwaitingFloor.empty() && !G.Probe.Connection)
     askForFloor(GroupName);
   dispatchWaiting(GroupName);
 }
 
 void SessionPipeline::closed(const std::string &GroupName,
-                             const TargetConnectionPtr &Gone,
-                             const std::optional<StatementRefusal> &Why) {
-  Group &In = Groups[GroupName];
-  TargetPool *Pool = poolOf(Gone);
-  if (isAtLimit(Why))
+                             const TargetConnectionPtr &Connection,
+                             const std::optional<StatementRefusal> &Refusal) {
+  Group &G = Groups[GroupName];
+  TargetPool *Pool = poolOf(Connection);
+  if (isAtLimit(Refusal))
     ++Counts.Openings.RefusedAtLimit;
   // For shared connections the gateway reports target failures itself.
-  if (Pool != nullptr && Pool->handleClosed(Gone, Why, Deps.Time.now()) &&
-      !Gone->isShared())
-    TargetFailed.emit({Gone->address().Id, true});
-  if (In.Probe.Connection == Gone)
+  if (Pool != nullptr &&
+      Pool->handleClosed(Connection, Refusal, Deps.Time.now()) &&
+      !Connection->isShared())
+    TargetFailed.emit({Connection->address().Id, true});
+  if (G.Probe.Connection == Connection)
     endProbe(GroupName);
   // Statements that wait for an answer on the connection fail now.
   std::vector<SessionJobPtr> Lost;
   for (const SessionJobPtr &Job : Running)
-    if (Job->Connection == Gone)
+    if (Job->Connection == Connection)
       Lost.push_back(Job);
   for (const SessionJobPtr &Job : Lost)
-    handleLostConnection(Job, "the connection to target " + Gone->address().Id +
-                                  " was lost");
-  if (!In.Waiting.empty())
+    handleLostConnection(Job, "the connection to target " +
+                                  Connection->address().Id + " was lost");
+  if (!G.Waiting.empty())
     dispatchWaiting(GroupName);
 }
 
-TargetPool *SessionPipeline::poolOf(const TargetConnectionPtr &Used) {
-  if (!Used)
+TargetPool *SessionPipeline::poolOf(const TargetConnectionPtr &Connection) {
+  if (!Connection)
     return nullptr;
-  const auto In = Groups.find(Used->address().Group);
-  if (In == Groups.end())
+  const auto FoundGroup = Groups.find(Connection->address().Group);
+  if (FoundGroup == Groups.end())
     return nullptr;
-  const auto Pool = In->second.Pools.find(Used->address().Id);
-  return Pool == In->second.Pools.end() ? nullptr : &Pool->second;
+  const auto Pool = FoundGroup->second.Pools.find(Connection->address().Id);
+  return Pool == FoundGroup->second.Pools.end() ? nullptr : &Pool->second;
 }
 
-void SessionPipeline::release(const TargetConnectionPtr &Used) {
-  if (Used->stage() == TargetConnection::Stage::Closed)
+void SessionPipeline::release(const TargetConnectionPtr &Connection) {
+  if (Connection->stage() == TargetConnection::Stage::Closed)
     return;
-  const std::string GroupName = Used->address().Group;
-  Used->setBusy(false, Deps.Time.now());
-  if (TargetPool *Pool = poolOf(Used);
+  const std::string GroupName = Connection->address().Group;
+  Connection->setBusy(false, Deps.Time.now());
+  if (TargetPool *Pool = poolOf(Connection);
       Pool != nullptr &&
-      (Pool->record().IsLeaving || Pool->isShared() != Used->isShared()))
+      (Pool->record().IsLeaving || Pool->isShared() != Connection->isShared()))
     Pool->maintain(Deps.Time.now());
   dispatchWaiting(GroupName);
 }
 
-void SessionPipeline::discard(const TargetConnectionPtr &Used) {
-  if (!Used)
+void SessionPipeline::discard(const TargetConnectionPtr &Connection) {
+  if (!Connection)
     return;
-  if (TargetPool *Pool = poolOf(Used))
-    Pool->remove(Used);
-  Used->close();
+  if (TargetPool *Pool = poolOf(Connection))
+    Pool->remove(Connection);
+  Connection->close();
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/FloorProbes.cpp
+++ b/Source/Pipeline/FloorProbes.cpp
@@ -31,17 +31,17 @@
 }
 
 void SessionPipeline::askForFloor(const std::string &Name) {
-  Group &In = Groups[Name];
+  Group &G = Groups[Name];
   const Millis Now = Deps.Time.now();
-  const auto Leader = In.Pools.find(In.Primary);
-  if (Leader == In.Pools.end())
+  const auto Leader = G.Pools.find(G.Primary);
+  if (Leader == G.Pools.end())
     return endProbe(Name);
   TargetPool &Pool = Leader->second;
   if (Pool.isBackingOff(Now) || !Pool.mayBePrimary(Now) ||
       !Pool.acceptsNewWork(Now))
     return endProbe(Name);
-  const TargetConnectionPtr On = Pool.idleForInternalUse();
-  if (!On) {
+  const TargetConnectionPtr Connection = Pool.idleForInternalUse();
+  if (!Connection) {
     // A link to shared connections opens at once; a dedicated connection would
     // take a slot of the target, which the read itself can use instead.
     if (!Pool.isShared() || !mayOpen(Pool, ""))
@@ -50,40 +50,39 @@
       openConnection(Name, Pool, {.IsInternal = true});
     return;
   }
-  On->setBusy(true, Now);
-  In.Probe = {On, Now};
+  Connection->setBusy(true, Now);
+  G.Probe = {Connection, Now};
   std::vector<TargetConnection::Step> Steps;
   Steps.push_back(
       {{.Operation = TargetCommand::Kind::Begin, .MaxQueueTime = ProbeTimeout},
-       [this, Name, On](const StatementAnswer &Answer) {
-         floorAnswered(Name, On, Answer);
+       [this, Name, Connection](const StatementAnswer &Answer) {
+         floorAnswered(Name, Connection, Answer);
        }});
   Steps.push_back({{.Operation = TargetCommand::Kind::Rollback},
-                   [this, On](const StatementAnswer &Answer) {
+                   [this, Connection](const StatementAnswer &Answer) {
                      if (Answer.Phase == SessionPhase::Idle)
-                       release(On);
+                       release(Connection);
                      else
-                       discard(On);
+                       discard(Connection);
                    }});
-  On->send(std::move(Steps));
+  Connection->send(std::move(Steps));
 }
 
 void SessionPipeline::floorAnswered(const std::string &Name,
-                                    const TargetConnectionPtr &On,
+                                    const TargetConnectionPtr &Connection,
                                     const StatementAnswer &Answer) {
-  Group &In = Groups[Name];
+  Group &G = Groups[Name];
   if (!Answer.Refusal && Answer.Position &&
-      !Deps.Floors.isRegression(Name, *Answer.Position, In.Probe.SentAt))
-    Deps.Floors.record(Name, *Answer.Position, In.Probe.SentAt,
-                       Deps.Time.now());
-  if (In.Probe.Connection == On)
+      !Deps.Floors.isRegression(Name, *Answer.Position, G.Probe.SentAt))
+    Deps.Floors.record(Name, *Answer.Position, G.Probe.SentAt, Deps.Time.now());
+  if (G.Probe.Connection == Connection)
     endProbe(Name);
 }
 
 void SessionPipeline::endProbe(const std::string &Name) {
-  Group &In = Groups[Name];
-  In.Probe.Connection.reset();
-  for (const SessionJobPtr &Job : std::exchange(In.AwaitingFloor, {})) {
+  Group &G = Groups[Name];
+  G.Probe.Connection.reset();
+  for (const SessionJobPtr &Job : std::exchange(G.AwaitingFloor, {})) {
     const CallerSessionPtr Session = Job->Session.lock();
     if (!Session || Job->CurrentStage != SessionJob::Stage::Waiting)
       continue;
@@ -96,13 +95,13 @@
   }
 }
 
-void SessionPipeline::expireProbe(const std::string &Name, Group &In,
+void SessionPipeline::expireProbe(const std::string &Name, Group &G,
                                   Millis Now) {
-  if (In.AwaitingFloor.empty() ||
-      Now - In.AwaitingFloor.front()->QueuedAt < ProbeTimeout)
+  if (G.AwaitingFloor.empty() ||
+      Now - G.AwaitingFloor.front()->QueuedAt < ProbeTimeout)
     return;
-  if (In.Probe.Connection)
-    discard(In.Probe.Connection);
+  if (G.Probe.Connection)
+    discard(G.Probe.Connection);
   endProbe(Name);
 }
 
--- a/Source/Pipeline/OperationQuotas.cpp
+++ b/Source/Pipeline/OperationQuotas.cpp
@@ -20,11 +20,11 @@
   Job->QueuedAt = Deps.Time.now();
   Job->PermitRequestId = Deps.Permits->requestPermit(
       Session->Organisation, Job->QueueDeadline,
-      [this, Job](std::optional<Millis> ComeBack) {
+      [this, Job](std::optional<Millis> RetryAfter) {
         if (Job->CurrentStage != SessionJob::Stage::Waiting)
           return;
-        if (ComeBack)
-          refuseOverQuota(Job, *ComeBack);
+        if (RetryAfter)
+          refuseOverQuota(Job, *RetryAfter);
         else
           beginPermitted(Job);
       });
@@ -48,12 +48,12 @@
 }
 
 void SessionPipeline::refuseOverQuota(const SessionJobPtr &Job,
-                                      Millis ComeBack) {
+                                      Millis RetryAfter) {
   ++Counts.OverQuota;
   finishRefused(Job,
                 {RefusalCode::Busy,
                  "the organisation is over its quota; come back after " +
-                     std::to_string(ComeBack.count()) + " ms"},
+                     std::to_string(RetryAfter.count()) + " ms"},
                 "over quota");
 }
 
--- a/Source/Pipeline/PipelineTimes.cpp
+++ b/Source/Pipeline/PipelineTimes.cpp
@@ -65,8 +65,8 @@
     Ticker.requestWithin(IdleInterval);
 }
 
-void SessionPipeline::expireWaiting(Group &In, Millis Now) {
-  const std::list<SessionJobPtr> Waiting = In.Waiting;
+void SessionPipeline::expireWaiting(Group &G, Millis Now) {
+  const std::list<SessionJobPtr> Waiting = G.Waiting;
   for (const SessionJobPtr &Job : Waiting) {
     // A refusal below may start the caller's next statement, which assigns
     // connections again. A job that got a connection that way has been sent:
@@ -75,18 +75,18 @@
       continue;
     const bool IsOutageTooLong =
         Job->Destination == Placement::Primary &&
-        !In.Outage.isWorthWaiting(Now, Job->RetryDeadline);
+        !G.Outage.isWorthWaiting(Now, Job->RetryDeadline);
     if (!IsOutageTooLong && Now < effectiveQueueDeadline(*Job))
       continue;
-    In.Waiting.remove(Job);
-    const Millis Back =
-        In.forecast(*Job).expectedWait(In.waiting(*Job) + 1, Now);
-    std::string Why = "no connection came free; come back after " +
-                      std::to_string(Back.count()) + " ms";
+    G.Waiting.remove(Job);
+    const Millis RetryAfter =
+        G.forecast(*Job).expectedWait(G.waiting(*Job) + 1, Now);
+    std::string Reason = "no connection came free; come back after " +
+                         std::to_string(RetryAfter.count()) + " ms";
     if (IsOutageTooLong)
-      Why = "no target leads; come back after " +
-            std::to_string(In.Outage.retryAfter(Now).count()) + " ms";
-    finishRefused(Job, {RefusalCode::Busy, std::move(Why)},
+      Reason = "no target leads; come back after " +
+               std::to_string(G.Outage.retryAfter(Now).count()) + " ms";
+    finishRefused(Job, {RefusalCode::Busy, std::move(Reason)},
                   IsOutageTooLong ? "no leader within its time"
                                   : "waited for a connection");
   }
@@ -99,15 +99,15 @@
   }();
   if (Now < Job->SentAt + answerTimeout(*Job, IsAlone))
     return;
-  const TargetConnectionPtr Used = Job->Connection;
+  const TargetConnectionPtr Connection = Job->Connection;
   // A lost answer does not mean that the target has failed while other answers
   // arrive from it; a change of primary would cost more than it gains.
-  const TargetPool *Pool = poolOf(Used);
+  const TargetPool *Pool = poolOf(Connection);
   // An answer that arrived in the millisecond of the sending, such as the one
   // to the opening of the connection, belongs to something sent earlier.
   if (Pool == nullptr || Pool->lastAnswer() <= Job->SentAt)
-    reportUnresponsive(Used, Now);
-  discard(Used);
+    reportUnresponsive(Connection, Now);
+  discard(Connection);
   if (IsAlone && !Job->Writes && Job->IsSent && Now >= Job->RetryDeadline)
     return finishRefused(Job,
                          {RefusalCode::Timeout, "no answer before the timeout"},
@@ -129,15 +129,15 @@
   reportUnresponsive(Job->Connection, Now);
 }
 
-void SessionPipeline::reportUnresponsive(const TargetConnectionPtr &Used,
+void SessionPipeline::reportUnresponsive(const TargetConnectionPtr &Connection,
                                          Millis Now) {
   // With a shared connection the gateway may be the one that does not respond;
   // it reports its targets itself.
-  if (!Used || Used->isShared())
+  if (!Connection || Connection->isShared())
     return;
-  if (TargetPool *Pool = poolOf(Used))
+  if (TargetPool *Pool = poolOf(Connection))
     Pool->recordUnreachable(Now);
-  TargetFailed.emit({Used->address().Id, false});
+  TargetFailed.emit({Connection->address().Id, false});
 }
 
 // A statement that may run again, or whose transaction is rolled back with its
@@ -150,11 +150,11 @@
     return BeginTimeout + Job.MaxQueueTime;
   const bool DecidesOutcome =
       Job.Stmt.Kind == StatementKind::Commit || (IsAlone && Job.Writes);
-  const Millis Rest = Job.DeadlineAt - Job.SentAt;
+  const Millis Remaining = Job.DeadlineAt - Job.SentAt;
   if (DecidesOutcome || (IsAlone && Deps.Time.now() >= Job.RetryDeadline))
-    return Rest;
-  return std::min(Rest, std::max(MinAnswerTimeout, Job.Route.Objective) +
-                            Job.MaxQueueTime);
+    return Remaining;
+  return std::min(Remaining, std::max(MinAnswerTimeout, Job.Route.Objective) +
+                                 Job.MaxQueueTime);
 }
 
 void SessionPipeline::endIdleTransactions(Millis Now) {
--- a/Source/Pipeline/PrimaryOutage.h
+++ b/Source/Pipeline/PrimaryOutage.h
@@ -32,12 +32,12 @@
   void recordPrimary(Millis Now) {
     if (!Since)
       return;
-    const Millis Lasted = Now - *Since;
+    const Millis Duration = Now - *Since;
     Since.reset();
     // Short interruptions do not show how long a change of leader takes.
-    if (Lasted > ShortOutage)
-      TypicalDuration =
-          std::clamp((TypicalDuration + Lasted) / 2, MinDuration, MaxDuration);
+    if (Duration > ShortOutage)
+      TypicalDuration = std::clamp((TypicalDuration + Duration) / 2,
+                                   MinDuration, MaxDuration);
   }
 
   /// True if a statement that may wait until \p Until is likely to be served by
@@ -45,14 +45,14 @@
   bool isWorthWaiting(Millis Now, Millis Until) const {
     if (!Since || Now - *Since <= ShortOutage)
       return true;
-    const Millis Back = *Since + TypicalDuration;
-    return Now < Back && Back < Until;
+    const Millis ExpectedEnd = *Since + TypicalDuration;
+    return Now < ExpectedEnd && ExpectedEnd < Until;
   }
 
   /// Returns the time after which a refused caller should retry.
   Millis retryAfter(Millis Now) const {
-    const Millis Back = Since ? *Since + TypicalDuration : Now;
-    return std::max(Back - Now, ShortOutage);
+    const Millis ExpectedEnd = Since ? *Since + TypicalDuration : Now;
+    return std::max(ExpectedEnd - Now, ShortOutage);
   }
 
 private:
--- a/Source/Pipeline/PrimarySearch.cpp
+++ b/Source/Pipeline/PrimarySearch.cpp
@@ -21,40 +21,41 @@
 
 } // namespace
 
-void SessionPipeline::searchPrimary(const std::string &Name, Group &In,
+void SessionPipeline::searchPrimary(const std::string &Name, Group &G,
                                     Millis Now) {
-  if (!In.Outage.isActive() || Now < In.SearchAgainAt)
+  if (!G.Outage.isActive() || Now < G.SearchAgainAt)
     return;
-  In.SearchAgainAt = Now + SearchInterval;
-  for (auto &[Id, Pool] : In.Pools) {
+  G.SearchAgainAt = Now + SearchInterval;
+  for (auto &[Id, Pool] : G.Pools) {
     const TargetRecord &Record = Pool.record();
-    if (Id == In.Primary || Record.IsGone || Record.IsLeaving)
+    if (Id == G.Primary || Record.IsGone || Record.IsLeaving)
       continue;
-    const TargetConnectionPtr On = Pool.idleForInternalUse();
-    if (!On) {
+    const TargetConnectionPtr Connection = Pool.idleForInternalUse();
+    if (!Connection) {
       // The next round uses the connection.
       if (Pool.isShared() && Pool.opening("") == 0 && mayOpen(Pool, ""))
         openConnection(Name, Pool, {.IsInternal = true});
       continue;
     }
-    On->setBusy(true, Now);
-    On->send({{{.Operation = TargetCommand::Kind::Begin,
-                .MaxQueueTime = SearchInterval},
-               [this, Name, On, SentAt = Now](const StatementAnswer &Answer) {
-                 searchAnswered(Name, On, SentAt, Answer);
-               }},
-              rollBackStep(On)});
+    Connection->setBusy(true, Now);
+    Connection->send({{{.Operation = TargetCommand::Kind::Begin,
+                        .MaxQueueTime = SearchInterval},
+                       [this, Name, Connection,
+                        SentAt = Now](const StatementAnswer &Answer) {
+                         searchAnswered(Name, Connection, SentAt, Answer);
+                       }},
+                      rollBackStep(Connection)});
   }
 }
 
 void SessionPipeline::searchAnswered(const std::string &Name,
-                                     const TargetConnectionPtr &On,
+                                     const TargetConnectionPtr &Connection,
                                      Millis SentAt,
                                      const StatementAnswer &Answer) {
-  Group &In = Groups[Name];
+  Group &G = Groups[Name];
   const bool Leads =
       !Answer.Refusal && Answer.Phase == SessionPhase::InTransaction;
-  if (!Leads || !In.Outage.isActive())
+  if (!Leads || !G.Outage.isActive())
     return;
   const Millis Now = Deps.Time.now();
   if (Answer.Position) {
@@ -62,24 +63,24 @@
       return;
     Deps.Floors.record(Name, *Answer.Position, SentAt, Now);
   }
-  In.DiscoveredPrimary = On->address().Id;
-  In.Primary = On->address().Id;
-  In.Outage.recordPrimary(Now);
+  G.DiscoveredPrimary = Connection->address().Id;
+  G.Primary = Connection->address().Id;
+  G.Outage.recordPrimary(Now);
 }
 
 // The primary that control reports replaces the one found here only with a
 // newer epoch: the report of the earlier epoch proved wrong.
-void SessionPipeline::adoptPrimary(const std::string &Name, Group &In,
+void SessionPipeline::adoptPrimary(const std::string &Name, Group &G,
                                    const TargetDirectory &Known) {
   const auto Reported = Known.primaryOf(Name);
   const std::uint64_t Since = Reported ? Reported->PrimaryEpoch : 0;
-  const TargetRecord *Found = Known.find(In.DiscoveredPrimary);
+  const TargetRecord *Found = Known.find(G.DiscoveredPrimary);
   const bool IsFoundGone = Found == nullptr || Found->IsGone;
-  if (Since > In.ControlPrimarySince || IsFoundGone)
-    In.DiscoveredPrimary.clear();
-  In.ControlPrimarySince = Since;
-  if (In.DiscoveredPrimary.empty())
-    In.Primary = Reported ? Reported->Id : "";
+  if (Since > G.ControlPrimarySince || IsFoundGone)
+    G.DiscoveredPrimary.clear();
+  G.ControlPrimarySince = Since;
+  if (G.DiscoveredPrimary.empty())
+    G.Primary = Reported ? Reported->Id : "";
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/QueueLimits.cpp
+++ b/Source/Pipeline/QueueLimits.cpp
@@ -57,17 +57,19 @@
 }
 
 Millis SessionPipeline::effectiveQueueDeadline(const SessionJob &Job) const {
-  const auto In = Groups.find(Job.Route.Group);
+  const auto FoundGroup = Groups.find(Job.Route.Group);
   const bool LacksLeader = Job.Destination == Placement::Primary &&
-                           In != Groups.end() && In->second.Outage.isActive();
-  if (LacksLeader || In == Groups.end())
+                           FoundGroup != Groups.end() &&
+                           FoundGroup->second.Outage.isActive();
+  if (LacksLeader || FoundGroup == Groups.end())
     return LacksLeader ? Job.RetryDeadline : Job.QueueDeadline;
   const Millis Objective = Job.QueueDeadline - Job.ArrivedAt;
   Millis Wait = Objective;
   if (Deps.Time.now() >= FirstPlanAt + StartupPeriod) {
     // A statement that is sent at the end of its objective is answered after
     // it.
-    const Millis Answer = answerTime(In->second, Job) * AnswerMargin / 2;
+    const Millis Answer =
+        answerTime(FoundGroup->second, Job) * AnswerMargin / 2;
     Wait = std::max((Objective - Answer) / QueueDivisor,
                     std::min(Objective, MinWait));
   }
@@ -89,22 +91,22 @@
   return !Pool.window().mayBegin(static_cast<std::size_t>(UnderWay));
 }
 
-bool SessionPipeline::refuseIfTooLate(Group &In, const SessionJobPtr &Job) {
+bool SessionPipeline::refuseIfTooLate(Group &G, const SessionJobPtr &Job) {
   // The departure rate before a change of leader does not predict how long the
   // change takes.
-  if (Job->Destination == Placement::Primary && In.Outage.isActive())
+  if (Job->Destination == Placement::Primary && G.Outage.isActive())
     return false;
   const Millis Now = Deps.Time.now();
   std::size_t Ahead = 0;
-  for (const SessionJobPtr &Each : In.Waiting) {
+  for (const SessionJobPtr &Each : G.Waiting) {
     if (Each == Job)
       break;
     Ahead += Each->Destination == Job->Destination ? 1 : 0;
   }
-  const Millis Wait = In.forecast(*Job).expectedWait(Ahead, Now);
+  const Millis Wait = G.forecast(*Job).expectedWait(Ahead, Now);
   if (Now + Wait <= effectiveQueueDeadline(*Job))
     return false;
-  In.Waiting.remove(Job);
+  G.Waiting.remove(Job);
   finishRefused(Job,
                 {RefusalCode::Busy, "too many wait; come back after " +
                                         std::to_string(Wait.count()) + " ms"},
@@ -112,17 +114,17 @@
   return true;
 }
 
-Millis SessionPipeline::answerTime(const Group &In,
+Millis SessionPipeline::answerTime(const Group &G,
                                    const SessionJob &Job) const {
-  double Least = 0;
-  for (const auto &[Id, Pool] : In.Pools) {
+  double Minimum = 0;
+  for (const auto &[Id, Pool] : G.Pools) {
     if (Pool.record().IsGone ||
-        (Job.Destination == Placement::Primary && Id != In.Primary))
+        (Job.Destination == Placement::Primary && Id != G.Primary))
       continue;
-    const double Here = Pool.window().mean();
-    Least = Least == 0 ? Here : std::min(Least, Here);
+    const double Mean = Pool.window().mean();
+    Minimum = Minimum == 0 ? Mean : std::min(Minimum, Mean);
   }
-  return Millis(static_cast<std::int64_t>(Least));
+  return Millis(static_cast<std::int64_t>(Minimum));
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/ReplicaLag.h
+++ b/Source/Pipeline/ReplicaLag.h
@@ -14,8 +14,8 @@
 class ReplicaLag {
 public:
   /// Records the log position of an answer.
-  void recordPosition(LogPosition Shown, Millis Now) {
-    Position = Shown;
+  void recordPosition(LogPosition Reported, Millis Now) {
+    Position = Reported;
     PositionAt = Now;
   }
   /// Records that the target refused a read because its log lacks the floor. A
--- a/Source/Pipeline/SessionOpenings.cpp
+++ b/Source/Pipeline/SessionOpenings.cpp
@@ -61,10 +61,10 @@
 }
 
 void SessionPipeline::rejectSession(const CallerSessionPtr &Session,
-                                    const StatementRefusal &Why) {
+                                    const StatementRefusal &Refusal) {
   Session->IsClosed = true;
   Sessions.erase(Session->Id);
-  Session->Link->reject(Why);
+  Session->Link->reject(Refusal);
 }
 
 bool SessionPipeline::isPlanCurrent() const {
--- a/Source/Pipeline/SessionPipeline.cpp
+++ b/Source/Pipeline/SessionPipeline.cpp
@@ -16,8 +16,8 @@
   return Out;
 }
 
-StatementRefusal refused(RefusalCode Code, std::string Why) {
-  return {Code, std::move(Why)};
+StatementRefusal refused(RefusalCode Code, std::string Reason) {
+  return {Code, std::move(Reason)};
 }
 
 bool guaranteesNothingKept(RefusalCode Code) {
@@ -176,25 +176,25 @@
   Session->IsAbortUnreported = false;
 }
 
-void SessionPipeline::endTransaction(SessionTransaction Ended) {
-  const TargetConnectionPtr Used = std::move(Ended.Connection);
-  if (!Used || Used->stage() == TargetConnection::Stage::Closed)
+void SessionPipeline::endTransaction(SessionTransaction Transaction) {
+  const TargetConnectionPtr Connection = std::move(Transaction.Connection);
+  if (!Connection || Connection->stage() == TargetConnection::Stage::Closed)
     return;
-  if (Ended.HasSetValues)
-    Used->invalidateValues();
+  if (Transaction.HasSetValues)
+    Connection->invalidateValues();
   // The connection serves another session only once the target has confirmed
   // that no transaction is open on it.
-  Used->send({rollBackStep(Used)});
+  Connection->send({rollBackStep(Connection)});
 }
 
 TargetConnection::Step
-SessionPipeline::rollBackStep(const TargetConnectionPtr &On) {
+SessionPipeline::rollBackStep(const TargetConnectionPtr &Connection) {
   return {{.Operation = TargetCommand::Kind::Rollback},
-          [this, On](const StatementAnswer &Answer) {
+          [this, Connection](const StatementAnswer &Answer) {
             if (Answer.Refusal || Answer.Phase != SessionPhase::Idle)
-              discard(On);
+              discard(Connection);
             else
-              release(On);
+              release(Connection);
           }};
 }
 
@@ -209,11 +209,12 @@
 }
 
 void SessionPipeline::replyRefused(const CallerSessionPtr &Session,
-                                   const Statement &Stmt, StatementRefusal Why,
+                                   const Statement &Stmt,
+                                   StatementRefusal Refusal,
                                    const std::string &Grounds) {
-  if (guaranteesNothingKept(Why.Code))
+  if (guaranteesNothingKept(Refusal.Code))
     ++Counts.NotRun;
-  else if (Why.Code == RefusalCode::Unknown)
+  else if (Refusal.Code == RefusalCode::Unknown)
     ++Counts.Unknown;
   else
     ++Counts.Failed;
@@ -224,9 +225,9 @@
     Session->Transaction.reset();
     Session->Phase = SessionPhase::Failed;
   }
-  RefusedSignal.emit(*Session, Stmt, Why, Grounds);
+  RefusedSignal.emit(*Session, Stmt, Refusal, Grounds);
   StatementAnswer Answer = done(Session->Phase);
-  Answer.Refusal = std::move(Why);
+  Answer.Refusal = std::move(Refusal);
   reply(Session, Answer);
 }
 
@@ -292,10 +293,10 @@
   Session->Current = Job;
   if (!IsBound)
     return beginOperation(Session, Job) ? enqueueOrWaitForFloor(Job) : void();
-  SessionTransaction &Within = *Session->Transaction;
-  Within.LastUsed = Job->ArrivedAt;
-  Job->Connection = Within.Connection;
-  if (Within.Connection->stage() == TargetConnection::Stage::Closed) {
+  SessionTransaction &Transaction = *Session->Transaction;
+  Transaction.LastUsed = Job->ArrivedAt;
+  Job->Connection = Transaction.Connection;
+  if (Transaction.Connection->stage() == TargetConnection::Stage::Closed) {
     Job->CurrentStage = SessionJob::Stage::Running;
     return handleLostConnection(Job, "the transaction's connection had closed");
   }
@@ -309,38 +310,38 @@
                                        SessionJob &Job) {
   if (Job.Stmt.Kind != StatementKind::Execute)
     return true;
-  const auto Shape = Session->Prepared.find(Job.Stmt.Name);
-  if (Shape == Session->Prepared.end()) {
+  const auto Found = Session->Prepared.find(Job.Stmt.Name);
+  if (Found == Session->Prepared.end()) {
     replyRefused(Session, Job.Stmt,
                  refused(RefusalCode::NoStatement,
                          "no prepared statement '" + Job.Stmt.Name + "'"),
                  "unknown name");
     return false;
   }
-  Job.Writes = Shape->second.Writes;
+  Job.Writes = Found->second.Writes;
   return true;
 }
 
 void SessionPipeline::choosePlacement(const CallerSession &Session,
                                       SessionJob &Job) const {
-  const auto &Within = Session.Transaction;
-  const bool MayWrite = Job.Writes || (Within && !Within->IsReadOnly);
+  const auto &Transaction = Session.Transaction;
+  const bool MayWrite = Job.Writes || (Transaction && !Transaction->IsReadOnly);
   Job.Destination = Placement::Primary;
   if (MayWrite || Job.Route.Reads == Freshness::Primary ||
       Job.LaggingRefusals > 1)
     return;
   // The accepted age of a transaction counts from the arrival of its first
   // statement.
-  const Millis From = Within ? Within->StartedAt : Job.ArrivedAt;
+  const Millis From = Transaction ? Transaction->StartedAt : Job.ArrivedAt;
   auto Floor = Deps.Floors.floor(Job.Route.Group, From, Job.Route.MaxStaleness);
   if (!Floor)
     return;
   if (Job.Route.Reads == Freshness::ReadYourWrites) {
-    const auto Own = Session.LastCommit.find(Job.Route.Group);
+    const auto OwnCommit = Session.LastCommit.find(Job.Route.Group);
     Job.IsFloorOwnCommit =
-        Own != Session.LastCommit.end() && Own->second > *Floor;
+        OwnCommit != Session.LastCommit.end() && OwnCommit->second > *Floor;
     if (Job.IsFloorOwnCommit)
-      Floor = Own->second;
+      Floor = OwnCommit->second;
   }
   Job.Floor = Floor;
   Job.Destination = Placement::AnyFresh;
@@ -350,8 +351,8 @@
 // enough.
 bool SessionPipeline::wantsFloor(const CallerSession &Session,
                                  const SessionJob &Job) {
-  const auto &Within = Session.Transaction;
-  const bool MayWrite = Job.Writes || (Within && !Within->IsReadOnly);
+  const auto &Transaction = Session.Transaction;
+  const bool MayWrite = Job.Writes || (Transaction && !Transaction->IsReadOnly);
   return !MayWrite && Job.Route.Reads != Freshness::Primary &&
          Job.Destination == Placement::Primary && !Job.HasAskedForFloor;
 }
@@ -366,16 +367,16 @@
 void SessionPipeline::enqueue(const SessionJobPtr &Job) {
   Job->CurrentStage = SessionJob::Stage::Waiting;
   Job->QueuedAt = Deps.Time.now();
-  Group &In = Groups[Job->Route.Group];
+  Group &G = Groups[Job->Route.Group];
   // Ordered by priority, then by arrival.
-  auto Place = In.Waiting.end();
-  while (Place != In.Waiting.begin() &&
+  auto Place = G.Waiting.end();
+  while (Place != G.Waiting.begin() &&
          (*std::prev(Place))->Route.Priority > Job->Route.Priority)
     --Place;
-  In.Waiting.insert(Place, Job);
+  G.Waiting.insert(Place, Job);
   dispatchWaiting(Job->Route.Group);
   if (Job->CurrentStage != SessionJob::Stage::Waiting ||
-      refuseIfTooLate(In, Job))
+      refuseIfTooLate(G, Job))
     return;
   Ticker.requestWithin(WaitingInterval);
 }
--- a/Source/Pipeline/SessionPipeline.h
+++ b/Source/Pipeline/SessionPipeline.h
@@ -162,15 +162,15 @@
     WaitForecast ReplicaForecast;
     bool IsDispatching = false;
 
-    WaitForecast &forecast(const SessionJob &Of) {
-      return Of.Destination == Placement::Primary ? PrimaryForecast
-                                                  : ReplicaForecast;
+    WaitForecast &forecast(const SessionJob &Job) {
+      return Job.Destination == Placement::Primary ? PrimaryForecast
+                                                   : ReplicaForecast;
     }
     /// Number of waiting statements with the same placement.
-    std::size_t waiting(const SessionJob &Like) const {
+    std::size_t waiting(const SessionJob &Job) const {
       return static_cast<std::size_t>(std::count_if(
-          Waiting.begin(), Waiting.end(), [&Like](const SessionJobPtr &Each) {
-            return Each->Destination == Like.Destination;
+          Waiting.begin(), Waiting.end(), [&Job](const SessionJobPtr &Each) {
+            return Each->Destination == Job.Destination;
           }));
     }
   };
@@ -180,7 +180,7 @@
   void waitForPlan(const CallerSessionPtr &Session);
   bool isPlanCurrent() const;
   void rejectSession(const CallerSessionPtr &Session,
-                     const StatementRefusal &Why);
+                     const StatementRefusal &Refusal);
   /// Admits sessions that waited for a plan with their database and key.
   void admitPendingOpenings();
   void processPendingOpenings(Millis Now);
@@ -195,7 +195,7 @@
   void answerLocally(const CallerSessionPtr &Session, const Statement &Stmt);
   void beginTransaction(const CallerSessionPtr &Session, const Statement &Stmt);
   void rollBack(const CallerSessionPtr &Session);
-  void endTransaction(SessionTransaction Ended);
+  void endTransaction(SessionTransaction Transaction);
   void startJob(const CallerSessionPtr &Session, const Statement &Stmt);
   bool resolveExecution(const CallerSessionPtr &Session, SessionJob &Job);
   void choosePlacement(const CallerSession &Session, SessionJob &Job) const;
@@ -203,7 +203,7 @@
   void reply(const CallerSessionPtr &Session, const StatementAnswer &Answer);
   void replyDone(const CallerSessionPtr &Session);
   void replyRefused(const CallerSessionPtr &Session, const Statement &Stmt,
-                    StatementRefusal Why, const std::string &Grounds);
+                    StatementRefusal Refusal, const std::string &Grounds);
   void closeSession(const CallerSessionPtr &Session);
 
   // Assigning connections.
@@ -215,30 +215,31 @@
   bool beginOperation(const CallerSessionPtr &Session,
                       const SessionJobPtr &Job);
   void beginPermitted(const SessionJobPtr &Job);
-  void refuseOverQuota(const SessionJobPtr &Job, Millis ComeBack);
+  void refuseOverQuota(const SessionJobPtr &Job, Millis RetryAfter);
   void stopWaitingForPermit(const SessionJobPtr &Job);
   // Asking the leader for a floor.
   void waitForFloor(const SessionJobPtr &Job);
   void askForFloor(const std::string &Name);
-  void floorAnswered(const std::string &Name, const TargetConnectionPtr &On,
+  void floorAnswered(const std::string &Name,
+                     const TargetConnectionPtr &Connection,
                      const StatementAnswer &Answer);
   void endProbe(const std::string &Name);
-  void expireProbe(const std::string &Name, Group &In, Millis Now);
+  void expireProbe(const std::string &Name, Group &G, Millis Now);
   void dispatchWaiting(const std::string &Name);
-  bool assign(Group &In, const SessionJobPtr &Job);
+  bool assign(Group &G, const SessionJobPtr &Job);
   /// True if one more statement would only wait inside the target.
   bool isFull(const TargetPool &Pool) const;
   /// Refuses a statement that can no longer be served in time.
-  bool refuseIfTooLate(Group &In, const SessionJobPtr &Job);
+  bool refuseIfTooLate(Group &G, const SessionJobPtr &Job);
   /// Usual time from sending a statement to its answer.
-  Millis answerTime(const Group &In, const SessionJob &Job) const;
-  std::vector<TargetPool *> candidates(Group &In, const SessionJob &Job);
-  static void excludeCongestedPrimary(const Group &In,
-                                      std::vector<TargetPool *> &Among);
+  Millis answerTime(const Group &G, const SessionJob &Job) const;
+  std::vector<TargetPool *> candidates(Group &G, const SessionJob &Job);
+  static void excludeCongestedPrimary(const Group &G,
+                                      std::vector<TargetPool *> &Candidates);
   std::vector<TargetPool *>
-  cheapestFirst(const Group &In, const std::vector<TargetPool *> &Among,
+  cheapestFirst(const Group &G, const std::vector<TargetPool *> &Candidates,
                 const SessionJob &Job, Millis Now) const;
-  double cost(const Group &In, const TargetPool &Pool, const SessionJob &Job,
+  double cost(const Group &G, const TargetPool &Pool, const SessionJob &Job,
               Millis Now) const;
   /// True if this proxy may open another connection to the target.
   bool mayOpen(const TargetPool &Pool, const std::string &Organisation) const;
@@ -248,23 +249,26 @@
                      const std::string &Organisation, Millis Waited);
   void openConnection(const std::string &GroupName, TargetPool &Pool,
                       const ConnectionPurpose &For);
-  void opened(const std::string &GroupName, const TargetConnectionPtr &Made);
-  void closed(const std::string &GroupName, const TargetConnectionPtr &Gone,
-              const std::optional<StatementRefusal> &Why);
+  void opened(const std::string &GroupName,
+              const TargetConnectionPtr &Connection);
+  void closed(const std::string &GroupName,
+              const TargetConnectionPtr &Connection,
+              const std::optional<StatementRefusal> &Refusal);
   void closeStaleConnections(const std::string &GroupName, TargetPool &Pool);
-  void release(const TargetConnectionPtr &Used);
-  void discard(const TargetConnectionPtr &Used);
-  TargetPool *poolOf(const TargetConnectionPtr &Used);
+  void release(const TargetConnectionPtr &Connection);
+  void discard(const TargetConnectionPtr &Connection);
+  TargetPool *poolOf(const TargetConnectionPtr &Connection);
 
   // Finding the leader.
-  void searchPrimary(const std::string &Name, Group &In, Millis Now);
-  void searchAnswered(const std::string &Name, const TargetConnectionPtr &On,
-                      Millis SentAt, const StatementAnswer &Answer);
-  static void adoptPrimary(const std::string &Name, Group &In,
+  void searchPrimary(const std::string &Name, Group &G, Millis Now);
+  void searchAnswered(const std::string &Name,
+                      const TargetConnectionPtr &Connection, Millis SentAt,
+                      const StatementAnswer &Answer);
+  static void adoptPrimary(const std::string &Name, Group &G,
                            const TargetDirectory &Known);
 
   // Running.
-  void run(const SessionJobPtr &Job, const TargetConnectionPtr &On);
+  void run(const SessionJobPtr &Job, const TargetConnectionPtr &Connection);
   void openTransaction(const SessionJobPtr &Job, bool AtLeader);
   void openAndRun(const SessionJobPtr &Job, bool AtLeader);
   TargetConnection::Step openingStep(const SessionJobPtr &Job, bool AtLeader);
@@ -276,10 +280,10 @@
   /// How long a statement may wait for one of the shared connections.
   Millis remainingQueueTime(const SessionJob &Job) const;
   TargetCommand commandOf(const SessionJobPtr &Job,
-                          std::vector<TargetConnection::Step> &Before);
+                          std::vector<TargetConnection::Step> &Steps);
   /// Rolls back the open transaction of a connection and releases the
   /// connection with the answer.
-  TargetConnection::Step rollBackStep(const TargetConnectionPtr &On);
+  TargetConnection::Step rollBackStep(const TargetConnectionPtr &Connection);
   void transactionOpened(const SessionJobPtr &Job, bool AtLeader,
                          const StatementAnswer &Answer);
   void handlePrimaryOpened(const SessionJobPtr &Job,
@@ -288,8 +292,9 @@
                   const StatementAnswer &Answer) const;
   void handleLostLog(const SessionJobPtr &Job);
   void openingRefused(const SessionJobPtr &Job, const StatementAnswer &Answer);
-  void retryOpening(const SessionJobPtr &Job, const TargetConnectionPtr &On,
-                    const StatementRefusal &Why);
+  void retryOpening(const SessionJobPtr &Job,
+                    const TargetConnectionPtr &Connection,
+                    const StatementRefusal &Refusal);
   void answered(const SessionJobPtr &Job, const StatementAnswer &Answer);
   void answeredInTransaction(const SessionJobPtr &Job,
                              const CallerSessionPtr &Session,
@@ -298,25 +303,25 @@
                      const StatementAnswer &Answer);
   /// No gateway reaches the target: retries at other targets.
   void retryThroughAnother(const SessionJobPtr &Job,
-                           const TargetConnectionPtr &Used,
-                           const StatementRefusal &Why);
+                           const TargetConnectionPtr &Connection,
+                           const StatementRefusal &Refusal);
   void handleLostConnection(const SessionJobPtr &Job,
                             const std::string &Grounds);
   /// The gateway has not answered keepalives. Retries a read outside a
   /// transaction elsewhere; all other statements wait for their answers.
-  void handleKeepaliveTimeout(const TargetConnectionPtr &Silent);
-  void tryAgain(const SessionJobPtr &Job, const StatementRefusal &Why,
+  void handleKeepaliveTimeout(const TargetConnectionPtr &Connection);
+  void tryAgain(const SessionJobPtr &Job, const StatementRefusal &Refusal,
                 Millis After);
-  void finishRefused(const SessionJobPtr &Job, StatementRefusal Why,
+  void finishRefused(const SessionJobPtr &Job, StatementRefusal Refusal,
                      const std::string &Grounds);
   void recordAnswer(const SessionJobPtr &Job, const StatementAnswer &Answer,
                     bool ProvesLead);
 
   // Time.
   void tick();
-  void expireWaiting(Group &In, Millis Now);
+  void expireWaiting(Group &G, Millis Now);
   void checkAnswerTimeout(const SessionJobPtr &Job, Millis Now);
-  void reportUnresponsive(const TargetConnectionPtr &Used, Millis Now);
+  void reportUnresponsive(const TargetConnectionPtr &Connection, Millis Now);
   void checkUnresponsive(const SessionJobPtr &Job, Millis Now);
   Millis answerTimeout(const SessionJob &Job, bool IsAlone) const;
   void closeIdleSessions(Millis Now);
--- a/Source/Pipeline/StatementAnswers.cpp
+++ b/Source/Pipeline/StatementAnswers.cpp
@@ -12,8 +12,8 @@
 /// Limit for the tries of one statement.
 constexpr unsigned MaxTries = 6;
 
-StatementRefusal refused(RefusalCode Code, std::string Why) {
-  return {Code, std::move(Why)};
+StatementRefusal refused(RefusalCode Code, std::string Reason) {
+  return {Code, std::move(Reason)};
 }
 
 } // namespace
@@ -27,9 +27,9 @@
     if (Pool->record().IsPrimary && !Pool->isShared())
       PrimaryAnswered.emit(Pool->record().Id);
     if (!Answer.Refusal) {
-      const Millis Taken = Deps.Time.now() - Job->SentAt;
-      Pool->window().recordAnswerTime(Taken, Deps.Time.now());
-      AnswerTimes.recordAnswerTime(Taken, Deps.Time.now());
+      const Millis AnswerTime = Deps.Time.now() - Job->SentAt;
+      Pool->window().recordAnswerTime(AnswerTime, Deps.Time.now());
+      AnswerTimes.recordAnswerTime(AnswerTime, Deps.Time.now());
     }
     if (Answer.Position)
       Pool->lag().recordPosition(*Answer.Position, Deps.Time.now());
@@ -80,13 +80,13 @@
 void SessionPipeline::answeredInTransaction(const SessionJobPtr &Job,
                                             const CallerSessionPtr &Session,
                                             const StatementAnswer &Answer) {
-  SessionTransaction &Within = *Session->Transaction;
-  Within.LastUsed = Deps.Time.now();
+  SessionTransaction &Transaction = *Session->Transaction;
+  Transaction.LastUsed = Deps.Time.now();
   const bool Commits = Job->Stmt.Kind == StatementKind::Commit;
   // The commit of a transaction without writes does not prove that the target
   // leads.
   recordAnswer(Job, Answer,
-               Within.AtPrimary && (!Commits || Within.HasWritten));
+               Transaction.AtPrimary && (!Commits || Transaction.HasWritten));
   if (Answer.Refusal && Answer.Refusal->Code == RefusalCode::Busy &&
       Answer.Phase == SessionPhase::InTransaction && Job->Tries < MaxTries &&
       Deps.Time.now() < Job->RetryDeadline) {
@@ -104,38 +104,38 @@
   if (!Answer.Refusal && !Commits &&
       Answer.Phase != SessionPhase::InTransaction) {
     // The target no longer holds the transaction.
-    discard(Within.Connection);
+    discard(Transaction.Connection);
     return handleLostConnection(Job, "the target had ended the transaction");
   }
   Job->CurrentStage = SessionJob::Stage::Done;
   Session->Current.reset();
   if (Answer.Refusal) {
-    const TargetConnectionPtr Used = Within.Connection;
+    const TargetConnectionPtr Connection = Transaction.Connection;
     if (Commits) {
-      endTransaction(std::move(Within));
+      endTransaction(std::move(Transaction));
       Session->Transaction.reset();
       Session->Phase = SessionPhase::Idle;
     }
     replyRefused(Session, Job->Stmt, *Answer.Refusal,
-                 "target " + Used->address().Id);
+                 "target " + Connection->address().Id);
   } else {
     if (Job->Writes) {
-      Within.HasWritten = true;
+      Transaction.HasWritten = true;
       ++Counts.Writes;
     }
     if (Commits) {
       ++Counts.Commits;
-      if (Answer.Position && Within.HasWritten)
+      if (Answer.Position && Transaction.HasWritten)
         Session->LastCommit[Job->Route.Group] = *Answer.Position;
-      const TargetConnectionPtr Used = std::move(Within.Connection);
-      if (Within.HasSetValues)
-        Used->invalidateValues();
+      const TargetConnectionPtr Connection = std::move(Transaction.Connection);
+      if (Transaction.HasSetValues)
+        Connection->invalidateValues();
       Session->Transaction.reset();
       Session->Phase = SessionPhase::Idle;
       if (Answer.Phase == SessionPhase::Idle)
-        release(Used);
+        release(Connection);
       else
-        discard(Used);
+        discard(Connection);
     }
     if (Job->Connection)
       Served.emit(*Job, Job->Connection->address().Id);
@@ -153,20 +153,20 @@
                                     const StatementAnswer &Answer) {
   const bool AtLeader = Job->Destination == Placement::Primary;
   recordAnswer(Job, Answer, AtLeader);
-  const TargetConnectionPtr Used = std::move(Job->Connection);
-  const std::string Target = Used->address().Id;
+  const TargetConnectionPtr Connection = std::move(Job->Connection);
+  const std::string Target = Connection->address().Id;
   // The rollback that follows a read at the leader releases its connection.
   if (AtLeader && !Job->Writes) {
     // Released by the answer to the rollback.
   } else if (Answer.Phase == SessionPhase::Idle) {
-    release(Used);
+    release(Connection);
   } else {
-    discard(Used);
+    discard(Connection);
   }
   if (Answer.Refusal) {
     switch (Answer.Refusal->Code) {
     case RefusalCode::Unreachable:
-      return retryThroughAnother(Job, Used, *Answer.Refusal);
+      return retryThroughAnother(Job, Connection, *Answer.Refusal);
     case RefusalCode::Busy:
       return tryAgain(Job, *Answer.Refusal, busyPause(*Job));
     case RefusalCode::ReadOnly:
@@ -178,7 +178,7 @@
     case RefusalCode::NoStatement:
       // The prepared statements that the target holds for this connection
       // differ from the recorded ones.
-      discard(Used);
+      discard(Connection);
       return tryAgain(Job, *Answer.Refusal, Millis(0));
     default:
       return finishRefused(Job, *Answer.Refusal, "target " + Target);
@@ -203,17 +203,18 @@
 }
 
 void SessionPipeline::tryAgain(const SessionJobPtr &Job,
-                               const StatementRefusal &Why, Millis After) {
+                               const StatementRefusal &Refusal, Millis After) {
   Job->IsSent = false;
   Job->Connection.reset();
   const Millis Now = Deps.Time.now();
-  if (++Job->Tries > MaxTries && Why.Code != RefusalCode::ReadOnly &&
-      Why.Code != RefusalCode::Busy && Why.Code != RefusalCode::Unreachable)
-    return finishRefused(Job, Why, "tried at several targets");
+  if (++Job->Tries > MaxTries && Refusal.Code != RefusalCode::ReadOnly &&
+      Refusal.Code != RefusalCode::Busy &&
+      Refusal.Code != RefusalCode::Unreachable)
+    return finishRefused(Job, Refusal, "tried at several targets");
   if (Now >= effectiveQueueDeadline(*Job))
-    return finishRefused(Job, Why, "no time for another try");
+    return finishRefused(Job, Refusal, "no time for another try");
   ++Counts.Retries;
-  Retried.emit(*Job, Why);
+  Retried.emit(*Job, Refusal);
   Job->RetryAt = Now + After;
   if (const CallerSessionPtr Session = Job->Session.lock())
     choosePlacement(*Session, *Job);
@@ -221,12 +222,12 @@
 }
 
 void SessionPipeline::retryThroughAnother(const SessionJobPtr &Job,
-                                          const TargetConnectionPtr &Used,
-                                          const StatementRefusal &Why) {
-  if (TargetPool *Pool = poolOf(Used))
+                                          const TargetConnectionPtr &Connection,
+                                          const StatementRefusal &Refusal) {
+  if (TargetPool *Pool = poolOf(Connection))
     Pool->recordUnreachable(Deps.Time.now());
-  Job->ExcludedTargets.insert(Used->address().Id);
-  tryAgain(Job, Why, Millis(0));
+  Job->ExcludedTargets.insert(Connection->address().Id);
+  tryAgain(Job, Refusal, Millis(0));
 }
 
 // When many gateways fail at the same time, each proxy detects each of them by
@@ -236,13 +237,13 @@
 // Nothing is retried while answers are slow everywhere: the gateway is then
 // overloaded, and retries add to its load.
 void SessionPipeline::handleKeepaliveTimeout(
-    const TargetConnectionPtr &Silent) {
+    const TargetConnectionPtr &Connection) {
   if (!AnswerTimes.isUncongested())
     return;
   // A connection carries one statement at a time.
   const auto Found = std::find_if(Running.begin(), Running.end(),
-                                  [&Silent](const SessionJobPtr &Each) {
-                                    return Each->Connection == Silent;
+                                  [&Connection](const SessionJobPtr &Each) {
+                                    return Each->Connection == Connection;
                                   });
   if (Found == Running.end())
     return;
@@ -251,11 +252,11 @@
     return;
   const auto Taken = Running.extract(Found);
   const SessionJobPtr &Job = Taken.value();
-  discard(Silent);
+  discard(Connection);
   Job->WaitingSince = Deps.Time.now();
   tryAgain(Job,
            refused(RefusalCode::Busy, "no sign of life on the way to target " +
-                                          Silent->address().Id),
+                                          Connection->address().Id),
            Millis(0));
 }
 
@@ -270,9 +271,9 @@
     return;
   if (Session->Transaction &&
       (Session->Transaction->Connection || Job->IsSent)) {
-    SessionTransaction &Within = *Session->Transaction;
-    const bool MayBeKept = Job->Stmt.Kind == StatementKind::Commit &&
-                           Job->IsSent && Within.HasWritten;
+    SessionTransaction &Transaction = *Session->Transaction;
+    const bool MayHaveCommitted = Job->Stmt.Kind == StatementKind::Commit &&
+                                  Job->IsSent && Transaction.HasWritten;
     Job->CurrentStage = SessionJob::Stage::Done;
     Session->Current.reset();
     const bool Commits = Job->Stmt.Kind == StatementKind::Commit;
@@ -280,12 +281,13 @@
       Session->Transaction.reset();
       Session->Phase = SessionPhase::Idle;
     }
-    replyRefused(Session, Job->Stmt,
-                 MayBeKept ? refused(RefusalCode::Unknown,
-                                     "the answer to the commit was lost")
-                           : refused(RefusalCode::Aborted,
-                                     "the transaction's connection was lost"),
-                 Grounds);
+    replyRefused(
+        Session, Job->Stmt,
+        MayHaveCommitted
+            ? refused(RefusalCode::Unknown, "the answer to the commit was lost")
+            : refused(RefusalCode::Aborted,
+                      "the transaction's connection was lost"),
+        Grounds);
     if (Session->IsClosed)
       rollBack(Session);
     return startNext(Session);
@@ -302,7 +304,7 @@
 }
 
 void SessionPipeline::finishRefused(const SessionJobPtr &Job,
-                                    StatementRefusal Why,
+                                    StatementRefusal Refusal,
                                     const std::string &Grounds) {
   Running.erase(Job);
   Job->CurrentStage = SessionJob::Stage::Done;
@@ -310,7 +312,7 @@
   if (!Session)
     return;
   Session->Current.reset();
-  replyRefused(Session, Job->Stmt, std::move(Why), Grounds);
+  replyRefused(Session, Job->Stmt, std::move(Refusal), Grounds);
   startNext(Session);
 }
 
--- a/Source/Pipeline/StatementRuns.cpp
+++ b/Source/Pipeline/StatementRuns.cpp
@@ -9,10 +9,10 @@
 namespace corianderdyke {
 
 void SessionPipeline::run(const SessionJobPtr &Job,
-                          const TargetConnectionPtr &On) {
+                          const TargetConnectionPtr &Connection) {
   const CallerSessionPtr Session = Job->Session.lock();
   if (!Session) {
-    release(On);
+    release(Connection);
     return;
   }
   Job->CurrentStage = SessionJob::Stage::Running;
@@ -91,33 +91,35 @@
 // outside a transaction is followed by a rollback.
 void SessionPipeline::openAndRun(const SessionJobPtr &Job, bool AtLeader) {
   const CallerSessionPtr Session = Job->Session.lock();
-  const TargetConnectionPtr On = Job->Connection;
+  const TargetConnectionPtr Connection = Job->Connection;
   std::vector<TargetConnection::Step> Steps;
-  On->appendValueSteps(Session->Values, Steps);
-  TargetCommand Own = commandOf(Job, Steps);
-  Own.NeedsPrevious = true;
+  Connection->appendValueSteps(Session->Values, Steps);
+  TargetCommand Command = commandOf(Job, Steps);
+  Command.NeedsPrevious = true;
   // After a refused opening, the job may already run elsewhere when the refusal
   // of the statement behind the opening arrives.
-  const auto IsThisTry = [Job, Try = Job->Tries] { return Job->Tries == Try; };
+  const auto IsCurrentTry = [Job, Try = Job->Tries] {
+    return Job->Tries == Try;
+  };
   Steps.push_back(openingStep(Job, AtLeader));
-  Steps.push_back(
-      {std::move(Own), [this, Job, IsThisTry](const StatementAnswer &Answer) {
-         if (IsThisTry())
-           answered(Job, Answer);
-       }});
+  Steps.push_back({std::move(Command),
+                   [this, Job, IsCurrentTry](const StatementAnswer &Answer) {
+                     if (IsCurrentTry())
+                       answered(Job, Answer);
+                   }});
   if (!Session->Transaction) {
-    TargetConnection::Step End = rollBackStep(On);
-    End.Handler = [IsThisTry, Ended = std::move(End.Handler)](
+    TargetConnection::Step End = rollBackStep(Connection);
+    End.Handler = [IsCurrentTry, Ended = std::move(End.Handler)](
                       const StatementAnswer &Answer) {
       // The rollback was not sent, because the opening was refused.
-      if (Answer.Refusal && !IsThisTry())
+      if (Answer.Refusal && !IsCurrentTry())
         return;
       Ended(Answer);
     };
     Steps.push_back(std::move(End));
   }
   Job->IsSent = true;
-  On->send(std::move(Steps));
+  Connection->send(std::move(Steps));
 }
 
 bool SessionPipeline::hasLostLog(const SessionJobPtr &Job,
@@ -141,31 +143,31 @@
 void SessionPipeline::openingRefused(const SessionJobPtr &Job,
                                      const StatementAnswer &Answer) {
   Running.erase(Job);
-  const TargetConnectionPtr On = Job->Connection;
-  const StatementRefusal Why = Answer.Refusal.value_or(
+  const TargetConnectionPtr Connection = Job->Connection;
+  const StatementRefusal Refusal = Answer.Refusal.value_or(
       StatementRefusal{RefusalCode::Busy, "the target opened no transaction"});
   // Schedules the next try before the connection is released: the statement
   // that gets the connection may be refused at once, and answers that are still
   // due to this try arrive with that refusal. They must not be sent to the
   // caller as answers to the job.
-  retryOpening(Job, On, Why);
+  retryOpening(Job, Connection, Refusal);
   if (Answer.Phase == SessionPhase::Idle)
-    release(On);
+    release(Connection);
   else
-    discard(On);
+    discard(Connection);
 }
 
 void SessionPipeline::retryOpening(const SessionJobPtr &Job,
-                                   const TargetConnectionPtr &On,
-                                   const StatementRefusal &Why) {
-  if (Why.Code == RefusalCode::Lagging) {
+                                   const TargetConnectionPtr &Connection,
+                                   const StatementRefusal &Refusal) {
+  if (Refusal.Code == RefusalCode::Lagging) {
     ++Job->LaggingRefusals;
-    Job->ExcludedTargets.insert(On->address().Id);
-    return tryAgain(Job, Why, Millis(0));
+    Job->ExcludedTargets.insert(Connection->address().Id);
+    return tryAgain(Job, Refusal, Millis(0));
   }
-  if (Why.Code == RefusalCode::Unreachable)
-    return retryThroughAnother(Job, On, Why);
-  tryAgain(Job, Why, busyPause(*Job));
+  if (Refusal.Code == RefusalCode::Unreachable)
+    return retryThroughAnother(Job, Connection, Refusal);
+  tryAgain(Job, Refusal, busyPause(*Job));
 }
 
 void SessionPipeline::handlePrimaryOpened(const SessionJobPtr &Job,
@@ -187,7 +189,7 @@
 
 TargetCommand
 SessionPipeline::commandOf(const SessionJobPtr &Job,
-                           std::vector<TargetConnection::Step> &Before) {
+                           std::vector<TargetConnection::Step> &Steps) {
   TargetCommand Out;
   Out.Id = Job->Stmt.Id;
   Out.Text = Job->Stmt.Text;
@@ -203,7 +205,7 @@
   if (Job->Stmt.Kind == StatementKind::Execute && Session) {
     Out.Operation = TargetCommand::Kind::Execute;
     Out.Name =
-        Job->Connection->prepare(Session->Prepared[Job->Stmt.Name], Before);
+        Job->Connection->prepare(Session->Prepared[Job->Stmt.Name], Steps);
     Out.Text = Job->Stmt.Arguments;
   }
   return Out;
@@ -212,20 +214,20 @@
 void SessionPipeline::runStatement(const SessionJobPtr &Job,
                                    bool RollBackAfter) {
   const CallerSessionPtr Session = Job->Session.lock();
-  const TargetConnectionPtr On = Job->Connection;
-  if (!Session || !On)
+  const TargetConnectionPtr Connection = Job->Connection;
+  if (!Session || !Connection)
     return;
   std::vector<TargetConnection::Step> Steps;
-  On->appendValueSteps(Session->Values, Steps);
-  TargetCommand Own = commandOf(Job, Steps);
-  Steps.push_back({std::move(Own), [this, Job](const StatementAnswer &Answer) {
-                     answered(Job, Answer);
-                   }});
+  Connection->appendValueSteps(Session->Values, Steps);
+  TargetCommand Command = commandOf(Job, Steps);
+  Steps.push_back(
+      {std::move(Command),
+       [this, Job](const StatementAnswer &Answer) { answered(Job, Answer); }});
   if (RollBackAfter)
-    Steps.push_back(rollBackStep(On));
+    Steps.push_back(rollBackStep(Connection));
   Job->IsSent = true;
   Job->SentAt = Deps.Time.now();
-  On->send(std::move(Steps));
+  Connection->send(std::move(Steps));
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/StatementWindow.h
+++ b/Source/Pipeline/StatementWindow.h
@@ -25,9 +25,9 @@
 
 class StatementWindow {
 public:
-  /// Records that a statement was answered \p Taken after it was sent.
-  void recordAnswerTime(Millis Taken, Millis Now) {
-    const auto Last = std::max(static_cast<double>(Taken.count()), 1.0);
+  /// Records that a statement was answered \p AnswerTime after it was sent.
+  void recordAnswerTime(Millis AnswerTime, Millis Now) {
+    const auto Last = std::max(static_cast<double>(AnswerTime.count()), 1.0);
     Mean += Gain * (Last - Mean);
     updateBaseline(Last);
     if (!isCongested()) {
--- a/Source/Pipeline/TargetConnection.cpp
+++ b/Source/Pipeline/TargetConnection.cpp
@@ -20,7 +20,9 @@
              Handler();
            },
            [this](const StatementAnswer &Answer) { answered(Answer); },
-           [this](const std::optional<StatementRefusal> &Why) { closed(Why); },
+           [this](const std::optional<StatementRefusal> &Refusal) {
+             closed(Refusal);
+           },
            this->Handlers.OnKeepaliveTimeout});
   IsShared = Link->isShared();
 }
@@ -48,13 +50,13 @@
   Values = Wanted;
 }
 
-std::string TargetConnection::prepare(const PreparedStatement &Shape,
+std::string TargetConnection::prepare(const PreparedStatement &ToPrepare,
                                       std::vector<Step> &Out) {
-  std::string &Name = Prepared[Shape];
+  std::string &Name = Prepared[ToPrepare];
   if (Name.empty()) {
     Name = "p" + std::to_string(NextName++);
     Out.push_back({{.Operation = TargetCommand::Kind::Prepare,
-                    .Text = Shape.Text,
+                    .Text = ToPrepare.Text,
                     .Name = Name}});
   }
   return Name;
@@ -86,14 +88,14 @@
     closed(Answer.Refusal);
 }
 
-void TargetConnection::closed(const std::optional<StatementRefusal> &Why) {
+void TargetConnection::closed(const std::optional<StatementRefusal> &Refusal) {
   if (CurrentStage == Stage::Closed)
     return;
   CurrentStage = Stage::Closed;
   PendingHandlers.clear();
   const auto Handler = std::exchange(Handlers, {}).OnClose;
   if (Handler)
-    Handler(Why);
+    Handler(Refusal);
 }
 
 void TargetConnection::close() {
--- a/Source/Pipeline/TargetConnection.h
+++ b/Source/Pipeline/TargetConnection.h
@@ -44,9 +44,10 @@
 
   /// Appends the steps that give this connection exactly the values \p Wanted.
   void appendValueSteps(const SessionValues &Wanted, std::vector<Step> &Out);
-  /// Appends the step that prepares \p Shape on this connection, if needed, and
-  /// returns its name here.
-  std::string prepare(const PreparedStatement &Shape, std::vector<Step> &Out);
+  /// Appends the step that prepares \p ToPrepare on this connection, if needed,
+  /// and returns its name here.
+  std::string prepare(const PreparedStatement &ToPrepare,
+                      std::vector<Step> &Out);
   /// Sends \p Steps in one write. If a step without a handler fails, the
   /// connection closes, since the state that the target holds for it is then
   /// unknown.
@@ -70,7 +71,7 @@
 
 private:
   void answered(const StatementAnswer &Answer);
-  void closed(const std::optional<StatementRefusal> &Why);
+  void closed(const std::optional<StatementRefusal> &Refusal);
 
   TargetAddress Address;
   bool IsShared = false;
--- a/Source/Pipeline/TargetPool.cpp
+++ b/Source/Pipeline/TargetPool.cpp
@@ -93,7 +93,7 @@
       remove(Replaced);
     }
   auto Weak = std::make_shared<std::weak_ptr<TargetConnection>>();
-  auto Made = std::make_shared<TargetConnection>(
+  auto Created = std::make_shared<TargetConnection>(
       Connector,
       TargetAddress{Record.Group, Record.Id, Record.Address, For.Organisation,
                     For.IsInternal},
@@ -104,32 +104,33 @@
               OnOpen(Open);
           },
           [Weak, OnClose = std::move(Handlers.OnClose)](
-              const std::optional<StatementRefusal> &Why) {
-            if (const TargetConnectionPtr Gone = Weak->lock())
-              OnClose(Gone, Why);
+              const std::optional<StatementRefusal> &Refusal) {
+            if (const TargetConnectionPtr Connection = Weak->lock())
+              OnClose(Connection, Refusal);
           },
           [Weak, OnSilent = std::move(Handlers.OnKeepaliveTimeout)] {
-            const TargetConnectionPtr Silent = Weak->lock();
-            if (Silent && OnSilent)
-              OnSilent(Silent);
+            const TargetConnectionPtr Connection = Weak->lock();
+            if (Connection && OnSilent)
+              OnSilent(Connection);
           }});
-  *Weak = Made;
-  All.push_back(std::move(Made));
+  *Weak = Created;
+  All.push_back(std::move(Created));
 }
 
-bool TargetPool::handleClosed(const TargetConnectionPtr &Gone,
-                              const std::optional<StatementRefusal> &Why,
+bool TargetPool::handleClosed(const TargetConnectionPtr &Connection,
+                              const std::optional<StatementRefusal> &Refusal,
                               Millis Now) {
-  remove(Gone);
-  if (isAtLimit(Why))
+  remove(Connection);
+  if (isAtLimit(Refusal))
     recordConnectionRefused(Now);
-  else if (!Gone->hasOpened())
+  else if (!Connection->hasOpened())
     recordUnreachable(Now);
-  return !Gone->hasOpened() && (!Why || Why->Code == RefusalCode::Misrouted);
+  return !Connection->hasOpened() &&
+         (!Refusal || Refusal->Code == RefusalCode::Misrouted);
 }
 
-void TargetPool::remove(const TargetConnectionPtr &Gone) {
-  All.erase(std::remove(All.begin(), All.end(), Gone), All.end());
+void TargetPool::remove(const TargetConnectionPtr &Connection) {
+  All.erase(std::remove(All.begin(), All.end(), Connection), All.end());
 }
 
 std::vector<TargetConnectionPtr> TargetPool::closeAll() {
--- a/Source/Pipeline/TargetPool.h
+++ b/Source/Pipeline/TargetPool.h
@@ -31,8 +31,8 @@
   auto operator<=>(const OpeningCounts &) const = default;
 };
 
-inline bool isAtLimit(const std::optional<StatementRefusal> &Why) {
-  return Why && Why->Code == RefusalCode::ConnectionLimit;
+inline bool isAtLimit(const std::optional<StatementRefusal> &Refusal) {
+  return Refusal && Refusal->Code == RefusalCode::ConnectionLimit;
 }
 
 /// Why a connection is opened.
@@ -55,8 +55,8 @@
         nullptr;
   };
 
-  TargetPool(TargetRecord Of, std::size_t Share, Millis Now)
-      : Record(std::move(Of)), Share(Share), Observed(Now) {}
+  TargetPool(TargetRecord Initial, std::size_t Share, Millis Now)
+      : Record(std::move(Initial)), Share(Share), Observed(Now) {}
 
   const TargetRecord &record() const { return Record; }
   /// True if \p New is a later incarnation of the target: connections to the
@@ -107,9 +107,9 @@
   /// Returns true if that indicates that the target cannot be used. The end of
   /// an established connection does not: the next attempt to connect shows
   /// whether the target is available.
-  bool handleClosed(const TargetConnectionPtr &Gone,
-                    const std::optional<StatementRefusal> &Why, Millis Now);
-  void remove(const TargetConnectionPtr &Gone);
+  bool handleClosed(const TargetConnectionPtr &Connection,
+                    const std::optional<StatementRefusal> &Refusal, Millis Now);
+  void remove(const TargetConnectionPtr &Connection);
   /// Closes all connections and returns them; the caller must fail the
   /// statements that wait on them.
   std::vector<TargetConnectionPtr> closeAll();
@@ -172,9 +172,9 @@
     return static_cast<std::size_t>(std::count_if(
         All.begin(), All.end(), [&Is](const auto &Each) { return Is(*Each); }));
   }
-  std::size_t inStage(TargetConnection::Stage Which) const {
-    return count([Which](const TargetConnection &Each) {
-      return Each.stage() == Which;
+  std::size_t inStage(TargetConnection::Stage Wanted) const {
+    return count([Wanted](const TargetConnection &Each) {
+      return Each.stage() == Wanted;
     });
   }
   std::size_t connectionLimit() const;
