--- a/Source/Plan/PlanIndex.h
+++ b/Source/Plan/PlanIndex.h
@@ -40,10 +40,10 @@
 private:
   template <class Policy>
   static const Policy *
-  find(const std::unordered_map<std::string, const Policy *> &In,
+  find(const std::unordered_map<std::string, const Policy *> &ByName,
        const std::string &Name) {
-    const auto Found = In.find(Name);
-    return Found == In.end() ? nullptr : Found->second;
+    const auto Found = ByName.find(Name);
+    return Found == ByName.end() ? nullptr : Found->second;
   }
 
   RoutePlan Plan;
--- a/Source/Quota/OperationPermits.cpp
+++ b/Source/Quota/OperationPermits.cpp
@@ -88,22 +88,22 @@
 std::uint64_t OperationPermits::requestPermit(const std::string &Organisation,
                                               Millis Until, Handler OnAnswer) {
   const std::uint64_t Number = NextNumber++;
-  Queue &Of = Queues[Organisation];
-  Of.Waiters.push_back({Number, Until, std::move(OnAnswer)});
-  if (Of.RequestNumber != 0)
+  Queue &Q = Queues[Organisation];
+  Q.Waiters.push_back({Number, Until, std::move(OnAnswer)});
+  if (Q.RequestNumber != 0)
     return Number;
   const Millis Now = Deps.Time.now();
-  if (Now >= Of.NextRoundAt)
+  if (Now >= Q.NextRoundAt)
     beginRound(Organisation);
   else
-    refuseExpiringBefore(Organisation, Of.NextRoundAt);
+    refuseExpiringBefore(Organisation, Q.NextRoundAt);
   return Number;
 }
 
 void OperationPermits::cancel(std::uint64_t Number) {
   for (auto &[Name, Each] : Queues)
     Each.Waiters.remove_if(
-        [Number](const Waiting &Of) { return Of.Number == Number; });
+        [Number](const Waiting &Waiter) { return Waiter.Number == Number; });
 }
 
 void OperationPermits::handleSeatsChanged() {
@@ -116,20 +116,20 @@
 }
 
 void OperationPermits::beginRound(const std::string &Organisation) {
-  Queue &Of = Queues[Organisation];
-  stopTimer(Of);
-  if (Of.Waiters.empty())
+  Queue &Q = Queues[Organisation];
+  stopTimer(Q);
+  if (Q.Waiters.empty())
     return;
   // The plan may have removed the limit in the meantime.
   if (!isLimited(Organisation))
-    return begin(dequeue(Of, static_cast<std::uint32_t>(Of.Waiters.size())));
-  Of.HolderIndex = 0;
-  Of.MinRetryAfter.reset();
+    return begin(dequeue(Q, static_cast<std::uint32_t>(Q.Waiters.size())));
+  Q.HolderIndex = 0;
+  Q.MinRetryAfter.reset();
   askNext(Organisation);
 }
 
 void OperationPermits::askNext(const std::string &Organisation) {
-  Queue &Of = Queues[Organisation];
+  Queue &Q = Queues[Organisation];
   std::vector<ProxyRecord> Known = Holders[Organisation];
   const Millis Now = Deps.Time.now();
   std::stable_partition(
@@ -137,28 +137,28 @@
         const auto Until = BackoffUntil.find(Each.Name);
         return Until == BackoffUntil.end() || Now >= Until->second;
       });
-  if (Of.Waiters.empty() || Of.HolderIndex >= Known.size())
+  if (Q.Waiters.empty() || Q.HolderIndex >= Known.size())
     return endRound(Organisation);
-  const ProxyRecord &Next = Known[Of.HolderIndex];
-  const auto Count = static_cast<std::uint32_t>(Of.Waiters.size());
-  Of.RequestNumber = NextNumber++;
-  Of.Holder = Next.Name;
+  const ProxyRecord &Next = Known[Q.HolderIndex];
+  const auto Count = static_cast<std::uint32_t>(Q.Waiters.size());
+  Q.RequestNumber = NextNumber++;
+  Q.Holder = Next.Name;
   if (Next.Name == Self)
     return answered(Organisation, Seats.takePermits(Organisation, Count, Now));
   std::erase_if(Requests, [Now](const auto &Each) {
     return Now - Each.second.At >= RequestRetention;
   });
-  Requests[Of.RequestNumber] = {Organisation, Now};
+  Requests[Q.RequestNumber] = {Organisation, Now};
   Deps.Peers.send({Next.RelayEndpoint.Address, PeerPort}, Delivery::Datagram,
-                  PermitRequest{Of.RequestNumber, Organisation, Count});
-  setTimer(Of, Organisation, ReplyTimeout, &OperationPermits::timedOut);
+                  PermitRequest{Q.RequestNumber, Organisation, Count});
+  setTimer(Q, Organisation, ReplyTimeout, &OperationPermits::timedOut);
 }
 
 void OperationPermits::timedOut(const std::string &Organisation) {
-  Queue &Of = Queues[Organisation];
-  Of.RequestNumber = 0;
-  BackoffUntil[Of.Holder] = Deps.Time.now() + HolderBackoff;
-  ++Of.HolderIndex;
+  Queue &Q = Queues[Organisation];
+  Q.RequestNumber = 0;
+  BackoffUntil[Q.Holder] = Deps.Time.now() + HolderBackoff;
+  ++Q.HolderIndex;
   askNext(Organisation);
 }
 
@@ -179,19 +179,19 @@
     return;
   const std::string Organisation = Found->second.Organisation;
   Requests.erase(Found);
-  Queue &Of = Queues[Organisation];
-  if (Of.RequestNumber != Body.Number)
-    return begin(dequeue(Of, Body.Granted));
-  stopTimer(Of);
+  Queue &Q = Queues[Organisation];
+  if (Q.RequestNumber != Body.Number)
+    return begin(dequeue(Q, Body.Granted));
+  stopTimer(Q);
   answered(Organisation, Body);
 }
 
 std::vector<PermitSource::Handler>
-OperationPermits::dequeue(Queue &Of, std::uint32_t Permits) {
+OperationPermits::dequeue(Queue &Q, std::uint32_t Permits) {
   std::vector<Handler> Out;
-  while (Out.size() < Permits && !Of.Waiters.empty()) {
-    Out.push_back(std::move(Of.Waiters.front().OnAnswer));
-    Of.Waiters.pop_front();
+  while (Out.size() < Permits && !Q.Waiters.empty()) {
+    Out.push_back(std::move(Q.Waiters.front().OnAnswer));
+    Q.Waiters.pop_front();
   }
   return Out;
 }
@@ -203,63 +203,63 @@
 
 void OperationPermits::answered(const std::string &Organisation,
                                 const PermitReply &Answer) {
-  Queue &Of = Queues[Organisation];
-  Of.RequestNumber = 0;
+  Queue &Q = Queues[Organisation];
+  Q.RequestNumber = 0;
   if (Answer.HasSeat)
-    Of.MinRetryAfter = Of.MinRetryAfter
-                           ? std::min(*Of.MinRetryAfter, Answer.RetryAfter)
-                           : Answer.RetryAfter;
-  ++Of.HolderIndex;
-  Of.NextRoundAt = Deps.Time.now();
-  const std::vector<Handler> Permitted = dequeue(Of, Answer.Granted);
+    Q.MinRetryAfter = Q.MinRetryAfter
+                          ? std::min(*Q.MinRetryAfter, Answer.RetryAfter)
+                          : Answer.RetryAfter;
+  ++Q.HolderIndex;
+  Q.NextRoundAt = Deps.Time.now();
+  const std::vector<Handler> Permitted = dequeue(Q, Answer.Granted);
   // The next request is sent before the handlers run, so that operations
   // further back do not wait for them.
-  if (!Of.Waiters.empty())
+  if (!Q.Waiters.empty())
     askNext(Organisation);
   begin(Permitted);
 }
 
 void OperationPermits::endRound(const std::string &Organisation) {
-  Queue &Of = Queues[Organisation];
-  if (Of.Waiters.empty())
+  Queue &Q = Queues[Organisation];
+  if (Q.Waiters.empty())
     return;
   const Millis Pause =
-      std::max(MinPause, Of.MinRetryAfter.value_or(NoSeatPause));
-  Of.NextRoundAt = Deps.Time.now() + Pause;
-  setTimer(Of, Organisation, Pause, &OperationPermits::beginRound);
-  refuseExpiringBefore(Organisation, Of.NextRoundAt);
+      std::max(MinPause, Q.MinRetryAfter.value_or(NoSeatPause));
+  Q.NextRoundAt = Deps.Time.now() + Pause;
+  setTimer(Q, Organisation, Pause, &OperationPermits::beginRound);
+  refuseExpiringBefore(Organisation, Q.NextRoundAt);
 }
 
 void OperationPermits::refuseExpiringBefore(const std::string &Organisation,
                                             Millis When) {
-  Queue &Of = Queues[Organisation];
-  const Millis Back = When - Deps.Time.now();
+  Queue &Q = Queues[Organisation];
+  const Millis RetryAfter = When - Deps.Time.now();
   std::vector<Handler> Refused;
-  for (auto Each = Of.Waiters.begin(); Each != Of.Waiters.end();) {
+  for (auto Each = Q.Waiters.begin(); Each != Q.Waiters.end();) {
     if (Each->Until >= When) {
       ++Each;
       continue;
     }
     Refused.push_back(std::move(Each->OnAnswer));
-    Each = Of.Waiters.erase(Each);
+    Each = Q.Waiters.erase(Each);
   }
   for (const Handler &Each : Refused)
-    Each(Back);
+    Each(RetryAfter);
 }
 
 void OperationPermits::setTimer(
-    Queue &Of, const std::string &Organisation, Millis Span,
+    Queue &Q, const std::string &Organisation, Millis Span,
     void (OperationPermits::*Then)(const std::string &)) {
-  stopTimer(Of);
-  Of.Timer = Deps.Timers.after(Span, [this, Organisation, Then] {
+  stopTimer(Q);
+  Q.Timer = Deps.Timers.after(Span, [this, Organisation, Then] {
     Queues[Organisation].Timer = 0;
     (this->*Then)(Organisation);
   });
 }
 
-void OperationPermits::stopTimer(Queue &Of) {
-  if (Of.Timer != 0)
-    Deps.Timers.cancel(std::exchange(Of.Timer, 0));
+void OperationPermits::stopTimer(Queue &Q) {
+  if (Q.Timer != 0)
+    Deps.Timers.cancel(std::exchange(Q.Timer, 0));
 }
 
 } // namespace corianderdyke
--- a/Source/Quota/OperationPermits.h
+++ b/Source/Quota/OperationPermits.h
@@ -91,15 +91,15 @@
   void askNext(const std::string &Organisation);
   void answered(const std::string &Organisation, const PermitReply &Answer);
   /// Removes up to \p Permits operations from a queue, the oldest first.
-  static std::vector<Handler> dequeue(Queue &Of, std::uint32_t Permits);
+  static std::vector<Handler> dequeue(Queue &Q, std::uint32_t Permits);
   /// Begins operations; the handlers may request further permits.
   static void begin(const std::vector<Handler> &Permitted);
   void endRound(const std::string &Organisation);
   /// Refuses the operations whose deadlines are before \p When.
   void refuseExpiringBefore(const std::string &Organisation, Millis When);
-  void setTimer(Queue &Of, const std::string &Organisation, Millis Span,
+  void setTimer(Queue &Q, const std::string &Organisation, Millis Span,
                 void (OperationPermits::*Then)(const std::string &));
-  void stopTimer(Queue &Of);
+  void stopTimer(Queue &Q);
   void timedOut(const std::string &Organisation);
 
   Dependencies Deps;
--- a/Source/Quota/QuotaSeats.cpp
+++ b/Source/Quota/QuotaSeats.cpp
@@ -48,10 +48,10 @@
 
 bool QuotaSeats::lacksSeat(Millis Now) const {
   for (const auto &[Name, Count] : Wanted) {
-    std::uint32_t Here = 0;
+    std::uint32_t Held = 0;
     for (std::uint32_t Index = 0; Index < SeatsPerOrganisation; ++Index)
-      Here += Now < LeaseEnd && Seats.count({Name, Index}) != 0 ? 1 : 0;
-    if (Here < Count)
+      Held += Now < LeaseEnd && Seats.count({Name, Index}) != 0 ? 1 : 0;
+    if (Held < Count)
       return true;
   }
   return false;
@@ -93,18 +93,19 @@
     if (Found == Seats.end())
       continue;
     Out.HasSeat = true;
-    Bucket &Of = Found->second;
+    Bucket &SeatBucket = Found->second;
     const double Passed =
-        static_cast<double>((Now - Of.CountedAt).count()) / MillisPerSecond;
+        static_cast<double>((Now - SeatBucket.CountedAt).count()) /
+        MillisPerSecond;
     // A bucket with a capacity below one token would never give out any.
-    Of.Tokens = std::min(std::max(1.0, Limit.Burst),
-                         Of.Tokens + Passed * Limit.PerSecond);
-    Of.CountedAt = Now;
-    const auto Given = std::min<std::uint32_t>(
-        Count - Out.Granted, static_cast<std::uint32_t>(Of.Tokens));
-    Of.Tokens -= Given;
-    Out.Granted += Given;
-    const double Lacking = 1 - Of.Tokens;
+    SeatBucket.Tokens = std::min(std::max(1.0, Limit.Burst),
+                                 SeatBucket.Tokens + Passed * Limit.PerSecond);
+    SeatBucket.CountedAt = Now;
+    const auto Granted = std::min<std::uint32_t>(
+        Count - Out.Granted, static_cast<std::uint32_t>(SeatBucket.Tokens));
+    SeatBucket.Tokens -= Granted;
+    Out.Granted += Granted;
+    const double Lacking = 1 - SeatBucket.Tokens;
     const double Wait = Limit.PerSecond > 0
                             ? std::max(0.0, Lacking) / Limit.PerSecond
                             : static_cast<double>(SeatLeaseDuration.count());
@@ -122,8 +123,8 @@
     return {};
   SeatRequest Out{++Sequence, Now, LeaderTerm, Nonce, AppliedGrant, {}, {}};
   if (Now < LeaseEnd)
-    for (const auto &[Which, Each] : Seats)
-      Out.Held.push_back(Which);
+    for (const auto &[SeatId, Each] : Seats)
+      Out.Held.push_back(SeatId);
   for (const auto &[Name, Count] : Wanted)
     Out.Wanted.push_back({Name, Count});
   return Out;
--- a/Source/Quota/SeatLedger.cpp
+++ b/Source/Quota/SeatLedger.cpp
@@ -29,25 +29,25 @@
   *this = SeatLedger();
   Term = LeaderTerm;
   AwaitReportsUntil = Now + maxSeatLease();
-  for (const auto &[Which, Name] : Committed)
-    Seats[Which].Name = Name;
+  for (const auto &[SeatId, Name] : Committed)
+    Seats[SeatId].Name = Name;
 }
 
-bool SeatLedger::isFree(const Seat &Of, Millis Now) const {
-  if (Of.IsReserved)
+bool SeatLedger::isFree(const Seat &S, Millis Now) const {
+  if (S.IsReserved)
     return false;
-  if (Of.Name.empty())
+  if (S.Name.empty())
     return true;
-  return Of.HasReported ? Of.HeldUntil <= Now : Now >= AwaitReportsUntil;
+  return S.HasReported ? S.HeldUntil <= Now : Now >= AwaitReportsUntil;
 }
 
 void SeatLedger::applyReport(const ProcessId &Proxy, const SeatRequest &Request,
                              Millis Now) {
-  for (auto &[Which, Each] : Seats) {
+  for (auto &[SeatId, Each] : Seats) {
     if (Each.Name != Proxy.Name)
       continue;
     const bool IsHeld = std::find(Request.Held.begin(), Request.Held.end(),
-                                  Which) != Request.Held.end();
+                                  SeatId) != Request.Held.end();
     const bool IsOfFormerProcess = Each.HasReported && Each.Holder != Proxy;
     const bool IsGrantInFlight = Each.HasReported && !IsOfFormerProcess &&
                                  Each.GrantSequence > Request.AppliedGrant;
@@ -64,28 +64,28 @@
 
 void SeatLedger::grant(const ProcessId &Proxy, const SeatRequest &Request,
                        const SeatDemand &Wanted, Millis Now, SeatGrant &Out) {
-  std::uint32_t Given = 0;
+  std::uint32_t Granted = 0;
   const std::uint32_t MaxCount = std::min(Wanted.Count, SeatsPerOrganisation);
   for (std::uint32_t Index = 0; Index < SeatsPerOrganisation; ++Index) {
-    const QuotaSeat Which{Wanted.Organisation, Index};
-    const auto Known = Seats.find(Which);
-    if (Given >= MaxCount || Known == Seats.end() || Known->second.IsReserved ||
-        Known->second.Name != Proxy.Name)
+    const QuotaSeat SeatId{Wanted.Organisation, Index};
+    const auto Known = Seats.find(SeatId);
+    if (Granted >= MaxCount || Known == Seats.end() ||
+        Known->second.IsReserved || Known->second.Name != Proxy.Name)
       continue;
     Known->second.HeldUntil = Now + maxSeatLease();
     Known->second.GrantSequence = Request.Sequence;
-    Out.Seats.push_back(Which);
-    ++Given;
+    Out.Seats.push_back(SeatId);
+    ++Granted;
   }
   // Missing seats are committed first, and granted with a later request.
   for (std::uint32_t Index = 0;
-       Index < SeatsPerOrganisation && Given < MaxCount; ++Index) {
+       Index < SeatsPerOrganisation && Granted < MaxCount; ++Index) {
     Seat &Other = Seats[{Wanted.Organisation, Index}];
     if (!isFree(Other, Now) || Other.Name == Proxy.Name)
       continue;
     Other.IsReserved = true;
     ProposedAssignments[{Wanted.Organisation, Index}] = Proxy.Name;
-    ++Given;
+    ++Granted;
   }
 }
 
@@ -132,16 +132,16 @@
 }
 
 void SeatLedger::applyCommitted(const SeatAssignments &Done, Millis Now) {
-  for (const auto &[Which, Name] : Done) {
-    Seat &Of = Seats[Which];
-    Of = Seat();
-    Of.Name = Name;
+  for (const auto &[SeatId, Name] : Done) {
+    Seat &S = Seats[SeatId];
+    S = Seat();
+    S.Name = Name;
     // No process of that name was granted the seat before.
-    Of.HasReported = true;
-    Of.HeldUntil = Now + AssignmentHold;
+    S.HasReported = true;
+    S.HeldUntil = Now + AssignmentHold;
     const auto Process = Latest.find(Name);
     if (Process != Latest.end())
-      Of.Holder = Process->second.Id;
+      S.Holder = Process->second.Id;
   }
 }
 
--- a/Source/Quota/SeatLedger.h
+++ b/Source/Quota/SeatLedger.h
@@ -69,7 +69,7 @@
   /// True if \p Proxy is, or becomes with this request, the latest process of
   /// its name.
   bool isLatest(const ProcessId &Proxy, const SeatRequest &Request);
-  bool isFree(const Seat &Of, Millis Now) const;
+  bool isFree(const Seat &S, Millis Now) const;
   void applyReport(const ProcessId &Proxy, const SeatRequest &Request,
                    Millis Now);
   void grant(const ProcessId &Proxy, const SeatRequest &Request,
--- a/Source/Statements/Links.h
+++ b/Source/Statements/Links.h
@@ -22,7 +22,7 @@
   /// Reports that the session is open.
   virtual void accept() = 0;
   /// Reports why the session is refused, and closes the link.
-  virtual void reject(const StatementRefusal &Why) = 0;
+  virtual void reject(const StatementRefusal &Refusal) = 0;
   /// Answers the oldest unanswered statement.
   virtual void answer(const StatementAnswer &Answer) = 0;
   /// Closes the link once all written data has been sent.
@@ -72,10 +72,10 @@
 
 /// True for commands that only change the state that the target holds for a
 /// connection.
-inline bool isSessionStateCommand(TargetCommand::Kind What) {
-  return What == TargetCommand::Kind::Reset ||
-         What == TargetCommand::Kind::SetValue ||
-         What == TargetCommand::Kind::Prepare;
+inline bool isSessionStateCommand(TargetCommand::Kind Operation) {
+  return Operation == TargetCommand::Kind::Reset ||
+         Operation == TargetCommand::Kind::SetValue ||
+         Operation == TargetCommand::Kind::Prepare;
 }
 
 /// One connection to a target. Answers come in the order of the commands.
