--- a/Source/Pipeline/ConnectionAssignment.cpp
+++ b/Source/Pipeline/ConnectionAssignment.cpp
@@ -104,7 +104,7 @@
 void SessionPipeline::closeStaleConnections(const std::string &GroupName,
                                             TargetPool &Pool) {
   for (const TargetConnectionPtr &Each : Pool.closeAll())
-    closed(GroupName, Each, std::nullopt);
+    handleClosed(GroupName, Each, std::nullopt);
 }
 
 std::vector<PoolReport> SessionPipeline::pools() const {
@@ -299,11 +299,11 @@
     ++Counts.Openings.Begun;
   Pool.open(Deps.Targets, For, Deps.Time.now(),
             {[this, GroupName](const TargetConnectionPtr &Open) {
-               opened(GroupName, Open);
+               handleOpened(GroupName, Open);
              },
              [this, GroupName](const TargetConnectionPtr &Connection,
                                const std::optional<StatementRefusal> &Refusal) {
-               closed(GroupName, Connection, Refusal);
+               handleClosed(GroupName, Connection, Refusal);
              },
              [this](const TargetConnectionPtr &Silent) {
                handleKeepaliveTimeout(Silent);
@@ -311,10 +311,10 @@
   Ticker.requestWithin(WaitingInterval);
 }
 
-void SessionPipeline::opened(const std::string &GroupName,
-                             const TargetConnectionPtr &Connection) {
+void SessionPipeline::handleOpened(const std::string &GroupName,
+                                   const TargetConnectionPtr &Connection) {
   Connection->setBusy(false, Deps.Time.now());
-  if (TargetPool *Pool = poolOf(Connection)) {
+  if (TargetPool *Pool = findPool(Connection)) {
     Pool->recordReachable(Deps.Time.now());
     warmUp(GroupName, *Pool, Deps.Time.now());
   }
@@ -324,11 +324,11 @@
   dispatchWaiting(GroupName);
 }
 
-void SessionPipeline::closed(const std::string &GroupName,
-                             const TargetConnectionPtr &Connection,
-                             const std::optional<StatementRefusal> &Refusal) {
+void SessionPipeline::handleClosed(
+    const std::string &GroupName, const TargetConnectionPtr &Connection,
+    const std::optional<StatementRefusal> &Refusal) {
   Group &G = Groups[GroupName];
-  TargetPool *Pool = poolOf(Connection);
+  TargetPool *Pool = findPool(Connection);
   if (isAtLimit(Refusal))
     ++Counts.Openings.RefusedAtLimit;
   // For shared connections the gateway reports target failures itself.
@@ -350,7 +350,7 @@
     dispatchWaiting(GroupName);
 }
 
-TargetPool *SessionPipeline::poolOf(const TargetConnectionPtr &Connection) {
+TargetPool *SessionPipeline::findPool(const TargetConnectionPtr &Connection) {
   if (!Connection)
     return nullptr;
   const auto FoundGroup = Groups.find(Connection->address().Group);
@@ -365,7 +365,7 @@
     return;
   const std::string GroupName = Connection->address().Group;
   Connection->setBusy(false, Deps.Time.now());
-  if (TargetPool *Pool = poolOf(Connection);
+  if (TargetPool *Pool = findPool(Connection);
       Pool != nullptr &&
       (Pool->record().IsLeaving || Pool->isShared() != Connection->isShared()))
     Pool->maintain(Deps.Time.now());
@@ -375,7 +375,7 @@
 void SessionPipeline::discard(const TargetConnectionPtr &Connection) {
   if (!Connection)
     return;
-  if (TargetPool *Pool = poolOf(Connection))
+  if (TargetPool *Pool = findPool(Connection))
     Pool->remove(Connection);
   Connection->close();
 }
--- a/Source/Pipeline/FloorProbes.cpp
+++ b/Source/Pipeline/FloorProbes.cpp
@@ -56,7 +56,7 @@
   Steps.push_back(
       {{.Operation = TargetCommand::Kind::Begin, .MaxQueueTime = ProbeTimeout},
        [this, Name, Connection](const StatementAnswer &Answer) {
-         floorAnswered(Name, Connection, Answer);
+         handleFloorAnswer(Name, Connection, Answer);
        }});
   Steps.push_back({{.Operation = TargetCommand::Kind::Rollback},
                    [this, Connection](const StatementAnswer &Answer) {
@@ -68,9 +68,9 @@
   Connection->send(std::move(Steps));
 }
 
-void SessionPipeline::floorAnswered(const std::string &Name,
-                                    const TargetConnectionPtr &Connection,
-                                    const StatementAnswer &Answer) {
+void SessionPipeline::handleFloorAnswer(const std::string &Name,
+                                        const TargetConnectionPtr &Connection,
+                                        const StatementAnswer &Answer) {
   Group &G = Groups[Name];
   if (!Answer.Refusal && Answer.Position &&
       !Deps.Floors.isRegression(Name, *Answer.Position, G.Probe.SentAt))
--- a/Source/Pipeline/PipelineTimes.cpp
+++ b/Source/Pipeline/PipelineTimes.cpp
@@ -43,7 +43,7 @@
           constexpr Millis ConnectTimeout(400);
           if (Now - Connection->openedAt() > ConnectTimeout) {
             Connection->close();
-            closed(Name, Connection, std::nullopt);
+            handleClosed(Name, Connection, std::nullopt);
           }
         }
     }
@@ -93,22 +93,23 @@
 }
 
 void SessionPipeline::checkAnswerTimeout(const SessionJobPtr &Job, Millis Now) {
-  const bool IsAlone = [&] {
+  const bool IsOutsideTransaction = [&] {
     const CallerSessionPtr Session = Job->Session.lock();
     return Session && !Session->Transaction;
   }();
-  if (Now < Job->SentAt + answerTimeout(*Job, IsAlone))
+  if (Now < Job->SentAt + answerTimeout(*Job, IsOutsideTransaction))
     return;
   const TargetConnectionPtr Connection = Job->Connection;
   // A lost answer does not mean that the target has failed while other answers
   // arrive from it; a change of primary would cost more than it gains.
-  const TargetPool *Pool = poolOf(Connection);
+  const TargetPool *Pool = findPool(Connection);
   // An answer that arrived in the millisecond of the sending, such as the one
   // to the opening of the connection, belongs to something sent earlier.
   if (Pool == nullptr || Pool->lastAnswer() <= Job->SentAt)
     reportUnresponsive(Connection, Now);
   discard(Connection);
-  if (IsAlone && !Job->Writes && Job->IsSent && Now >= Job->RetryDeadline)
+  if (IsOutsideTransaction && !Job->Writes && Job->IsSent &&
+      Now >= Job->RetryDeadline)
     return finishRefused(Job,
                          {RefusalCode::Timeout, "no answer before the timeout"},
                          "no answer before the timeout");
@@ -121,7 +122,7 @@
 // target sends nothing at all. Reporting that to control earlier starts the
 // change of primary earlier.
 void SessionPipeline::checkUnresponsive(const SessionJobPtr &Job, Millis Now) {
-  const TargetPool *Pool = poolOf(Job->Connection);
+  const TargetPool *Pool = findPool(Job->Connection);
   if (Pool == nullptr || Pool->isShared() ||
       Now < Job->SentAt + UnresponsiveAfter ||
       Pool->lastAnswer() > Job->SentAt || Pool->isBackingOff(Now))
@@ -135,7 +136,7 @@
   // it reports its targets itself.
   if (!Connection || Connection->isShared())
     return;
-  if (TargetPool *Pool = poolOf(Connection))
+  if (TargetPool *Pool = findPool(Connection))
     Pool->recordUnreachable(Now);
   TargetFailed.emit({Connection->address().Id, false});
 }
@@ -145,13 +146,14 @@
 // transaction and a commit have their whole deadline: only their answers show
 // whether they took effect.
 Millis SessionPipeline::answerTimeout(const SessionJob &Job,
-                                      bool IsAlone) const {
+                                      bool IsOutsideTransaction) const {
   if (!Job.IsSent)
     return BeginTimeout + Job.MaxQueueTime;
-  const bool DecidesOutcome =
-      Job.Stmt.Kind == StatementKind::Commit || (IsAlone && Job.Writes);
+  const bool DecidesOutcome = Job.Stmt.Kind == StatementKind::Commit ||
+                              (IsOutsideTransaction && Job.Writes);
   const Millis Remaining = Job.DeadlineAt - Job.SentAt;
-  if (DecidesOutcome || (IsAlone && Deps.Time.now() >= Job.RetryDeadline))
+  if (DecidesOutcome ||
+      (IsOutsideTransaction && Deps.Time.now() >= Job.RetryDeadline))
     return Remaining;
   return std::min(Remaining, std::max(MinAnswerTimeout, Job.Route.Objective) +
                                  Job.MaxQueueTime);
--- a/Source/Pipeline/PrimarySearch.cpp
+++ b/Source/Pipeline/PrimarySearch.cpp
@@ -42,16 +42,16 @@
                         .MaxQueueTime = SearchInterval},
                        [this, Name, Connection,
                         SentAt = Now](const StatementAnswer &Answer) {
-                         searchAnswered(Name, Connection, SentAt, Answer);
+                         handleSearchAnswer(Name, Connection, SentAt, Answer);
                        }},
-                      rollBackStep(Connection)});
+                      makeRollbackStep(Connection)});
   }
 }
 
-void SessionPipeline::searchAnswered(const std::string &Name,
-                                     const TargetConnectionPtr &Connection,
-                                     Millis SentAt,
-                                     const StatementAnswer &Answer) {
+void SessionPipeline::handleSearchAnswer(const std::string &Name,
+                                         const TargetConnectionPtr &Connection,
+                                         Millis SentAt,
+                                         const StatementAnswer &Answer) {
   Group &G = Groups[Name];
   const bool Leads =
       !Answer.Refusal && Answer.Phase == SessionPhase::InTransaction;
--- a/Source/Pipeline/SessionPipeline.cpp
+++ b/Source/Pipeline/SessionPipeline.cpp
@@ -184,11 +184,11 @@
     Connection->invalidateValues();
   // The connection serves another session only once the target has confirmed
   // that no transaction is open on it.
-  Connection->send({rollBackStep(Connection)});
+  Connection->send({makeRollbackStep(Connection)});
 }
 
 TargetConnection::Step
-SessionPipeline::rollBackStep(const TargetConnectionPtr &Connection) {
+SessionPipeline::makeRollbackStep(const TargetConnectionPtr &Connection) {
   return {{.Operation = TargetCommand::Kind::Rollback},
           [this, Connection](const StatementAnswer &Answer) {
             if (Answer.Refusal || Answer.Phase != SessionPhase::Idle)
--- a/Source/Pipeline/SessionPipeline.h
+++ b/Source/Pipeline/SessionPipeline.h
@@ -220,9 +220,9 @@
   // Asking the leader for a floor.
   void waitForFloor(const SessionJobPtr &Job);
   void askForFloor(const std::string &Name);
-  void floorAnswered(const std::string &Name,
-                     const TargetConnectionPtr &Connection,
-                     const StatementAnswer &Answer);
+  void handleFloorAnswer(const std::string &Name,
+                         const TargetConnectionPtr &Connection,
+                         const StatementAnswer &Answer);
   void endProbe(const std::string &Name);
   void expireProbe(const std::string &Name, Group &G, Millis Now);
   void dispatchWaiting(const std::string &Name);
@@ -249,21 +249,21 @@
                      const std::string &Organisation, Millis Waited);
   void openConnection(const std::string &GroupName, TargetPool &Pool,
                       const ConnectionPurpose &For);
-  void opened(const std::string &GroupName,
-              const TargetConnectionPtr &Connection);
-  void closed(const std::string &GroupName,
-              const TargetConnectionPtr &Connection,
-              const std::optional<StatementRefusal> &Refusal);
+  void handleOpened(const std::string &GroupName,
+                    const TargetConnectionPtr &Connection);
+  void handleClosed(const std::string &GroupName,
+                    const TargetConnectionPtr &Connection,
+                    const std::optional<StatementRefusal> &Refusal);
   void closeStaleConnections(const std::string &GroupName, TargetPool &Pool);
   void release(const TargetConnectionPtr &Connection);
   void discard(const TargetConnectionPtr &Connection);
-  TargetPool *poolOf(const TargetConnectionPtr &Connection);
+  TargetPool *findPool(const TargetConnectionPtr &Connection);
 
   // Finding the leader.
   void searchPrimary(const std::string &Name, Group &G, Millis Now);
-  void searchAnswered(const std::string &Name,
-                      const TargetConnectionPtr &Connection, Millis SentAt,
-                      const StatementAnswer &Answer);
+  void handleSearchAnswer(const std::string &Name,
+                          const TargetConnectionPtr &Connection, Millis SentAt,
+                          const StatementAnswer &Answer);
   static void adoptPrimary(const std::string &Name, Group &G,
                            const TargetDirectory &Known);
 
@@ -271,7 +271,8 @@
   void run(const SessionJobPtr &Job, const TargetConnectionPtr &Connection);
   void openTransaction(const SessionJobPtr &Job, bool AtLeader);
   void openAndRun(const SessionJobPtr &Job, bool AtLeader);
-  TargetConnection::Step openingStep(const SessionJobPtr &Job, bool AtLeader);
+  TargetConnection::Step makeOpeningStep(const SessionJobPtr &Job,
+                                         bool AtLeader);
   void runStatement(const SessionJobPtr &Job, bool RollBackAfter);
   /// Sets how long a statement may wait at most.
   static void setWaitDeadlines(SessionJob &Job);
@@ -279,28 +280,31 @@
   Millis effectiveQueueDeadline(const SessionJob &Job) const;
   /// How long a statement may wait for one of the shared connections.
   Millis remainingQueueTime(const SessionJob &Job) const;
-  TargetCommand commandOf(const SessionJobPtr &Job,
-                          std::vector<TargetConnection::Step> &Steps);
+  TargetCommand makeCommand(const SessionJobPtr &Job,
+                            std::vector<TargetConnection::Step> &Steps);
   /// Rolls back the open transaction of a connection and releases the
   /// connection with the answer.
-  TargetConnection::Step rollBackStep(const TargetConnectionPtr &Connection);
-  void transactionOpened(const SessionJobPtr &Job, bool AtLeader,
-                         const StatementAnswer &Answer);
+  TargetConnection::Step
+  makeRollbackStep(const TargetConnectionPtr &Connection);
+  void handleTransactionOpened(const SessionJobPtr &Job, bool AtLeader,
+                               const StatementAnswer &Answer);
   void handlePrimaryOpened(const SessionJobPtr &Job,
                            const StatementAnswer &Answer);
   bool hasLostLog(const SessionJobPtr &Job,
                   const StatementAnswer &Answer) const;
   void handleLostLog(const SessionJobPtr &Job);
-  void openingRefused(const SessionJobPtr &Job, const StatementAnswer &Answer);
+  void handleRefusedOpening(const SessionJobPtr &Job,
+                            const StatementAnswer &Answer);
   void retryOpening(const SessionJobPtr &Job,
                     const TargetConnectionPtr &Connection,
                     const StatementRefusal &Refusal);
-  void answered(const SessionJobPtr &Job, const StatementAnswer &Answer);
-  void answeredInTransaction(const SessionJobPtr &Job,
-                             const CallerSessionPtr &Session,
-                             const StatementAnswer &Answer);
-  void answeredAlone(const SessionJobPtr &Job, const CallerSessionPtr &Session,
-                     const StatementAnswer &Answer);
+  void handleAnswer(const SessionJobPtr &Job, const StatementAnswer &Answer);
+  void handleAnswerInTransaction(const SessionJobPtr &Job,
+                                 const CallerSessionPtr &Session,
+                                 const StatementAnswer &Answer);
+  void handleAnswerOutsideTransaction(const SessionJobPtr &Job,
+                                      const CallerSessionPtr &Session,
+                                      const StatementAnswer &Answer);
   /// No gateway reaches the target: retries at other targets.
   void retryThroughAnother(const SessionJobPtr &Job,
                            const TargetConnectionPtr &Connection,
@@ -323,7 +327,7 @@
   void checkAnswerTimeout(const SessionJobPtr &Job, Millis Now);
   void reportUnresponsive(const TargetConnectionPtr &Connection, Millis Now);
   void checkUnresponsive(const SessionJobPtr &Job, Millis Now);
-  Millis answerTimeout(const SessionJob &Job, bool IsAlone) const;
+  Millis answerTimeout(const SessionJob &Job, bool IsOutsideTransaction) const;
   void closeIdleSessions(Millis Now);
   void endIdleTransactions(Millis Now);
 
--- a/Source/Pipeline/StatementAnswers.cpp
+++ b/Source/Pipeline/StatementAnswers.cpp
@@ -21,7 +21,7 @@
 void SessionPipeline::recordAnswer(const SessionJobPtr &Job,
                                    const StatementAnswer &Answer,
                                    bool ProvesLead) {
-  TargetPool *Pool = poolOf(Job->Connection);
+  TargetPool *Pool = findPool(Job->Connection);
   if (Pool != nullptr) {
     Pool->recordReachable(Deps.Time.now());
     if (Pool->record().IsPrimary && !Pool->isShared())
@@ -51,8 +51,8 @@
                        Deps.Time.now());
 }
 
-void SessionPipeline::answered(const SessionJobPtr &Job,
-                               const StatementAnswer &Answer) {
+void SessionPipeline::handleAnswer(const SessionJobPtr &Job,
+                                   const StatementAnswer &Answer) {
   if (Job->CurrentStage != SessionJob::Stage::Running)
     return;
   Running.erase(Job);
@@ -72,14 +72,14 @@
     return handleLostConnection(Job, "target " + From + " signed no result");
   }
   if (Session->Transaction)
-    answeredInTransaction(Job, Session, Answer);
+    handleAnswerInTransaction(Job, Session, Answer);
   else
-    answeredAlone(Job, Session, Answer);
+    handleAnswerOutsideTransaction(Job, Session, Answer);
 }
 
-void SessionPipeline::answeredInTransaction(const SessionJobPtr &Job,
-                                            const CallerSessionPtr &Session,
-                                            const StatementAnswer &Answer) {
+void SessionPipeline::handleAnswerInTransaction(const SessionJobPtr &Job,
+                                                const CallerSessionPtr &Session,
+                                                const StatementAnswer &Answer) {
   SessionTransaction &Transaction = *Session->Transaction;
   Transaction.LastUsed = Deps.Time.now();
   const bool Commits = Job->Stmt.Kind == StatementKind::Commit;
@@ -148,9 +148,9 @@
   startNext(Session);
 }
 
-void SessionPipeline::answeredAlone(const SessionJobPtr &Job,
-                                    const CallerSessionPtr &Session,
-                                    const StatementAnswer &Answer) {
+void SessionPipeline::handleAnswerOutsideTransaction(
+    const SessionJobPtr &Job, const CallerSessionPtr &Session,
+    const StatementAnswer &Answer) {
   const bool AtLeader = Job->Destination == Placement::Primary;
   recordAnswer(Job, Answer, AtLeader);
   const TargetConnectionPtr Connection = std::move(Job->Connection);
@@ -224,7 +224,7 @@
 void SessionPipeline::retryThroughAnother(const SessionJobPtr &Job,
                                           const TargetConnectionPtr &Connection,
                                           const StatementRefusal &Refusal) {
-  if (TargetPool *Pool = poolOf(Connection))
+  if (TargetPool *Pool = findPool(Connection))
     Pool->recordUnreachable(Deps.Time.now());
   Job->ExcludedTargets.insert(Connection->address().Id);
   tryAgain(Job, Refusal, Millis(0));
--- a/Source/Pipeline/StatementRuns.cpp
+++ b/Source/Pipeline/StatementRuns.cpp
@@ -36,30 +36,32 @@
   const CallerSessionPtr Session = Job->Session.lock();
   std::vector<TargetConnection::Step> Steps;
   Job->Connection->appendValueSteps(Session->Values, Steps);
-  Steps.push_back(openingStep(Job, AtLeader));
+  Steps.push_back(makeOpeningStep(Job, AtLeader));
   Job->Connection->send(std::move(Steps));
 }
 
-TargetConnection::Step SessionPipeline::openingStep(const SessionJobPtr &Job,
-                                                    bool AtLeader) {
+TargetConnection::Step
+SessionPipeline::makeOpeningStep(const SessionJobPtr &Job, bool AtLeader) {
   Job->MaxQueueTime = remainingQueueTime(*Job);
   const CallerSessionPtr Session = Job->Session.lock();
-  const bool IsAlone = !Session->Transaction;
+  const bool IsOutsideTransaction = !Session->Transaction;
   return {{.Operation = AtLeader ? TargetCommand::Kind::Begin
                                  : TargetCommand::Kind::BeginRead,
            .MinPosition = AtLeader ? std::nullopt : Job->Floor,
            .Priority = Job->Route.Priority,
            .MaxQueueTime = Job->MaxQueueTime},
-          [this, Job, AtLeader, IsAlone](const StatementAnswer &Answer) {
-            if (IsAlone)
+          [this, Job, AtLeader,
+           IsOutsideTransaction](const StatementAnswer &Answer) {
+            if (IsOutsideTransaction)
               handlePrimaryOpened(Job, Answer);
             else
-              transactionOpened(Job, AtLeader, Answer);
+              handleTransactionOpened(Job, AtLeader, Answer);
           }};
 }
 
-void SessionPipeline::transactionOpened(const SessionJobPtr &Job, bool AtLeader,
-                                        const StatementAnswer &Answer) {
+void SessionPipeline::handleTransactionOpened(const SessionJobPtr &Job,
+                                              bool AtLeader,
+                                              const StatementAnswer &Answer) {
   if (Job->CurrentStage != SessionJob::Stage::Running)
     return;
   const CallerSessionPtr Session = Job->Session.lock();
@@ -67,7 +69,7 @@
     return handleLostLog(Job);
   recordAnswer(Job, Answer, AtLeader);
   if (Answer.Refusal || Answer.Phase != SessionPhase::InTransaction)
-    return openingRefused(Job, Answer);
+    return handleRefusedOpening(Job, Answer);
   if (!Session || !Session->Transaction || Session->IsClosed) {
     // The caller has disconnected in the meantime.
     Running.erase(Job);
@@ -94,21 +96,21 @@
   const TargetConnectionPtr Connection = Job->Connection;
   std::vector<TargetConnection::Step> Steps;
   Connection->appendValueSteps(Session->Values, Steps);
-  TargetCommand Command = commandOf(Job, Steps);
+  TargetCommand Command = makeCommand(Job, Steps);
   Command.NeedsPrevious = true;
   // After a refused opening, the job may already run elsewhere when the refusal
   // of the statement behind the opening arrives.
   const auto IsCurrentTry = [Job, Try = Job->Tries] {
     return Job->Tries == Try;
   };
-  Steps.push_back(openingStep(Job, AtLeader));
+  Steps.push_back(makeOpeningStep(Job, AtLeader));
   Steps.push_back({std::move(Command),
                    [this, Job, IsCurrentTry](const StatementAnswer &Answer) {
                      if (IsCurrentTry())
-                       answered(Job, Answer);
+                       handleAnswer(Job, Answer);
                    }});
   if (!Session->Transaction) {
-    TargetConnection::Step End = rollBackStep(Connection);
+    TargetConnection::Step End = makeRollbackStep(Connection);
     End.Handler = [IsCurrentTry, Ended = std::move(End.Handler)](
                       const StatementAnswer &Answer) {
       // The rollback was not sent, because the opening was refused.
@@ -132,7 +134,7 @@
 // Treats the target as one that does not lead. If a gateway has already sent
 // the statement behind the opening, its answer belongs to a finished try.
 void SessionPipeline::handleLostLog(const SessionJobPtr &Job) {
-  if (TargetPool *Pool = poolOf(Job->Connection))
+  if (TargetPool *Pool = findPool(Job->Connection))
     Pool->recordNotPrimary(Deps.Time.now());
   discard(Job->Connection);
   handleLostConnection(
@@ -140,8 +142,8 @@
                " has lost a part of its log and isn't believed to lead");
 }
 
-void SessionPipeline::openingRefused(const SessionJobPtr &Job,
-                                     const StatementAnswer &Answer) {
+void SessionPipeline::handleRefusedOpening(const SessionJobPtr &Job,
+                                           const StatementAnswer &Answer) {
   Running.erase(Job);
   const TargetConnectionPtr Connection = Job->Connection;
   const StatementRefusal Refusal = Answer.Refusal.value_or(
@@ -184,20 +186,21 @@
     return;
   }
   recordAnswer(Job, Answer, false);
-  openingRefused(Job, Answer);
+  handleRefusedOpening(Job, Answer);
 }
 
 TargetCommand
-SessionPipeline::commandOf(const SessionJobPtr &Job,
-                           std::vector<TargetConnection::Step> &Steps) {
+SessionPipeline::makeCommand(const SessionJobPtr &Job,
+                             std::vector<TargetConnection::Step> &Steps) {
   TargetCommand Out;
   Out.Id = Job->Stmt.Id;
   Out.Text = Job->Stmt.Text;
   const CallerSessionPtr Session = Job->Session.lock();
-  const bool IsAlone = Session && !Session->Transaction;
-  if (IsAlone && Job->Destination == Placement::AnyFresh)
+  const bool IsOutsideTransaction = Session && !Session->Transaction;
+  if (IsOutsideTransaction && Job->Destination == Placement::AnyFresh)
     Out.MinPosition = Job->Floor;
-  if (IsAlone && (Job->Writes || Job->Destination == Placement::AnyFresh)) {
+  if (IsOutsideTransaction &&
+      (Job->Writes || Job->Destination == Placement::AnyFresh)) {
     Job->MaxQueueTime = remainingQueueTime(*Job);
     Out.Priority = Job->Route.Priority;
     Out.MaxQueueTime = Job->MaxQueueTime;
@@ -219,12 +222,13 @@
     return;
   std::vector<TargetConnection::Step> Steps;
   Connection->appendValueSteps(Session->Values, Steps);
-  TargetCommand Command = commandOf(Job, Steps);
+  TargetCommand Command = makeCommand(Job, Steps);
   Steps.push_back(
-      {std::move(Command),
-       [this, Job](const StatementAnswer &Answer) { answered(Job, Answer); }});
+      {std::move(Command), [this, Job](const StatementAnswer &Answer) {
+         handleAnswer(Job, Answer);
+       }});
   if (RollBackAfter)
-    Steps.push_back(rollBackStep(Connection));
+    Steps.push_back(makeRollbackStep(Connection));
   Job->IsSent = true;
   Job->SentAt = Deps.Time.now();
   Connection->send(std::move(Steps));
--- a/Source/Pipeline/TargetConnection.cpp
+++ b/Source/Pipeline/TargetConnection.cpp
@@ -19,9 +19,9 @@
              const auto Handler = this->Handlers.OnOpen;
              Handler();
            },
-           [this](const StatementAnswer &Answer) { answered(Answer); },
+           [this](const StatementAnswer &Answer) { handleAnswer(Answer); },
            [this](const std::optional<StatementRefusal> &Refusal) {
-             closed(Refusal);
+             handleClosed(Refusal);
            },
            this->Handlers.OnKeepaliveTimeout});
   IsShared = Link->isShared();
@@ -73,11 +73,11 @@
     Link->send(Commands);
 }
 
-void TargetConnection::answered(const StatementAnswer &Answer) {
+void TargetConnection::handleAnswer(const StatementAnswer &Answer) {
   if (PendingHandlers.empty()) {
     // An answer without a command: the order of answers can no longer be
     // trusted.
-    closed(std::nullopt);
+    handleClosed(std::nullopt);
     return;
   }
   const OnAnswer Handler = std::move(PendingHandlers.front());
@@ -85,10 +85,11 @@
   if (Handler)
     Handler(Answer);
   else if (Answer.Refusal)
-    closed(Answer.Refusal);
+    handleClosed(Answer.Refusal);
 }
 
-void TargetConnection::closed(const std::optional<StatementRefusal> &Refusal) {
+void TargetConnection::handleClosed(
+    const std::optional<StatementRefusal> &Refusal) {
   if (CurrentStage == Stage::Closed)
     return;
   CurrentStage = Stage::Closed;
--- a/Source/Pipeline/TargetConnection.h
+++ b/Source/Pipeline/TargetConnection.h
@@ -70,8 +70,8 @@
   bool hasOpened() const { return HasOpened; }
 
 private:
-  void answered(const StatementAnswer &Answer);
-  void closed(const std::optional<StatementRefusal> &Refusal);
+  void handleAnswer(const StatementAnswer &Answer);
+  void handleClosed(const std::optional<StatementRefusal> &Refusal);
 
   TargetAddress Address;
   bool IsShared = false;
