--- a/Source/Quota/OperationPermits.cpp
+++ b/Source/Quota/OperationPermits.cpp
@@ -144,17 +144,18 @@
   Q.RequestNumber = NextNumber++;
   Q.Holder = Next.Name;
   if (Next.Name == Self)
-    return answered(Organisation, Seats.takePermits(Organisation, Count, Now));
+    return handleReply(Organisation,
+                       Seats.takePermits(Organisation, Count, Now));
   std::erase_if(Requests, [Now](const auto &Each) {
     return Now - Each.second.At >= RequestRetention;
   });
   Requests[Q.RequestNumber] = {Organisation, Now};
   Deps.Peers.send({Next.RelayEndpoint.Address, PeerPort}, Delivery::Datagram,
                   PermitRequest{Q.RequestNumber, Organisation, Count});
-  setTimer(Q, Organisation, ReplyTimeout, &OperationPermits::timedOut);
+  setTimer(Q, Organisation, ReplyTimeout, &OperationPermits::handleTimeout);
 }
 
-void OperationPermits::timedOut(const std::string &Organisation) {
+void OperationPermits::handleTimeout(const std::string &Organisation) {
   Queue &Q = Queues[Organisation];
   Q.RequestNumber = 0;
   BackoffUntil[Q.Holder] = Deps.Time.now() + HolderBackoff;
@@ -183,7 +184,7 @@
   if (Q.RequestNumber != Body.Number)
     return begin(dequeue(Q, Body.Granted));
   stopTimer(Q);
-  answered(Organisation, Body);
+  handleReply(Organisation, Body);
 }
 
 std::vector<PermitSource::Handler>
@@ -201,8 +202,8 @@
     Each(std::nullopt);
 }
 
-void OperationPermits::answered(const std::string &Organisation,
-                                const PermitReply &Answer) {
+void OperationPermits::handleReply(const std::string &Organisation,
+                                   const PermitReply &Answer) {
   Queue &Q = Queues[Organisation];
   Q.RequestNumber = 0;
   if (Answer.HasSeat)
--- a/Source/Quota/OperationPermits.h
+++ b/Source/Quota/OperationPermits.h
@@ -89,7 +89,7 @@
   void recomputeHolders();
   void beginRound(const std::string &Organisation);
   void askNext(const std::string &Organisation);
-  void answered(const std::string &Organisation, const PermitReply &Answer);
+  void handleReply(const std::string &Organisation, const PermitReply &Answer);
   /// Removes up to \p Permits operations from a queue, the oldest first.
   static std::vector<Handler> dequeue(Queue &Q, std::uint32_t Permits);
   /// Begins operations; the handlers may request further permits.
@@ -100,7 +100,7 @@
   void setTimer(Queue &Q, const std::string &Organisation, Millis Span,
                 void (OperationPermits::*Then)(const std::string &));
   void stopTimer(Queue &Q);
-  void timedOut(const std::string &Organisation);
+  void handleTimeout(const std::string &Organisation);
 
   Dependencies Deps;
   std::string Self;
