--- a/Source/Pipeline/ConnectionAssignment.cpp
+++ b/Source/Pipeline/ConnectionAssignment.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How waiting statements get connections to targets.
+/// Assigns connections to targets to the statements that wait for them.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -9,32 +9,32 @@
 
 namespace {
 
-/// Connections of one proxy to one target that it may keep warm at least.
-constexpr std::size_t LeastShare = 1;
-/// What a statement costs more in another failure domain, in units of one
-/// statement that runs there already: the way there and back costs time and
-/// bytes between failure domains.
+/// Least share of a target's connections that one proxy gets.
+constexpr std::size_t MinShare = 1;
+/// Added cost of a target in another failure domain, in units of one statement
+/// in flight there: the round trip between failure domains costs time and
+/// traffic.
 constexpr double DistanceCost = 3;
-/// A replica that hadn't reached the floor when it last answered would
-/// refuse the read, which costs one way there and back.
+/// Added cost of a replica that was behind the floor in its last answer: it
+/// would refuse the read, which costs a round trip.
 constexpr double BehindCost = 3;
-/// How long a statement waits for a connection in use before another is
-/// opened: most statements end sooner.
-constexpr Millis WaitBeforeBurst(10);
-/// The primary is left to those that need it: what a read saves by one in its
-/// own failure domain is less than what a write behind it loses, which can go
-/// nowhere else. With less than the distance, a third of the reads ran there:
-/// with 300 proxies 8.1 of 100 operations that need the primary were late in
-/// place of 6.1.
+/// How long a statement waits for a connection in use before another is opened:
+/// most statements end sooner.
+constexpr Millis WaitBeforeOpening(10);
+/// Added cost of the primary for reads that a replica can serve. A read saves
+/// less by a primary in its own failure domain than a write behind it loses,
+/// since writes can run nowhere else. With a cost below DistanceCost, a third
+/// of the reads run at the primary: with 300 proxies, 8.1 of 100 operations
+/// that need the primary are late instead of 6.1.
 constexpr double PrimaryCost = DistanceCost + 1;
-/// Milliseconds of a target's mean answer time that weigh as much as one
-/// statement that runs there.
+/// Mean answer time of a target, in milliseconds, that costs as much as one
+/// statement in flight there.
 constexpr double LatencyUnit = 15;
 
 } // namespace
 
 void SessionPipeline::adopt(const RoutePlan &New) {
-  // Never back: callers have seen the later one.
+  // Older plans are ignored: callers have already seen the newer one.
   if (New.Version <= plan().Version)
     return;
   if (plan().Version == 0)
@@ -52,10 +52,10 @@
     const GroupPolicy *Policy = Plan.group(Name);
     if (Policy == nullptr)
       continue;
-    const std::size_t All = Policy->usableConnections();
+    const std::size_t Usable = Policy->usableConnections();
     const bool IsShared = Deps.Targets.sharesConnections(Name);
     for (auto &[Id, Pool] : Each.Pools) {
-      Pool.setShare(std::max(LeastShare, All / Proxies));
+      Pool.setShare(std::max(MinShare, Usable / Proxies));
       Pool.setPerOrganisation(!plan().Organisations.empty());
       Pool.setShared(IsShared, Deps.Time.now());
     }
@@ -65,15 +65,15 @@
 void SessionPipeline::updateTargets(const TargetDirectory &Directory) {
   const Millis Now = Deps.Time.now();
   for (const TargetRecord &Each : Directory.all()) {
-    // Nobody declared that group: no connection is opened on the strength of a
-    // heartbeat alone.
+    // The plan does not declare the group: a heartbeat alone opens no
+    // connection.
     if (Plan.group(Each.Group) == nullptr && Groups.count(Each.Group) == 0)
       continue;
-    Group &In = Groups[Each.Group];
-    const auto Pool = In.Pools.find(Each.Id);
-    if (Pool == In.Pools.end()) {
+    Group &G = Groups[Each.Group];
+    const auto Pool = G.Pools.find(Each.Id);
+    if (Pool == G.Pools.end()) {
       if (!Each.IsGone)
-        In.Pools.emplace(Each.Id, TargetPool(Each, LeastShare, Now));
+        G.Pools.emplace(Each.Id, TargetPool(Each, MinShare, Now));
       continue;
     }
     if (Pool->second.isNewIncarnation(Each))
@@ -98,13 +98,13 @@
     dispatchWaiting(Name);
 }
 
-// A target that starts again under its id may be back before its silence was
-// noticed. Whoever waits on a connection of its former life would wait for
-// good, and learns now that it's lost.
+// A target may restart under its id before its failure is detected. Statements
+// that wait on a connection of the earlier incarnation would never be answered,
+// so they are failed now.
 void SessionPipeline::closeStaleConnections(const std::string &GroupName,
                                             TargetPool &Pool) {
   for (const TargetConnectionPtr &Each : Pool.closeAll())
-    closed(GroupName, Each, std::nullopt);
+    handleClosed(GroupName, Each, std::nullopt);
 }
 
 std::vector<PoolReport> SessionPipeline::pools() const {
@@ -116,40 +116,40 @@
 }
 
 void SessionPipeline::dispatchWaiting(const std::string &Name) {
-  Group &In = Groups[Name];
-  if (In.IsDispatching)
+  Group &G = Groups[Name];
+  if (G.IsDispatching)
     return;
-  In.IsDispatching = true;
+  G.IsDispatching = true;
   const Millis Now = Deps.Time.now();
-  for (auto Each = In.Waiting.begin(); Each != In.Waiting.end();) {
+  for (auto Each = G.Waiting.begin(); Each != G.Waiting.end();) {
     const SessionJobPtr Job = *Each;
-    if (Job->RetryAt > Now || !assign(In, Job)) {
+    if (Job->RetryAt > Now || !assign(G, Job)) {
       ++Each;
       continue;
     }
-    Each = In.Waiting.erase(Each);
-    In.forecast(*Job).recordDeparture(In.waiting(*Job), Now);
-    const TargetConnectionPtr On = Job->Connection;
-    run(Job, On);
+    Each = G.Waiting.erase(Each);
+    G.forecast(*Job).recordDeparture(G.waiting(*Job), Now);
+    const TargetConnectionPtr Connection = Job->Connection;
+    run(Job, Connection);
   }
-  In.IsDispatching = false;
+  G.IsDispatching = false;
 }
 
-std::vector<TargetPool *> SessionPipeline::candidates(Group &In,
+std::vector<TargetPool *> SessionPipeline::candidates(Group &G,
                                                       const SessionJob &Job) {
   const Millis Now = Deps.Time.now();
   std::vector<TargetPool *> Out;
-  for (auto &[Id, Pool] : In.Pools) {
+  for (auto &[Id, Pool] : G.Pools) {
     const TargetRecord &Record = Pool.record();
     if (Record.IsGone)
       continue;
-    // No gateway reaches it at the moment.
+    // No gateway reaches the target at the moment.
     if (Pool.isShared() && Pool.isBackingOff(Now))
       continue;
-    // A leaving primary serves on until another has taken its place, or until
-    // the time that it was promised is nearly over.
+    // A leaving primary serves until another one is promoted, or until shortly
+    // before the end of the time that it was promised.
     if (Job.Destination == Placement::Primary &&
-        (Id != In.Primary || !Pool.mayBePrimary(Now) ||
+        (Id != G.Primary || !Pool.mayBePrimary(Now) ||
          !Pool.acceptsNewWork(Now)))
       continue;
     if (Job.Destination == Placement::AnyFresh &&
@@ -159,20 +159,20 @@
     Out.push_back(&Pool);
   }
   if (Job.Destination == Placement::AnyFresh && Out.size() > 1)
-    excludeCongestedPrimary(In, Out);
-  return cheapestFirst(In, Out, Job, Now);
+    excludeCongestedPrimary(G, Out);
+  return cheapestFirst(G, Out, Job, Now);
 }
 
 // Each cost is computed once: it changes with time, and a sort whose order
-// changes while it runs reads outside the list.
+// changes while it runs reads out of bounds.
 std::vector<TargetPool *>
-SessionPipeline::cheapestFirst(const Group &In,
-                               const std::vector<TargetPool *> &Among,
+SessionPipeline::cheapestFirst(const Group &G,
+                               const std::vector<TargetPool *> &Candidates,
                                const SessionJob &Job, Millis Now) const {
   std::vector<std::pair<double, TargetPool *>> Ranked;
-  Ranked.reserve(Among.size());
-  for (TargetPool *Each : Among)
-    Ranked.emplace_back(cost(In, *Each, Job, Now), Each);
+  Ranked.reserve(Candidates.size());
+  for (TargetPool *Each : Candidates)
+    Ranked.emplace_back(cost(G, *Each, Job, Now), Each);
   std::stable_sort(Ranked.begin(), Ranked.end(),
                    [](const auto &Left, const auto &Right) {
                      return Left.first < Right.first;
@@ -184,20 +184,20 @@
   return Out;
 }
 
-// Load pattern: a burst of reads and writes. Reads have several targets, and
-// what needs the leader has one: each read there holds up writes that nobody
-// else can take.
+// In a burst of reads and writes, reads have several targets and statements for
+// the leader have one: each read at the leader delays writes that no other
+// target can run.
 void SessionPipeline::excludeCongestedPrimary(
-    const Group &In, std::vector<TargetPool *> &Among) {
-  Among.erase(std::remove_if(Among.begin(), Among.end(),
-                             [&In](const TargetPool *Each) {
-                               return Each->record().Id == In.Primary &&
-                                      Each->window().isCongested();
-                             }),
-              Among.end());
+    const Group &G, std::vector<TargetPool *> &Candidates) {
+  Candidates.erase(std::remove_if(Candidates.begin(), Candidates.end(),
+                                  [&G](const TargetPool *Each) {
+                                    return Each->record().Id == G.Primary &&
+                                           Each->window().isCongested();
+                                  }),
+                   Candidates.end());
 }
 
-double SessionPipeline::cost(const Group &In, const TargetPool &Pool,
+double SessionPipeline::cost(const Group &G, const TargetPool &Pool,
                              const SessionJob &Job, Millis Now) const {
   double Out =
       static_cast<double>(Pool.busy()) + Pool.window().mean() / LatencyUnit;
@@ -205,29 +205,29 @@
     Out += DistanceCost;
   if (Job.Floor && Pool.lag().isBehind(*Job.Floor, Now))
     Out += BehindCost;
-  if (Pool.record().Id == In.Primary)
+  if (Pool.record().Id == G.Primary)
     Out += PrimaryCost;
   return Out;
 }
 
-bool SessionPipeline::assign(Group &In, const SessionJobPtr &Job) {
+bool SessionPipeline::assign(Group &G, const SessionJobPtr &Job) {
   const Millis Now = Deps.Time.now();
   const CallerSessionPtr Session = Job->Session.lock();
   if (!Session)
     return false;
-  std::vector<TargetPool *> Choices = candidates(In, *Job);
+  std::vector<TargetPool *> Choices = candidates(G, *Job);
   if (Choices.empty() && Job->Destination == Placement::AnyFresh) {
-    // Every replica refused it, or none is left.
+    // All replicas refused the read, or none is left.
     Job->Destination = Placement::Primary;
     Job->Floor.reset();
-    Choices = candidates(In, *Job);
+    Choices = candidates(G, *Job);
   }
   if (Choices.empty() ||
       (Job->Destination == Placement::Primary && Choices.front()->size() == 0 &&
        Choices.front()->isBackingOff(Now)))
-    In.Outage.recordNoPrimary(Now);
-  // The best target gets a connection even while another has one free;
-  // otherwise callers would stay with the far target for good.
+    G.Outage.recordNoPrimary(Now);
+  // Opens a connection to the cheapest target even while another target has an
+  // idle one; otherwise callers would stay with the distant target.
   const Millis Waited = Now - Job->QueuedAt;
   Choices.erase(
       std::remove_if(Choices.begin(), Choices.end(),
@@ -244,7 +244,8 @@
       return true;
     }
   }
-  // One connection on its way for all that wait: each costs the target a slot.
+  // One opening connection serves all waiting statements: each costs the target
+  // a slot.
   for (TargetPool *Pool : Choices)
     if (Pool->opening(Organisation) > 0 ||
         openIfAllowed(Job->Route.Group, *Pool, Organisation, Waited))
@@ -258,8 +259,8 @@
          Pool.mayOpen(Organisation, Deps.Time.now());
 }
 
-// Callers come to all proxies at the same moment, and a new connection takes
-// longer than most statements.
+// Callers arrive at all proxies at the same time, and opening a connection
+// takes longer than most statements.
 void SessionPipeline::warmUp(const std::string &GroupName, TargetPool &Pool,
                              Millis Now) {
   if (plan().Version == 0 || Pool.isShared() || Pool.opening() > 0 ||
@@ -273,9 +274,9 @@
                                     TargetPool &Pool,
                                     const std::string &Organisation,
                                     Millis Waited) {
-  // A connection costs the target as much as a statement, and one of the few
-  // that it takes from everybody; the next statement to end may free one.
-  // A link to shared ones costs nothing: as many as statements wait.
+  // Opening a connection costs the target as much as a statement and uses one
+  // of its few connections; the next statement to end may free one. A link to
+  // shared connections costs nothing: as many are opened as statements wait.
   if (Pool.isShared()) {
     if (Pool.opening() >= Groups[GroupName].Waiting.size() ||
         !mayOpen(Pool, Organisation))
@@ -283,7 +284,7 @@
     openConnection(GroupName, Pool, {Organisation});
     return true;
   }
-  if (Pool.size(Organisation) > 0 && Waited < WaitBeforeBurst)
+  if (Pool.size(Organisation) > 0 && Waited < WaitBeforeOpening)
     return false;
   if (Pool.opening(Organisation) > 0 || !mayOpen(Pool, Organisation))
     return false;
@@ -298,11 +299,11 @@
     ++Counts.Openings.Begun;
   Pool.open(Deps.Targets, For, Deps.Time.now(),
             {[this, GroupName](const TargetConnectionPtr &Open) {
-               opened(GroupName, Open);
+               handleOpened(GroupName, Open);
              },
-             [this, GroupName](const TargetConnectionPtr &Gone,
-                               const std::optional<StatementRefusal> &Why) {
-               closed(GroupName, Gone, Why);
+             [this, GroupName](const TargetConnectionPtr &Connection,
+                               const std::optional<StatementRefusal> &Refusal) {
+               handleClosed(GroupName, Connection, Refusal);
              },
              [this](const TargetConnectionPtr &Silent) {
                handleKeepaliveTimeout(Silent);
@@ -310,72 +311,73 @@
   Ticker.requestWithin(WaitingInterval);
 }
 
-void SessionPipeline::opened(const std::string &GroupName,
-                             const TargetConnectionPtr &Made) {
-  Made->setBusy(false, Deps.Time.now());
-  if (TargetPool *Pool = poolOf(Made)) {
+void SessionPipeline::handleOpened(const std::string &GroupName,
+                                   const TargetConnectionPtr &Connection) {
+  Connection->setBusy(false, Deps.Time.now());
+  if (TargetPool *Pool = findPool(Connection)) {
     Pool->recordReachable(Deps.Time.now());
     warmUp(GroupName, *Pool, Deps.Time.now());
   }
-  const Group &In = Groups[GroupName];
-  if (!In.AwaitingFloor.empty() && !In.Probe.Connection)
+  const Group &G = Groups[GroupName];
+  if (!G.AwaitingFloor.empty() && !G.Probe.Connection)
     askForFloor(GroupName);
   dispatchWaiting(GroupName);
 }
 
-void SessionPipeline::closed(const std::string &GroupName,
-                             const TargetConnectionPtr &Gone,
-                             const std::optional<StatementRefusal> &Why) {
-  Group &In = Groups[GroupName];
-  TargetPool *Pool = poolOf(Gone);
-  if (isAtLimit(Why))
+void SessionPipeline::handleClosed(
+    const std::string &GroupName, const TargetConnectionPtr &Connection,
+    const std::optional<StatementRefusal> &Refusal) {
+  Group &G = Groups[GroupName];
+  TargetPool *Pool = findPool(Connection);
+  if (isAtLimit(Refusal))
     ++Counts.Openings.RefusedAtLimit;
-  // Behind a shared one the gateway reports its targets itself.
-  if (Pool != nullptr && Pool->handleClosed(Gone, Why, Deps.Time.now()) &&
-      !Gone->isShared())
-    TargetFailed.emit({Gone->address().Id, true});
-  if (In.Probe.Connection == Gone)
+  // For shared connections the gateway reports target failures itself.
+  if (Pool != nullptr &&
+      Pool->handleClosed(Connection, Refusal, Deps.Time.now()) &&
+      !Connection->isShared())
+    TargetFailed.emit({Connection->address().Id, true});
+  if (G.Probe.Connection == Connection)
     endProbe(GroupName);
-  // Whoever waits for an answer on it learns so now.
+  // Statements that wait for an answer on the connection fail now.
   std::vector<SessionJobPtr> Lost;
   for (const SessionJobPtr &Job : Running)
-    if (Job->Connection == Gone)
+    if (Job->Connection == Connection)
       Lost.push_back(Job);
   for (const SessionJobPtr &Job : Lost)
-    handleLostConnection(Job, "the connection to target " + Gone->address().Id +
-                                  " was lost");
-  if (!In.Waiting.empty())
+    handleLostConnection(Job, "the connection to target " +
+                                  Connection->address().Id + " was lost");
+  if (!G.Waiting.empty())
     dispatchWaiting(GroupName);
 }
 
-TargetPool *SessionPipeline::poolOf(const TargetConnectionPtr &Used) {
-  if (!Used)
+TargetPool *SessionPipeline::findPool(const TargetConnectionPtr &Connection) {
+  if (!Connection)
     return nullptr;
-  const auto In = Groups.find(Used->address().Group);
-  if (In == Groups.end())
+  const auto FoundGroup = Groups.find(Connection->address().Group);
+  if (FoundGroup == Groups.end())
     return nullptr;
-  const auto Pool = In->second.Pools.find(Used->address().Id);
-  return Pool == In->second.Pools.end() ? nullptr : &Pool->second;
+  const auto Pool = FoundGroup->second.Pools.find(Connection->address().Id);
+  return Pool == FoundGroup->second.Pools.end() ? nullptr : &Pool->second;
 }
 
-void SessionPipeline::release(const TargetConnectionPtr &Used) {
-  if (Used->stage() == TargetConnection::Stage::Closed)
+void SessionPipeline::release(const TargetConnectionPtr &Connection) {
+  if (Connection->stage() == TargetConnection::Stage::Closed)
     return;
-  const std::string GroupName = Used->address().Group;
-  Used->setBusy(false, Deps.Time.now());
-  if (TargetPool *Pool = poolOf(Used);
+  const std::string GroupName = Connection->address().Group;
+  Connection->setBusy(false, Deps.Time.now());
+  if (TargetPool *Pool = findPool(Connection);
       Pool != nullptr &&
-      (Pool->record().IsLeaving || Pool->isShared() != Used->isShared()))
+      (Pool->record().IsLeaving || Pool->isShared() != Connection->isShared()))
     Pool->maintain(Deps.Time.now());
   dispatchWaiting(GroupName);
 }
 
-void SessionPipeline::discard(const TargetConnectionPtr &Used) {
-  if (!Used)
+void SessionPipeline::discard(const TargetConnectionPtr &Connection) {
+  if (!Connection)
     return;
-  if (TargetPool *Pool = poolOf(Used))
-    Pool->remove(Used);
-  Used->close();
+  if (TargetPool *Pool = findPool(Connection))
+    Pool->remove(Connection);
+  Connection->close();
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/OperationQuotas.cpp
+++ b/Source/Pipeline/OperationQuotas.cpp
@@ -1,10 +1,10 @@
 /// \file
-/// Operations get a permit within their organisation's quota before they look
-/// for a target.
+/// Gets a permit within the organisation's quota for each operation before the
+/// operation gets a target.
 ///
-/// A short wait smooths what comes unevenly within the quota. What would wait
+/// Short waits smooth bursts within the quota. An operation that would wait
 /// longer than its objective is refused at once, with the time at which the
-/// quota has room again.
+/// quota has permits again.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -20,11 +20,11 @@
   Job->QueuedAt = Deps.Time.now();
   Job->PermitRequestId = Deps.Permits->requestPermit(
       Session->Organisation, Job->QueueDeadline,
-      [this, Job](std::optional<Millis> ComeBack) {
+      [this, Job](std::optional<Millis> RetryAfter) {
         if (Job->CurrentStage != SessionJob::Stage::Waiting)
           return;
-        if (ComeBack)
-          refuseOverQuota(Job, *ComeBack);
+        if (RetryAfter)
+          refuseOverQuota(Job, *RetryAfter);
         else
           beginPermitted(Job);
       });
@@ -38,7 +38,8 @@
   if (Session->Transaction)
     Session->Transaction->IsCountedInQuota = true;
   const Millis Now = Deps.Time.now();
-  // It waited for the quota, not in a target's queue; floors are younger now.
+  // The operation waited for its quota, not in the queue of a target; newer
+  // floors may be known now.
   if (Now > Job->QueuedAt) {
     Job->WaitingSince = Now;
     choosePlacement(*Session, *Job);
@@ -47,12 +48,12 @@
 }
 
 void SessionPipeline::refuseOverQuota(const SessionJobPtr &Job,
-                                      Millis ComeBack) {
+                                      Millis RetryAfter) {
   ++Counts.OverQuota;
   finishRefused(Job,
                 {RefusalCode::Busy,
                  "the organisation is over its quota; come back after " +
-                     std::to_string(ComeBack.count()) + " ms"},
+                     std::to_string(RetryAfter.count()) + " ms"},
                 "over quota");
 }
 
--- a/Source/Pipeline/PrimarySearch.cpp
+++ b/Source/Pipeline/PrimarySearch.cpp
@@ -1,13 +1,13 @@
 /// \file
-/// Finds a group's leader among its targets, where the one that is known
-/// doesn't lead.
+/// Finds a group's leader among its targets while the known primary does not
+/// lead.
 ///
-/// Load pattern: a primary is replaced, and word of it is late: the host that
-/// leads control has just ended, or this proxy is cut off from control but not
-/// from the targets. Each statement for the leader would go to the former one,
-/// be refused, and use up its caller's tries, for as long as the cut lasts. A
-/// target that opens a transaction which may write proves its lead; the
-/// opening takes none of its slots, and nobody's word is needed.
+/// When a primary is replaced while the control leader has failed, or while
+/// this proxy is cut off from control but not from the targets, the proxy is
+/// informed late. Each statement for the leader would go to the former primary,
+/// be refused, and use up its caller's retries for as long as the outage lasts.
+/// A target that opens a read-write transaction proves that it leads; the
+/// opening takes none of its slots and needs no message from control.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -15,46 +15,47 @@
 
 namespace {
 
-/// Between two rounds of questions: a promotion takes several of these, and a
-/// question costs a way there and back.
+/// Interval between two rounds of probes: a promotion takes several intervals,
+/// and a probe costs a round trip.
 constexpr Millis SearchInterval(60);
 
 } // namespace
 
-void SessionPipeline::searchPrimary(const std::string &Name, Group &In,
+void SessionPipeline::searchPrimary(const std::string &Name, Group &G,
                                     Millis Now) {
-  if (!In.Outage.isActive() || Now < In.SearchAgainAt)
+  if (!G.Outage.isActive() || Now < G.SearchAgainAt)
     return;
-  In.SearchAgainAt = Now + SearchInterval;
-  for (auto &[Id, Pool] : In.Pools) {
+  G.SearchAgainAt = Now + SearchInterval;
+  for (auto &[Id, Pool] : G.Pools) {
     const TargetRecord &Record = Pool.record();
-    if (Id == In.Primary || Record.IsGone || Record.IsLeaving)
+    if (Id == G.Primary || Record.IsGone || Record.IsLeaving)
       continue;
-    const TargetConnectionPtr On = Pool.idleForInternalUse();
-    if (!On) {
-      // Used by the next round.
+    const TargetConnectionPtr Connection = Pool.idleForInternalUse();
+    if (!Connection) {
+      // The next round uses the connection.
       if (Pool.isShared() && Pool.opening("") == 0 && mayOpen(Pool, ""))
         openConnection(Name, Pool, {.IsInternal = true});
       continue;
     }
-    On->setBusy(true, Now);
-    On->send({{{.Operation = TargetCommand::Kind::Begin,
-                .MaxQueueTime = SearchInterval},
-               [this, Name, On, SentAt = Now](const StatementAnswer &Answer) {
-                 searchAnswered(Name, On, SentAt, Answer);
-               }},
-              rollBackStep(On)});
+    Connection->setBusy(true, Now);
+    Connection->send({{{.Operation = TargetCommand::Kind::Begin,
+                        .MaxQueueTime = SearchInterval},
+                       [this, Name, Connection,
+                        SentAt = Now](const StatementAnswer &Answer) {
+                         handleSearchAnswer(Name, Connection, SentAt, Answer);
+                       }},
+                      makeRollbackStep(Connection)});
   }
 }
 
-void SessionPipeline::searchAnswered(const std::string &Name,
-                                     const TargetConnectionPtr &On,
-                                     Millis SentAt,
-                                     const StatementAnswer &Answer) {
-  Group &In = Groups[Name];
+void SessionPipeline::handleSearchAnswer(const std::string &Name,
+                                         const TargetConnectionPtr &Connection,
+                                         Millis SentAt,
+                                         const StatementAnswer &Answer) {
+  Group &G = Groups[Name];
   const bool Leads =
       !Answer.Refusal && Answer.Phase == SessionPhase::InTransaction;
-  if (!Leads || !In.Outage.isActive())
+  if (!Leads || !G.Outage.isActive())
     return;
   const Millis Now = Deps.Time.now();
   if (Answer.Position) {
@@ -62,24 +63,24 @@
       return;
     Deps.Floors.record(Name, *Answer.Position, SentAt, Now);
   }
-  In.DiscoveredPrimary = On->address().Id;
-  In.Primary = On->address().Id;
-  In.Outage.recordPrimary(Now);
+  G.DiscoveredPrimary = Connection->address().Id;
+  G.Primary = Connection->address().Id;
+  G.Outage.recordPrimary(Now);
 }
 
-// Control's word goes before what was found here only once it's newer: before
-// that it's the word which proved wrong.
-void SessionPipeline::adoptPrimary(const std::string &Name, Group &In,
+// The primary that control reports replaces the one found here only with a
+// newer epoch: the report of the earlier epoch proved wrong.
+void SessionPipeline::adoptPrimary(const std::string &Name, Group &G,
                                    const TargetDirectory &Known) {
-  const auto Told = Known.primaryOf(Name);
-  const std::uint64_t Since = Told ? Told->PrimaryEpoch : 0;
-  const TargetRecord *Found = Known.find(In.DiscoveredPrimary);
+  const auto Reported = Known.primaryOf(Name);
+  const std::uint64_t Since = Reported ? Reported->PrimaryEpoch : 0;
+  const TargetRecord *Found = Known.find(G.DiscoveredPrimary);
   const bool IsFoundGone = Found == nullptr || Found->IsGone;
-  if (Since > In.ControlPrimarySince || IsFoundGone)
-    In.DiscoveredPrimary.clear();
-  In.ControlPrimarySince = Since;
-  if (In.DiscoveredPrimary.empty())
-    In.Primary = Told ? Told->Id : "";
+  if (Since > G.ControlPrimarySince || IsFoundGone)
+    G.DiscoveredPrimary.clear();
+  G.ControlPrimarySince = Since;
+  if (G.DiscoveredPrimary.empty())
+    G.Primary = Reported ? Reported->Id : "";
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/SessionPipeline.cpp
+++ b/Source/Pipeline/SessionPipeline.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The life of callers' sessions: what is answered here and what needs a
-/// target.
+/// The life cycle of callers' sessions: starts their statements, and answers
+/// those that need no target.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -16,11 +16,11 @@
   return Out;
 }
 
-StatementRefusal refused(RefusalCode Code, std::string Why) {
-  return {Code, std::move(Why)};
+StatementRefusal refused(RefusalCode Code, std::string Reason) {
+  return {Code, std::move(Reason)};
 }
 
-bool promisesNothingKept(RefusalCode Code) {
+bool guaranteesNothingKept(RefusalCode Code) {
   switch (Code) {
   case RefusalCode::Busy:
   case RefusalCode::Unreachable:
@@ -82,8 +82,8 @@
     return replyRefused(Session, Stmt,
                         refused(RefusalCode::Malformed, Stmt.Text),
                         "not understood");
-  // Its caller learns from a promise that it may begin anew; a complaint about
-  // the statement would end the whole operation.
+  // This code guarantees the caller that nothing is kept and that it may begin
+  // again; an error about the statement would end the whole operation.
   if (std::exchange(Session->IsAbortUnreported, false) &&
       Stmt.Kind != StatementKind::Rollback &&
       Stmt.Kind != StatementKind::Commit)
@@ -129,8 +129,9 @@
   }
 }
 
-// What needs no target is answered here: a target's slot is scarce, and the
-// values and names are given to whichever connection runs a later statement.
+// Answers statements that need no target: slots of targets are scarce, and
+// session values and prepared names are set on the connection that runs a later
+// statement.
 void SessionPipeline::answerLocally(const CallerSessionPtr &Session,
                                     const Statement &Stmt) {
   if (Stmt.Kind == StatementKind::Set) {
@@ -155,8 +156,8 @@
         Session, Stmt,
         refused(RefusalCode::Malformed, "a transaction is open already"),
         "transaction open");
-  // It takes a connection only with its first statement: callers pause, and
-  // connections are scarce.
+  // The transaction gets a connection only with its first statement: callers
+  // pause, and connections are scarce.
   SessionTransaction New;
   New.IsReadOnly = Stmt.Kind == StatementKind::BeginRead;
   New.StartedAt = Deps.Time.now();
@@ -175,25 +176,25 @@
   Session->IsAbortUnreported = false;
 }
 
-void SessionPipeline::endTransaction(SessionTransaction Ended) {
-  const TargetConnectionPtr Used = std::move(Ended.Connection);
-  if (!Used || Used->stage() == TargetConnection::Stage::Closed)
+void SessionPipeline::endTransaction(SessionTransaction Transaction) {
+  const TargetConnectionPtr Connection = std::move(Transaction.Connection);
+  if (!Connection || Connection->stage() == TargetConnection::Stage::Closed)
     return;
-  if (Ended.HasSetValues)
-    Used->invalidateValues();
-  // The connection serves another session only once the target has said that
-  // nothing is open on it.
-  Used->send({rollBackStep(Used)});
+  if (Transaction.HasSetValues)
+    Connection->invalidateValues();
+  // The connection serves another session only once the target has confirmed
+  // that no transaction is open on it.
+  Connection->send({makeRollbackStep(Connection)});
 }
 
 TargetConnection::Step
-SessionPipeline::rollBackStep(const TargetConnectionPtr &On) {
+SessionPipeline::makeRollbackStep(const TargetConnectionPtr &Connection) {
   return {{.Operation = TargetCommand::Kind::Rollback},
-          [this, On](const StatementAnswer &Answer) {
+          [this, Connection](const StatementAnswer &Answer) {
             if (Answer.Refusal || Answer.Phase != SessionPhase::Idle)
-              discard(On);
+              discard(Connection);
             else
-              release(On);
+              release(Connection);
           }};
 }
 
@@ -208,11 +209,12 @@
 }
 
 void SessionPipeline::replyRefused(const CallerSessionPtr &Session,
-                                   const Statement &Stmt, StatementRefusal Why,
+                                   const Statement &Stmt,
+                                   StatementRefusal Refusal,
                                    const std::string &Grounds) {
-  if (promisesNothingKept(Why.Code))
+  if (guaranteesNothingKept(Refusal.Code))
     ++Counts.NotRun;
-  else if (Why.Code == RefusalCode::Unknown)
+  else if (Refusal.Code == RefusalCode::Unknown)
     ++Counts.Unknown;
   else
     ++Counts.Failed;
@@ -223,9 +225,9 @@
     Session->Transaction.reset();
     Session->Phase = SessionPhase::Failed;
   }
-  RefusedSignal.emit(*Session, Stmt, Why, Grounds);
+  RefusedSignal.emit(*Session, Stmt, Refusal, Grounds);
   StatementAnswer Answer = done(Session->Phase);
-  Answer.Refusal = std::move(Why);
+  Answer.Refusal = std::move(Refusal);
   reply(Session, Answer);
 }
 
@@ -245,7 +247,7 @@
       Job->CurrentStage = SessionJob::Stage::Done;
       Session->Current.reset();
     } else {
-      // Its answer decides what becomes of the connection.
+      // The answer decides whether the connection is reused.
       return;
     }
   }
@@ -263,7 +265,7 @@
 void SessionPipeline::startJob(const CallerSessionPtr &Session,
                                const Statement &Stmt) {
   const RoutePolicy *Route = Plan.route(Session->Database);
-  // A change of routes holds from the next transaction on.
+  // A change of routes applies from the next transaction on.
   const bool IsBound =
       Session->Transaction && Session->Transaction->Connection != nullptr;
   if (Route == nullptr && !IsBound)
@@ -291,10 +293,10 @@
   Session->Current = Job;
   if (!IsBound)
     return beginOperation(Session, Job) ? enqueueOrWaitForFloor(Job) : void();
-  SessionTransaction &Within = *Session->Transaction;
-  Within.LastUsed = Job->ArrivedAt;
-  Job->Connection = Within.Connection;
-  if (Within.Connection->stage() == TargetConnection::Stage::Closed) {
+  SessionTransaction &Transaction = *Session->Transaction;
+  Transaction.LastUsed = Job->ArrivedAt;
+  Job->Connection = Transaction.Connection;
+  if (Transaction.Connection->stage() == TargetConnection::Stage::Closed) {
     Job->CurrentStage = SessionJob::Stage::Running;
     return handleLostConnection(Job, "the transaction's connection had closed");
   }
@@ -308,47 +310,49 @@
                                        SessionJob &Job) {
   if (Job.Stmt.Kind != StatementKind::Execute)
     return true;
-  const auto Shape = Session->Prepared.find(Job.Stmt.Name);
-  if (Shape == Session->Prepared.end()) {
+  const auto Found = Session->Prepared.find(Job.Stmt.Name);
+  if (Found == Session->Prepared.end()) {
     replyRefused(Session, Job.Stmt,
                  refused(RefusalCode::NoStatement,
                          "no prepared statement '" + Job.Stmt.Name + "'"),
                  "unknown name");
     return false;
   }
-  Job.Writes = Shape->second.Writes;
+  Job.Writes = Found->second.Writes;
   return true;
 }
 
 void SessionPipeline::choosePlacement(const CallerSession &Session,
                                       SessionJob &Job) const {
-  const auto &Within = Session.Transaction;
-  const bool MayWrite = Job.Writes || (Within && !Within->IsReadOnly);
+  const auto &Transaction = Session.Transaction;
+  const bool MayWrite = Job.Writes || (Transaction && !Transaction->IsReadOnly);
   Job.Destination = Placement::Primary;
   if (MayWrite || Job.Route.Reads == Freshness::Primary ||
       Job.LaggingRefusals > 1)
     return;
-  // What a transaction must not miss is counted from its own first byte.
-  const Millis From = Within ? Within->StartedAt : Job.ArrivedAt;
+  // The accepted age of a transaction counts from the arrival of its first
+  // statement.
+  const Millis From = Transaction ? Transaction->StartedAt : Job.ArrivedAt;
   auto Floor = Deps.Floors.floor(Job.Route.Group, From, Job.Route.MaxStaleness);
   if (!Floor)
     return;
   if (Job.Route.Reads == Freshness::ReadYourWrites) {
-    const auto Own = Session.LastCommit.find(Job.Route.Group);
+    const auto OwnCommit = Session.LastCommit.find(Job.Route.Group);
     Job.IsFloorOwnCommit =
-        Own != Session.LastCommit.end() && Own->second > *Floor;
+        OwnCommit != Session.LastCommit.end() && OwnCommit->second > *Floor;
     if (Job.IsFloorOwnCommit)
-      Floor = Own->second;
+      Floor = OwnCommit->second;
   }
   Job.Floor = Floor;
   Job.Destination = Placement::AnyFresh;
 }
 
-// A read that would go to the leader only for want of a young floor.
+// True for a read that would run at the leader only because no floor is recent
+// enough.
 bool SessionPipeline::wantsFloor(const CallerSession &Session,
                                  const SessionJob &Job) {
-  const auto &Within = Session.Transaction;
-  const bool MayWrite = Job.Writes || (Within && !Within->IsReadOnly);
+  const auto &Transaction = Session.Transaction;
+  const bool MayWrite = Job.Writes || (Transaction && !Transaction->IsReadOnly);
   return !MayWrite && Job.Route.Reads != Freshness::Primary &&
          Job.Destination == Placement::Primary && !Job.HasAskedForFloor;
 }
@@ -363,16 +367,16 @@
 void SessionPipeline::enqueue(const SessionJobPtr &Job) {
   Job->CurrentStage = SessionJob::Stage::Waiting;
   Job->QueuedAt = Deps.Time.now();
-  Group &In = Groups[Job->Route.Group];
-  // In the order of priority, then of arrival.
-  auto Place = In.Waiting.end();
-  while (Place != In.Waiting.begin() &&
+  Group &G = Groups[Job->Route.Group];
+  // Ordered by priority, then by arrival.
+  auto Place = G.Waiting.end();
+  while (Place != G.Waiting.begin() &&
          (*std::prev(Place))->Route.Priority > Job->Route.Priority)
     --Place;
-  In.Waiting.insert(Place, Job);
+  G.Waiting.insert(Place, Job);
   dispatchWaiting(Job->Route.Group);
   if (Job->CurrentStage != SessionJob::Stage::Waiting ||
-      refuseIfTooLate(In, Job))
+      refuseIfTooLate(G, Job))
     return;
   Ticker.requestWithin(WaitingInterval);
 }
--- a/Source/Pipeline/SessionPipeline.h
+++ b/Source/Pipeline/SessionPipeline.h
@@ -2,12 +2,11 @@
 /// Carries the statements of callers' sessions to targets that enforce their
 /// leadership themselves.
 ///
-/// Under this policy a proxy needs no lease to be truthful. A write reaches
-/// its callers as done only with the answer of a target that leads, which the
-/// target itself guarantees. A read is proved fresh by the target that runs
-/// it: inside a transaction that only a leader accepts, or on a log that
-/// holds a proven floor. Control may be cut off, frozen or gone: callers are
-/// served on.
+/// A proxy under this policy needs no lease. It reports a write as done only
+/// with the answer of a target that leads, which the target itself guarantees.
+/// The target that runs a read proves that it is fresh: inside a transaction
+/// that only a leader accepts, or on a log that holds a proven floor. Callers
+/// are served while control is cut off, frozen or down.
 
 #ifndef CORIANDERDYKE_PIPELINE_SESSIONPIPELINE_H
 #define CORIANDERDYKE_PIPELINE_SESSIONPIPELINE_H
@@ -35,7 +34,7 @@
   std::uint64_t ReadsByPrimary = 0;
   std::uint64_t Writes = 0;
   std::uint64_t Commits = 0;
-  std::uint64_t NotRun = 0;  ///< StatementRefusal, and nothing is kept.
+  std::uint64_t NotRun = 0;  ///< Refused, and nothing is kept.
   std::uint64_t Failed = 0;  ///< Ran and failed, or ran out of time.
   std::uint64_t Unknown = 0; ///< May have run.
   std::uint64_t Retries = 0;
@@ -60,12 +59,12 @@
     Clock &Time;
     Scheduler &Timers;
     TargetConnector &Targets;
-    /// Shared with whatever else of this process learns floors.
+    /// Shared with the other parts of this process that record floors.
     FloorTable &Floors;
-    /// True while control confirms that the plan is the newest; without it a
-    /// key isn't refused as unknown. Empty: always.
+    /// True while control confirms that the plan is the newest. While it is
+    /// false, an unknown key is not refused. Empty: always true.
     std::function<bool()> IsPlanCurrent = nullptr;
-    /// What callers' keys are digested with, the same as at control hosts.
+    /// Secret for the digests of callers' keys; the same at control hosts.
     std::string KeySecret = {};
     /// Null: no organisation is limited.
     PermitSource *Permits = nullptr;
@@ -74,20 +73,19 @@
   SessionPipeline(Dependencies Deps, Locality OwnLocality);
   ~SessionPipeline();
 
-  /// Callers.
-  /// Opens a session; \p Key says for which organisation.
+  /// Opens a session for the organisation that \p Key belongs to.
   std::uint64_t open(const std::string &Database, const std::string &Key,
                      std::shared_ptr<CallerLink> Link);
   void receive(std::uint64_t Id, Statement Stmt);
   void handleDisconnect(std::uint64_t Id);
 
-  /// What control said.
+  /// Updates from control.
   void adopt(const RoutePlan &New);
   void updateTargets(const TargetDirectory &Directory);
   void setProxyCount(std::size_t Count);
 
-  /// A planned stop. Sessions between statements are closed a few at a time,
-  /// so that they don't all come back at once elsewhere.
+  /// Begins a planned stop. Idle sessions are closed a few at a time, so that
+  /// their callers do not all reconnect to other proxies at once.
   void beginStop(Millis TransactionsBy, Millis SessionsBy);
   bool hasNoSessions() const { return Sessions.empty(); }
   std::size_t sessions() const { return Sessions.size(); }
@@ -96,7 +94,7 @@
   const PipelineCounts &counts() const { return Counts; }
   std::vector<PoolReport> pools() const;
 
-  /// Emitted when a target couldn't be reached.
+  /// Emitted when a target could not be reached.
   sigc::signal<void(const TargetFailure &)> &signalTargetFailure() {
     return TargetFailed;
   }
@@ -104,7 +102,7 @@
   sigc::signal<void(const std::string &)> &signalPrimaryAnswered() {
     return PrimaryAnswered;
   }
-  /// Emitted with each statement that isn't answered with a result.
+  /// Emitted with each statement that is refused.
   sigc::signal<void(const CallerSession &, const Statement &,
                     const StatementRefusal &, const std::string &)> &
   signalRefused() {
@@ -122,9 +120,10 @@
   }
 
 private:
-  /// A busy target is asked again after this long, about one statement's
-  /// work, and later each time up to about what its queue takes to drain. At
-  /// one pace, retries of many proxies fill the queue before anything new.
+  /// Pause before a busy target is asked again: about the time of one statement
+  /// at first, then longer each time up to about the time that its queue takes
+  /// to drain. With a constant pause, the retries of many proxies fill the
+  /// queue before new statements.
   static constexpr Millis BusyPause = Millis(10);
   static constexpr Millis LongestBusyPause = Millis(40);
   static Millis busyPause(const SessionJob &Job) {
@@ -132,30 +131,30 @@
                     LongestBusyPause);
   }
 
-  /// How often bounds are looked at: while statements wait or connections open,
-  /// while statements run, and while sessions stand idle. Each look wakes the
-  /// process, which costs a small host about as much as a statement does.
+  /// How often deadlines are checked: while statements wait or connections
+  /// open, while statements run, and while sessions are idle. Each check wakes
+  /// the process, which costs a small host about as much as a statement.
   static constexpr Millis WaitingInterval = Millis(20);
   static constexpr Millis RunningInterval = Millis(50);
   static constexpr Millis IdleInterval = Millis(250);
 
-  /// One question to a group's leader for its position, on behalf of all
-  /// reads that wait for it.
+  /// A request to a group's leader for its log position, shared by all reads
+  /// that wait for it.
   struct FloorProbe {
-    TargetConnectionPtr Connection; ///< Null while none is under way.
+    TargetConnectionPtr Connection; ///< Null while none is in flight.
     Millis SentAt;
   };
 
   struct Group {
     std::map<std::string, TargetPool> Pools; ///< By target.
     std::string Primary;                     ///< Empty where none is known.
-    /// The primary where it was found here against control's last word.
+    /// The primary found by this proxy, where it differs from the one that
+    /// control reported last; else empty.
     std::string DiscoveredPrimary;
-    std::uint64_t ControlPrimarySince =
-        0; ///< Of the primary in control's last word.
+    std::uint64_t ControlPrimarySince = 0; ///< Epoch reported by control.
     Millis SearchAgainAt;
     std::list<SessionJobPtr> Waiting;
-    /// Bounded reads that wait for a young floor.
+    /// Bounded reads that wait for a recent floor.
     std::list<SessionJobPtr> AwaitingFloor;
     FloorProbe Probe;
     PrimaryOutage Outage;
@@ -163,15 +162,15 @@
     WaitForecast ReplicaForecast;
     bool IsDispatching = false;
 
-    WaitForecast &forecast(const SessionJob &Of) {
-      return Of.Destination == Placement::Primary ? PrimaryForecast
-                                                  : ReplicaForecast;
+    WaitForecast &forecast(const SessionJob &Job) {
+      return Job.Destination == Placement::Primary ? PrimaryForecast
+                                                   : ReplicaForecast;
     }
-    /// Statements that wait for the same targets.
-    std::size_t waiting(const SessionJob &Like) const {
+    /// Number of waiting statements with the same placement.
+    std::size_t waiting(const SessionJob &Job) const {
       return static_cast<std::size_t>(std::count_if(
-          Waiting.begin(), Waiting.end(), [&Like](const SessionJobPtr &Each) {
-            return Each->Destination == Like.Destination;
+          Waiting.begin(), Waiting.end(), [&Job](const SessionJobPtr &Each) {
+            return Each->Destination == Job.Destination;
           }));
     }
   };
@@ -181,22 +180,22 @@
   void waitForPlan(const CallerSessionPtr &Session);
   bool isPlanCurrent() const;
   void rejectSession(const CallerSessionPtr &Session,
-                     const StatementRefusal &Why);
-  /// Openings that waited for a plan that knows them.
+                     const StatementRefusal &Refusal);
+  /// Admits sessions that waited for a plan with their database and key.
   void admitPendingOpenings();
   void processPendingOpenings(Millis Now);
-  // Sessions whose key the plan took away.
+  // Sessions whose key is no longer in the plan.
   void revokeSessions();
   bool isRevoked(const CallerSession &Session) const;
   void endIfRevoked(const CallerSessionPtr &Session);
-  /// True where its transaction has gone on for too long since.
+  /// True if its transaction has run for too long since the revocation.
   static bool exceedsRevocationGrace(const CallerSession &Session, Millis Now);
   void startNext(const CallerSessionPtr &Session);
   void start(const CallerSessionPtr &Session, const Statement &Stmt);
   void answerLocally(const CallerSessionPtr &Session, const Statement &Stmt);
   void beginTransaction(const CallerSessionPtr &Session, const Statement &Stmt);
   void rollBack(const CallerSessionPtr &Session);
-  void endTransaction(SessionTransaction Ended);
+  void endTransaction(SessionTransaction Transaction);
   void startJob(const CallerSessionPtr &Session, const Statement &Stmt);
   bool resolveExecution(const CallerSessionPtr &Session, SessionJob &Job);
   void choosePlacement(const CallerSession &Session, SessionJob &Job) const;
@@ -204,121 +203,131 @@
   void reply(const CallerSessionPtr &Session, const StatementAnswer &Answer);
   void replyDone(const CallerSessionPtr &Session);
   void replyRefused(const CallerSessionPtr &Session, const Statement &Stmt,
-                    StatementRefusal Why, const std::string &Grounds);
+                    StatementRefusal Refusal, const std::string &Grounds);
   void closeSession(const CallerSessionPtr &Session);
 
   // Assigning connections.
   void enqueue(const SessionJobPtr &Job);
   void enqueueOrWaitForFloor(const SessionJobPtr &Job);
   // Quotas of organisations.
-  /// True where a statement's operation may begin. Else it waits or is
+  /// True if the statement's operation may begin now. Otherwise it waits or is
   /// refused.
   bool beginOperation(const CallerSessionPtr &Session,
                       const SessionJobPtr &Job);
   void beginPermitted(const SessionJobPtr &Job);
-  void refuseOverQuota(const SessionJobPtr &Job, Millis ComeBack);
+  void refuseOverQuota(const SessionJobPtr &Job, Millis RetryAfter);
   void stopWaitingForPermit(const SessionJobPtr &Job);
   // Asking the leader for a floor.
   void waitForFloor(const SessionJobPtr &Job);
   void askForFloor(const std::string &Name);
-  void floorAnswered(const std::string &Name, const TargetConnectionPtr &On,
-                     const StatementAnswer &Answer);
+  void handleFloorAnswer(const std::string &Name,
+                         const TargetConnectionPtr &Connection,
+                         const StatementAnswer &Answer);
   void endProbe(const std::string &Name);
-  void expireProbe(const std::string &Name, Group &In, Millis Now);
+  void expireProbe(const std::string &Name, Group &G, Millis Now);
   void dispatchWaiting(const std::string &Name);
-  bool assign(Group &In, const SessionJobPtr &Job);
-  /// True where one more statement would only wait inside the target.
+  bool assign(Group &G, const SessionJobPtr &Job);
+  /// True if one more statement would only wait inside the target.
   bool isFull(const TargetPool &Pool) const;
-  /// Refuses a statement that can't be served in time any more.
-  bool refuseIfTooLate(Group &In, const SessionJobPtr &Job);
-  /// What a statement usually takes from sending to answer.
-  Millis answerTime(const Group &In, const SessionJob &Job) const;
-  std::vector<TargetPool *> candidates(Group &In, const SessionJob &Job);
-  static void excludeCongestedPrimary(const Group &In,
-                                      std::vector<TargetPool *> &Among);
+  /// Refuses a statement that can no longer be served in time.
+  bool refuseIfTooLate(Group &G, const SessionJobPtr &Job);
+  /// Usual time from sending a statement to its answer.
+  Millis answerTime(const Group &G, const SessionJob &Job) const;
+  std::vector<TargetPool *> candidates(Group &G, const SessionJob &Job);
+  static void excludeCongestedPrimary(const Group &G,
+                                      std::vector<TargetPool *> &Candidates);
   std::vector<TargetPool *>
-  cheapestFirst(const Group &In, const std::vector<TargetPool *> &Among,
+  cheapestFirst(const Group &G, const std::vector<TargetPool *> &Candidates,
                 const SessionJob &Job, Millis Now) const;
-  double cost(const Group &In, const TargetPool &Pool, const SessionJob &Job,
+  double cost(const Group &G, const TargetPool &Pool, const SessionJob &Job,
               Millis Now) const;
-  /// True where another connection to that target is this proxy's to open.
+  /// True if this proxy may open another connection to the target.
   bool mayOpen(const TargetPool &Pool, const std::string &Organisation) const;
-  /// Opens what a pool keeps warm, once, ahead of the first statements.
+  /// Opens a pool's warm connections, once, ahead of the first statements.
   void warmUp(const std::string &GroupName, TargetPool &Pool, Millis Now);
   bool openIfAllowed(const std::string &GroupName, TargetPool &Pool,
                      const std::string &Organisation, Millis Waited);
   void openConnection(const std::string &GroupName, TargetPool &Pool,
                       const ConnectionPurpose &For);
-  void opened(const std::string &GroupName, const TargetConnectionPtr &Made);
-  void closed(const std::string &GroupName, const TargetConnectionPtr &Gone,
-              const std::optional<StatementRefusal> &Why);
+  void handleOpened(const std::string &GroupName,
+                    const TargetConnectionPtr &Connection);
+  void handleClosed(const std::string &GroupName,
+                    const TargetConnectionPtr &Connection,
+                    const std::optional<StatementRefusal> &Refusal);
   void closeStaleConnections(const std::string &GroupName, TargetPool &Pool);
-  void release(const TargetConnectionPtr &Used);
-  void discard(const TargetConnectionPtr &Used);
-  TargetPool *poolOf(const TargetConnectionPtr &Used);
+  void release(const TargetConnectionPtr &Connection);
+  void discard(const TargetConnectionPtr &Connection);
+  TargetPool *findPool(const TargetConnectionPtr &Connection);
 
-  // Finding who leads.
-  void searchPrimary(const std::string &Name, Group &In, Millis Now);
-  void searchAnswered(const std::string &Name, const TargetConnectionPtr &On,
-                      Millis SentAt, const StatementAnswer &Answer);
-  static void adoptPrimary(const std::string &Name, Group &In,
+  // Finding the leader.
+  void searchPrimary(const std::string &Name, Group &G, Millis Now);
+  void handleSearchAnswer(const std::string &Name,
+                          const TargetConnectionPtr &Connection, Millis SentAt,
+                          const StatementAnswer &Answer);
+  static void adoptPrimary(const std::string &Name, Group &G,
                            const TargetDirectory &Known);
 
   // Running.
-  void run(const SessionJobPtr &Job, const TargetConnectionPtr &On);
+  void run(const SessionJobPtr &Job, const TargetConnectionPtr &Connection);
   void openTransaction(const SessionJobPtr &Job, bool AtLeader);
   void openAndRun(const SessionJobPtr &Job, bool AtLeader);
-  TargetConnection::Step openingStep(const SessionJobPtr &Job, bool AtLeader);
+  TargetConnection::Step makeOpeningStep(const SessionJobPtr &Job,
+                                         bool AtLeader);
   void runStatement(const SessionJobPtr &Job, bool RollBackAfter);
-  /// How long a statement may wait at most.
+  /// Sets how long a statement may wait at most.
   static void setWaitDeadlines(SessionJob &Job);
   /// When a statement that still has no connection is refused.
   Millis effectiveQueueDeadline(const SessionJob &Job) const;
   /// How long a statement may wait for one of the shared connections.
   Millis remainingQueueTime(const SessionJob &Job) const;
-  TargetCommand commandOf(const SessionJobPtr &Job,
-                          std::vector<TargetConnection::Step> &Before);
-  /// Ends what is open on a connection, which is free with the answer.
-  TargetConnection::Step rollBackStep(const TargetConnectionPtr &On);
-  void transactionOpened(const SessionJobPtr &Job, bool AtLeader,
-                         const StatementAnswer &Answer);
+  TargetCommand makeCommand(const SessionJobPtr &Job,
+                            std::vector<TargetConnection::Step> &Steps);
+  /// Rolls back the open transaction of a connection and releases the
+  /// connection with the answer.
+  TargetConnection::Step
+  makeRollbackStep(const TargetConnectionPtr &Connection);
+  void handleTransactionOpened(const SessionJobPtr &Job, bool AtLeader,
+                               const StatementAnswer &Answer);
   void handlePrimaryOpened(const SessionJobPtr &Job,
                            const StatementAnswer &Answer);
   bool hasLostLog(const SessionJobPtr &Job,
                   const StatementAnswer &Answer) const;
   void handleLostLog(const SessionJobPtr &Job);
-  void openingRefused(const SessionJobPtr &Job, const StatementAnswer &Answer);
-  void retryOpening(const SessionJobPtr &Job, const TargetConnectionPtr &On,
-                    const StatementRefusal &Why);
-  void answered(const SessionJobPtr &Job, const StatementAnswer &Answer);
-  void answeredInTransaction(const SessionJobPtr &Job,
-                             const CallerSessionPtr &Session,
-                             const StatementAnswer &Answer);
-  void answeredAlone(const SessionJobPtr &Job, const CallerSessionPtr &Session,
-                     const StatementAnswer &Answer);
-  /// No gateway reaches the target: others are asked meanwhile.
+  void handleRefusedOpening(const SessionJobPtr &Job,
+                            const StatementAnswer &Answer);
+  void retryOpening(const SessionJobPtr &Job,
+                    const TargetConnectionPtr &Connection,
+                    const StatementRefusal &Refusal);
+  void handleAnswer(const SessionJobPtr &Job, const StatementAnswer &Answer);
+  void handleAnswerInTransaction(const SessionJobPtr &Job,
+                                 const CallerSessionPtr &Session,
+                                 const StatementAnswer &Answer);
+  void handleAnswerOutsideTransaction(const SessionJobPtr &Job,
+                                      const CallerSessionPtr &Session,
+                                      const StatementAnswer &Answer);
+  /// No gateway reaches the target: retries at other targets.
   void retryThroughAnother(const SessionJobPtr &Job,
-                           const TargetConnectionPtr &Used,
-                           const StatementRefusal &Why);
+                           const TargetConnectionPtr &Connection,
+                           const StatementRefusal &Refusal);
   void handleLostConnection(const SessionJobPtr &Job,
                             const std::string &Grounds);
-  /// The gateway has answered no keepalive. Retries a read outside a
-  /// transaction elsewhere; everything else waits for its answer.
-  void handleKeepaliveTimeout(const TargetConnectionPtr &Silent);
-  void tryAgain(const SessionJobPtr &Job, const StatementRefusal &Why,
+  /// The gateway has not answered keepalives. Retries a read outside a
+  /// transaction elsewhere; all other statements wait for their answers.
+  void handleKeepaliveTimeout(const TargetConnectionPtr &Connection);
+  void tryAgain(const SessionJobPtr &Job, const StatementRefusal &Refusal,
                 Millis After);
-  void finishRefused(const SessionJobPtr &Job, StatementRefusal Why,
+  void finishRefused(const SessionJobPtr &Job, StatementRefusal Refusal,
                      const std::string &Grounds);
   void recordAnswer(const SessionJobPtr &Job, const StatementAnswer &Answer,
                     bool ProvesLead);
 
   // Time.
   void tick();
-  void expireWaiting(Group &In, Millis Now);
+  void expireWaiting(Group &G, Millis Now);
   void checkAnswerTimeout(const SessionJobPtr &Job, Millis Now);
-  void reportUnresponsive(const TargetConnectionPtr &Used, Millis Now);
+  void reportUnresponsive(const TargetConnectionPtr &Connection, Millis Now);
   void checkUnresponsive(const SessionJobPtr &Job, Millis Now);
-  Millis answerTimeout(const SessionJob &Job, bool IsAlone) const;
+  Millis answerTimeout(const SessionJob &Job, bool IsOutsideTransaction) const;
   void closeIdleSessions(Millis Now);
   void endIdleTransactions(Millis Now);
 
@@ -338,8 +347,8 @@
   Millis TransactionsUntil;
   Millis SessionsUntil;
   std::size_t SessionsAtStop = 0;
-  /// Times of all targets' answers together: one proxy among hundreds has too
-  /// few from each to know what's usual there.
+  /// Answer times of all targets together: one proxy among hundreds gets too
+  /// few answers from each target to know its usual answer time.
   StatementWindow AnswerTimes;
   PipelineCounts Counts;
   sigc::signal<void(const TargetFailure &)> TargetFailed;
--- a/Source/Pipeline/StatementRuns.cpp
+++ b/Source/Pipeline/StatementRuns.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What is sent on a connection, and in which order.
+/// Sends commands on connections to targets, in the order that each statement
+/// needs.
 
 #include "Pipeline/SessionPipeline.h"
 
@@ -8,10 +9,10 @@
 namespace corianderdyke {
 
 void SessionPipeline::run(const SessionJobPtr &Job,
-                          const TargetConnectionPtr &On) {
+                          const TargetConnectionPtr &Connection) {
   const CallerSessionPtr Session = Job->Session.lock();
   if (!Session) {
-    release(On);
+    release(Connection);
     return;
   }
   Job->CurrentStage = SessionJob::Stage::Running;
@@ -24,41 +25,43 @@
   runStatement(Job, false);
 }
 
-// A transaction's first statement goes out only once the target has opened
-// the transaction: behind a refused opening it would run on its own. A read
-// that must miss nothing runs inside a transaction too, which only a leader
-// opens. A primary that was replaced answers a plain read from its old log,
-// and its caller would miss what the new primary has acknowledged.
+// The first statement of a transaction is sent only once the target has opened
+// the transaction: after a refused opening it would run on its own. A read that
+// must not miss any commit also runs inside a transaction, which only a leader
+// opens: a replaced primary answers a plain read from its old log, without the
+// commits that the new primary has acknowledged.
 void SessionPipeline::openTransaction(const SessionJobPtr &Job, bool AtLeader) {
   if (Job->Connection->isShared())
     return openAndRun(Job, AtLeader);
   const CallerSessionPtr Session = Job->Session.lock();
   std::vector<TargetConnection::Step> Steps;
   Job->Connection->appendValueSteps(Session->Values, Steps);
-  Steps.push_back(openingStep(Job, AtLeader));
+  Steps.push_back(makeOpeningStep(Job, AtLeader));
   Job->Connection->send(std::move(Steps));
 }
 
-TargetConnection::Step SessionPipeline::openingStep(const SessionJobPtr &Job,
-                                                    bool AtLeader) {
+TargetConnection::Step
+SessionPipeline::makeOpeningStep(const SessionJobPtr &Job, bool AtLeader) {
   Job->MaxQueueTime = remainingQueueTime(*Job);
   const CallerSessionPtr Session = Job->Session.lock();
-  const bool IsAlone = !Session->Transaction;
+  const bool IsOutsideTransaction = !Session->Transaction;
   return {{.Operation = AtLeader ? TargetCommand::Kind::Begin
                                  : TargetCommand::Kind::BeginRead,
            .MinPosition = AtLeader ? std::nullopt : Job->Floor,
            .Priority = Job->Route.Priority,
            .MaxQueueTime = Job->MaxQueueTime},
-          [this, Job, AtLeader, IsAlone](const StatementAnswer &Answer) {
-            if (IsAlone)
+          [this, Job, AtLeader,
+           IsOutsideTransaction](const StatementAnswer &Answer) {
+            if (IsOutsideTransaction)
               handlePrimaryOpened(Job, Answer);
             else
-              transactionOpened(Job, AtLeader, Answer);
+              handleTransactionOpened(Job, AtLeader, Answer);
           }};
 }
 
-void SessionPipeline::transactionOpened(const SessionJobPtr &Job, bool AtLeader,
-                                        const StatementAnswer &Answer) {
+void SessionPipeline::handleTransactionOpened(const SessionJobPtr &Job,
+                                              bool AtLeader,
+                                              const StatementAnswer &Answer) {
   if (Job->CurrentStage != SessionJob::Stage::Running)
     return;
   const CallerSessionPtr Session = Job->Session.lock();
@@ -66,9 +69,9 @@
     return handleLostLog(Job);
   recordAnswer(Job, Answer, AtLeader);
   if (Answer.Refusal || Answer.Phase != SessionPhase::InTransaction)
-    return openingRefused(Job, Answer);
+    return handleRefusedOpening(Job, Answer);
   if (!Session || !Session->Transaction || Session->IsClosed) {
-    // The caller left meanwhile.
+    // The caller has disconnected in the meantime.
     Running.erase(Job);
     Job->CurrentStage = SessionJob::Stage::Done;
     if (Session)
@@ -80,43 +83,45 @@
   Session->Transaction->Connection = Job->Connection;
   Session->Transaction->AtPrimary = AtLeader;
   Job->MaxQueueTime = Millis(0);
-  // A gateway sends the statement by itself.
+  // A gateway sends the statement itself.
   if (!Job->IsSent)
     runStatement(Job, false);
 }
 
-// The opening and the first statement go to the gateway in one write, and the
-// gateway sends the second only once the first has succeeded. A read alone is
-// followed by the end of its transaction.
+// Sends the opening and the first statement to the gateway in one write; the
+// gateway sends the statement only once the opening has succeeded. A read
+// outside a transaction is followed by a rollback.
 void SessionPipeline::openAndRun(const SessionJobPtr &Job, bool AtLeader) {
   const CallerSessionPtr Session = Job->Session.lock();
-  const TargetConnectionPtr On = Job->Connection;
+  const TargetConnectionPtr Connection = Job->Connection;
   std::vector<TargetConnection::Step> Steps;
-  On->appendValueSteps(Session->Values, Steps);
-  TargetCommand Own = commandOf(Job, Steps);
-  Own.NeedsPrevious = true;
-  // After a refused opening the job may be under way again elsewhere when the
-  // refusal of the statement behind it arrives.
-  const auto IsThisTry = [Job, Try = Job->Tries] { return Job->Tries == Try; };
-  Steps.push_back(openingStep(Job, AtLeader));
-  Steps.push_back(
-      {std::move(Own), [this, Job, IsThisTry](const StatementAnswer &Answer) {
-         if (IsThisTry())
-           answered(Job, Answer);
-       }});
+  Connection->appendValueSteps(Session->Values, Steps);
+  TargetCommand Command = makeCommand(Job, Steps);
+  Command.NeedsPrevious = true;
+  // After a refused opening, the job may already run elsewhere when the refusal
+  // of the statement behind the opening arrives.
+  const auto IsCurrentTry = [Job, Try = Job->Tries] {
+    return Job->Tries == Try;
+  };
+  Steps.push_back(makeOpeningStep(Job, AtLeader));
+  Steps.push_back({std::move(Command),
+                   [this, Job, IsCurrentTry](const StatementAnswer &Answer) {
+                     if (IsCurrentTry())
+                       handleAnswer(Job, Answer);
+                   }});
   if (!Session->Transaction) {
-    TargetConnection::Step End = rollBackStep(On);
-    End.Handler = [IsThisTry, Ended = std::move(End.Handler)](
+    TargetConnection::Step End = makeRollbackStep(Connection);
+    End.Handler = [IsCurrentTry, Ended = std::move(End.Handler)](
                       const StatementAnswer &Answer) {
-      // Not sent, behind a refused opening.
-      if (Answer.Refusal && !IsThisTry())
+      // The rollback was not sent, because the opening was refused.
+      if (Answer.Refusal && !IsCurrentTry())
         return;
       Ended(Answer);
     };
     Steps.push_back(std::move(End));
   }
   Job->IsSent = true;
-  On->send(std::move(Steps));
+  Connection->send(std::move(Steps));
 }
 
 bool SessionPipeline::hasLostLog(const SessionJobPtr &Job,
@@ -126,10 +131,10 @@
                                   Job->SentAt);
 }
 
-// As if it had said that it doesn't lead. Where a gateway has sent the
-// statement behind the opening already, its answer is for a try that is over.
+// Treats the target as one that does not lead. If a gateway has already sent
+// the statement behind the opening, its answer belongs to a finished try.
 void SessionPipeline::handleLostLog(const SessionJobPtr &Job) {
-  if (TargetPool *Pool = poolOf(Job->Connection))
+  if (TargetPool *Pool = findPool(Job->Connection))
     Pool->recordNotPrimary(Deps.Time.now());
   discard(Job->Connection);
   handleLostConnection(
@@ -137,33 +142,34 @@
                " has lost a part of its log and isn't believed to lead");
 }
 
-void SessionPipeline::openingRefused(const SessionJobPtr &Job,
-                                     const StatementAnswer &Answer) {
+void SessionPipeline::handleRefusedOpening(const SessionJobPtr &Job,
+                                           const StatementAnswer &Answer) {
   Running.erase(Job);
-  const TargetConnectionPtr On = Job->Connection;
-  const StatementRefusal Why = Answer.Refusal.value_or(
+  const TargetConnectionPtr Connection = Job->Connection;
+  const StatementRefusal Refusal = Answer.Refusal.value_or(
       StatementRefusal{RefusalCode::Busy, "the target opened no transaction"});
-  // The next try is settled before the connection is free: whoever gets it may
-  // be refused at once, and the answers that this try is still owed come with
-  // that. Taken for answers to the job they would be told to its caller.
-  retryOpening(Job, On, Why);
+  // Schedules the next try before the connection is released: the statement
+  // that gets the connection may be refused at once, and answers that are still
+  // due to this try arrive with that refusal. They must not be sent to the
+  // caller as answers to the job.
+  retryOpening(Job, Connection, Refusal);
   if (Answer.Phase == SessionPhase::Idle)
-    release(On);
+    release(Connection);
   else
-    discard(On);
+    discard(Connection);
 }
 
 void SessionPipeline::retryOpening(const SessionJobPtr &Job,
-                                   const TargetConnectionPtr &On,
-                                   const StatementRefusal &Why) {
-  if (Why.Code == RefusalCode::Lagging) {
+                                   const TargetConnectionPtr &Connection,
+                                   const StatementRefusal &Refusal) {
+  if (Refusal.Code == RefusalCode::Lagging) {
     ++Job->LaggingRefusals;
-    Job->ExcludedTargets.insert(On->address().Id);
-    return tryAgain(Job, Why, Millis(0));
+    Job->ExcludedTargets.insert(Connection->address().Id);
+    return tryAgain(Job, Refusal, Millis(0));
   }
-  if (Why.Code == RefusalCode::Unreachable)
-    return retryThroughAnother(Job, On, Why);
-  tryAgain(Job, Why, busyPause(*Job));
+  if (Refusal.Code == RefusalCode::Unreachable)
+    return retryThroughAnother(Job, Connection, Refusal);
+  tryAgain(Job, Refusal, busyPause(*Job));
 }
 
 void SessionPipeline::handlePrimaryOpened(const SessionJobPtr &Job,
@@ -174,26 +180,27 @@
     return handleLostLog(Job);
   if (!Answer.Refusal && Answer.Phase == SessionPhase::InTransaction) {
     Job->MaxQueueTime = Millis(0);
-    // A gateway sends the statement by itself.
+    // A gateway sends the statement itself.
     if (!Job->IsSent)
       runStatement(Job, true);
     return;
   }
   recordAnswer(Job, Answer, false);
-  openingRefused(Job, Answer);
+  handleRefusedOpening(Job, Answer);
 }
 
 TargetCommand
-SessionPipeline::commandOf(const SessionJobPtr &Job,
-                           std::vector<TargetConnection::Step> &Before) {
+SessionPipeline::makeCommand(const SessionJobPtr &Job,
+                             std::vector<TargetConnection::Step> &Steps) {
   TargetCommand Out;
   Out.Id = Job->Stmt.Id;
   Out.Text = Job->Stmt.Text;
   const CallerSessionPtr Session = Job->Session.lock();
-  const bool IsAlone = Session && !Session->Transaction;
-  if (IsAlone && Job->Destination == Placement::AnyFresh)
+  const bool IsOutsideTransaction = Session && !Session->Transaction;
+  if (IsOutsideTransaction && Job->Destination == Placement::AnyFresh)
     Out.MinPosition = Job->Floor;
-  if (IsAlone && (Job->Writes || Job->Destination == Placement::AnyFresh)) {
+  if (IsOutsideTransaction &&
+      (Job->Writes || Job->Destination == Placement::AnyFresh)) {
     Job->MaxQueueTime = remainingQueueTime(*Job);
     Out.Priority = Job->Route.Priority;
     Out.MaxQueueTime = Job->MaxQueueTime;
@@ -201,7 +208,7 @@
   if (Job->Stmt.Kind == StatementKind::Execute && Session) {
     Out.Operation = TargetCommand::Kind::Execute;
     Out.Name =
-        Job->Connection->prepare(Session->Prepared[Job->Stmt.Name], Before);
+        Job->Connection->prepare(Session->Prepared[Job->Stmt.Name], Steps);
     Out.Text = Job->Stmt.Arguments;
   }
   return Out;
@@ -210,20 +217,21 @@
 void SessionPipeline::runStatement(const SessionJobPtr &Job,
                                    bool RollBackAfter) {
   const CallerSessionPtr Session = Job->Session.lock();
-  const TargetConnectionPtr On = Job->Connection;
-  if (!Session || !On)
+  const TargetConnectionPtr Connection = Job->Connection;
+  if (!Session || !Connection)
     return;
   std::vector<TargetConnection::Step> Steps;
-  On->appendValueSteps(Session->Values, Steps);
-  TargetCommand Own = commandOf(Job, Steps);
-  Steps.push_back({std::move(Own), [this, Job](const StatementAnswer &Answer) {
-                     answered(Job, Answer);
-                   }});
+  Connection->appendValueSteps(Session->Values, Steps);
+  TargetCommand Command = makeCommand(Job, Steps);
+  Steps.push_back(
+      {std::move(Command), [this, Job](const StatementAnswer &Answer) {
+         handleAnswer(Job, Answer);
+       }});
   if (RollBackAfter)
-    Steps.push_back(rollBackStep(On));
+    Steps.push_back(makeRollbackStep(Connection));
   Job->IsSent = true;
   Job->SentAt = Deps.Time.now();
-  On->send(std::move(Steps));
+  Connection->send(std::move(Steps));
 }
 
 } // namespace corianderdyke
--- a/Source/Pipeline/TargetConnection.cpp
+++ b/Source/Pipeline/TargetConnection.cpp
@@ -19,8 +19,10 @@
              const auto Handler = this->Handlers.OnOpen;
              Handler();
            },
-           [this](const StatementAnswer &Answer) { answered(Answer); },
-           [this](const std::optional<StatementRefusal> &Why) { closed(Why); },
+           [this](const StatementAnswer &Answer) { handleAnswer(Answer); },
+           [this](const std::optional<StatementRefusal> &Refusal) {
+             handleClosed(Refusal);
+           },
            this->Handlers.OnKeepaliveTimeout});
   IsShared = Link->isShared();
 }
@@ -48,13 +50,13 @@
   Values = Wanted;
 }
 
-std::string TargetConnection::prepare(const PreparedStatement &Shape,
+std::string TargetConnection::prepare(const PreparedStatement &ToPrepare,
                                       std::vector<Step> &Out) {
-  std::string &Name = Prepared[Shape];
+  std::string &Name = Prepared[ToPrepare];
   if (Name.empty()) {
     Name = "p" + std::to_string(NextName++);
     Out.push_back({{.Operation = TargetCommand::Kind::Prepare,
-                    .Text = Shape.Text,
+                    .Text = ToPrepare.Text,
                     .Name = Name}});
   }
   return Name;
@@ -71,10 +73,11 @@
     Link->send(Commands);
 }
 
-void TargetConnection::answered(const StatementAnswer &Answer) {
+void TargetConnection::handleAnswer(const StatementAnswer &Answer) {
   if (PendingHandlers.empty()) {
-    // An answer to nothing: the order of answers can't be trusted any more.
-    closed(std::nullopt);
+    // An answer without a command: the order of answers can no longer be
+    // trusted.
+    handleClosed(std::nullopt);
     return;
   }
   const OnAnswer Handler = std::move(PendingHandlers.front());
@@ -82,17 +85,18 @@
   if (Handler)
     Handler(Answer);
   else if (Answer.Refusal)
-    closed(Answer.Refusal);
+    handleClosed(Answer.Refusal);
 }
 
-void TargetConnection::closed(const std::optional<StatementRefusal> &Why) {
+void TargetConnection::handleClosed(
+    const std::optional<StatementRefusal> &Refusal) {
   if (CurrentStage == Stage::Closed)
     return;
   CurrentStage = Stage::Closed;
   PendingHandlers.clear();
   const auto Handler = std::exchange(Handlers, {}).OnClose;
   if (Handler)
-    Handler(Why);
+    Handler(Refusal);
 }
 
 void TargetConnection::close() {
--- a/Source/Pipeline/TargetPool.cpp
+++ b/Source/Pipeline/TargetPool.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The connections of this proxy to one target, and what it knows of it.
+/// The connections of this proxy to one target, and its observations of the
+/// target.
 
 #include "Pipeline/TargetPool.h"
 
@@ -32,8 +33,9 @@
   return Best;
 }
 
-// A link to shared connections takes one of its own organisation with each
-// statement, so only one that is marked keeps questions from waiting for that.
+// A link to shared connections uses one of its own organisation for each
+// statement. Only an internal link uses any of them, so that probes do not wait
+// for a connection of one organisation.
 TargetConnectionPtr TargetPool::idleForInternalUse() const {
   TargetConnectionPtr Best;
   for (const TargetConnectionPtr &Each : All)
@@ -91,7 +93,7 @@
       remove(Replaced);
     }
   auto Weak = std::make_shared<std::weak_ptr<TargetConnection>>();
-  auto Made = std::make_shared<TargetConnection>(
+  auto Created = std::make_shared<TargetConnection>(
       Connector,
       TargetAddress{Record.Group, Record.Id, Record.Address, For.Organisation,
                     For.IsInternal},
@@ -102,32 +104,33 @@
               OnOpen(Open);
           },
           [Weak, OnClose = std::move(Handlers.OnClose)](
-              const std::optional<StatementRefusal> &Why) {
-            if (const TargetConnectionPtr Gone = Weak->lock())
-              OnClose(Gone, Why);
+              const std::optional<StatementRefusal> &Refusal) {
+            if (const TargetConnectionPtr Connection = Weak->lock())
+              OnClose(Connection, Refusal);
           },
           [Weak, OnSilent = std::move(Handlers.OnKeepaliveTimeout)] {
-            const TargetConnectionPtr Silent = Weak->lock();
-            if (Silent && OnSilent)
-              OnSilent(Silent);
+            const TargetConnectionPtr Connection = Weak->lock();
+            if (Connection && OnSilent)
+              OnSilent(Connection);
           }});
-  *Weak = Made;
-  All.push_back(std::move(Made));
+  *Weak = Created;
+  All.push_back(std::move(Created));
 }
 
-bool TargetPool::handleClosed(const TargetConnectionPtr &Gone,
-                              const std::optional<StatementRefusal> &Why,
+bool TargetPool::handleClosed(const TargetConnectionPtr &Connection,
+                              const std::optional<StatementRefusal> &Refusal,
                               Millis Now) {
-  remove(Gone);
-  if (isAtLimit(Why))
+  remove(Connection);
+  if (isAtLimit(Refusal))
     recordConnectionRefused(Now);
-  else if (!Gone->hasOpened())
+  else if (!Connection->hasOpened())
     recordUnreachable(Now);
-  return !Gone->hasOpened() && (!Why || Why->Code == RefusalCode::Misrouted);
+  return !Connection->hasOpened() &&
+         (!Refusal || Refusal->Code == RefusalCode::Misrouted);
 }
 
-void TargetPool::remove(const TargetConnectionPtr &Gone) {
-  All.erase(std::remove(All.begin(), All.end(), Gone), All.end());
+void TargetPool::remove(const TargetConnectionPtr &Connection) {
+  All.erase(std::remove(All.begin(), All.end(), Connection), All.end());
 }
 
 std::vector<TargetConnectionPtr> TargetPool::closeAll() {
@@ -169,11 +172,12 @@
                             ? Record.IsPrimary && acceptsNewWork(Now)
                             : !Record.IsGone;
   const std::size_t Kept = ServesOn ? minWarmConnections() : 0;
-  const Millis IdleBorne = IsPerOrganisation && IsSaturated && !IsRetiring
+  const Millis IdleLimit = IsPerOrganisation && IsSaturated && !IsRetiring
                                ? SaturatedIdleTimeout
                                : IdleTimeout;
   std::vector<TargetConnectionPtr> Before = All;
-  // The one that was idle for longest goes first; links all stay or all go.
+  // Closes the one that has been idle longest first; links are all kept or all
+  // closed.
   if (!IsShared)
     std::sort(
         Before.begin(), Before.end(),
@@ -190,7 +194,7 @@
       continue;
     if (Each->stage() != TargetConnection::Stage::Idle)
       continue;
-    if (ServesOn && Now - Each->idleSince() < IdleBorne)
+    if (ServesOn && Now - Each->idleSince() < IdleLimit)
       continue;
     Each->close();
     remove(Each);
