--- a/Source/Consensus/Consensus.cpp
+++ b/Source/Consensus/Consensus.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Agreement among the control hosts on one log of commands.
+/// Consensus among the control hosts on one log of commands: replication, reads
+/// and recovery from disk failures.
 
 #include "Consensus/Consensus.h"
 
@@ -53,18 +54,19 @@
   setElectionTimer(Now, Options.ElectionTimeout);
 }
 
-void Consensus::setElectionTimer(Millis Now, Millis Least) {
-  std::uniform_int_distribution<std::int64_t> Extra(0, Least.count());
-  ElectionDeadline = Now + Least + Millis(Extra(Random));
+void Consensus::setElectionTimer(Millis Now, Millis Minimum) {
+  std::uniform_int_distribution<std::int64_t> Extra(0, Minimum.count());
+  ElectionDeadline = Now + Minimum + Millis(Extra(Random));
 }
 
-// Where all hosts start again together nobody leads, and everything waits for
-// the first election. A leader that lives isn't disturbed: who hears it gives
-// no pre-vote. With some hosts missing every vote may be needed, and two
-// candidates at a time would each lack the other's; so the hosts begin one
-// after the other, further apart than an election takes. One that asks before
-// a majority is up asks again in its next turn: waiting a whole election
-// timeout left callers without a proxy for half a second longer.
+// If all hosts restart together, there is no leader and everything waits for
+// the first election. A live leader is not disturbed, because its followers
+// grant no pre-vote. If some hosts are missing, every vote may be needed, and
+// two simultaneous candidates would each lack the vote of the other. The hosts
+// therefore start their first elections one after another, at an interval
+// longer than an election takes. A host that asks before a majority is up
+// retries in its next turn, because waiting a whole election timeout leaves
+// callers without a proxy for half a second longer.
 void Consensus::setFirstElection(Millis Now) {
   const auto Rank =
       std::count_if(Voters.begin(), Voters.end(), [this](const Member &Each) {
@@ -85,14 +87,14 @@
   initializeRole();
   if (Role == ConsensusRole::Founding && Options.Hosts.size() == 1 &&
       Options.Hosts.front() == Options.Name)
-    found({self()}, Now);
+    foundGroup({self()}, Now);
 }
 
-// A disk that failed may not hold what this host was about to promise: a vote
-// given twice, or an entry counted for a commit and gone after the restart.
-// The messages of the call that met the failure are dropped with it; to the
-// others it looks like lost messages. What a majority has committed stands
-// whatever this disk does.
+// A failed disk may not hold the vote or the entry that this host is about to
+// confirm. After a restart it could then vote twice, or lack an entry that was
+// counted for a commit. The messages of the failed call are therefore dropped,
+// which the other hosts see as message loss. Entries that a majority has
+// committed are unaffected by this disk.
 ConsensusOutputs Consensus::takeOutputs() {
   if (Failure)
     Out.Messages.clear();
@@ -104,10 +106,10 @@
          !Out.FailedReads.empty() || (!Out.Messages.empty() && !Failure);
 }
 
-// A full disk refuses writes until somebody makes room. The process goes on
-// without its voice: a leader is replaced, since it sends no heartbeats, and
-// a follower gives no vote. Memory may hold a term, a vote or entries that
-// the disk doesn't; it's read anew before this host speaks again.
+// A full disk refuses writes until space is freed. The process keeps running
+// but sends no messages: a leader is replaced because its heartbeats stop, and
+// a follower grants no votes. Memory may hold a term, a vote or entries that
+// the disk lacks, so the log is reloaded before this host sends messages again.
 void Consensus::recoverFromDiskFailure(Millis Now) {
   if (Failure->Code != ErrorCode::System || Now < NextRecovery)
     return;
@@ -156,14 +158,15 @@
   switch (Role) {
   case ConsensusRole::Founding:
   case ConsensusRole::Joining:
-    // A removal that isn't committed yet may be known to the removed host
-    // alone, and the others' shorter logs get no vote from it: only it can
-    // lead and commit the change. It doesn't count itself.
-    if (!Voters.empty() && changeUnderWay() && Now >= ElectionDeadline)
+    // An uncommitted removal may be known only to the removed host, which
+    // grants no vote to the shorter logs of the others. Only the removed host
+    // can then lead and commit the change. It does not count itself as a voter.
+    if (!Voters.empty() && isChangePending() && Now >= ElectionDeadline)
       startPreVote(Now);
     if (Now - LastHeartbeat < Options.HeartbeatInterval * 2)
       return;
-    // A joining host that its leader feeds has no need to knock again.
+    // A joining host that receives entries from its leader does not need to
+    // send discovery messages.
     if (Role != ConsensusRole::Founding &&
         Now - LastLeaderContact < Options.ElectionTimeout)
       return;
@@ -219,8 +222,9 @@
 void Consensus::replicate(Peer &To, bool Heartbeat) {
   const auto PreviousTerm = Log.termAt(To.Next - 1);
   if (!PreviousTerm) {
-    // The entries it needs are gone. The snapshot goes out once in a while,
-    // so that a slow host isn't sent one for each command or read.
+    // The entries that the peer needs were compacted. The snapshot is sent at
+    // most once per election timeout, so that a slow host does not receive one
+    // for each command or read.
     if (!Heartbeat || LastHeartbeat - To.SnapshotSent < Options.ElectionTimeout)
       return;
     To.SnapshotSent = LastHeartbeat;
@@ -250,10 +254,10 @@
     return;
   LastLeaderContact = Now;
   const auto Known = Log.termAt(Request.PreviousIndex);
-  const bool Covered = Request.PreviousIndex < Log.snapshotIndex();
-  if (!Covered && Known != Request.PreviousTerm) {
-    // Everything from a mismatch on is another leader's; the last entry
-    // before it is worth a try.
+  const bool IsCompacted = Request.PreviousIndex < Log.snapshotIndex();
+  if (!IsCompacted && Known != Request.PreviousTerm) {
+    // All entries from the mismatch on come from another leader. The leader
+    // retries at the last entry before it.
     const std::uint64_t Retry =
         std::min(Log.lastIndex(),
                  Request.PreviousIndex > 0 ? Request.PreviousIndex - 1 : 0);
@@ -283,8 +287,9 @@
 }
 
 bool Consensus::truncateUncommitted(std::uint64_t Index) {
-  // No leader can lack a committed entry. If one seems to, two groups have
-  // met or a disk has lied, and the operator must hear of it.
+  // A leader never lacks a committed entry. A conflict means that two groups
+  // have been mixed or that a disk lost synced data, and must be reported to
+  // the operator.
   if (Index <= CommitIndex)
     return check(fail(ErrorCode::Corrupt,
                       "a leader's log differs from this one at entry " +
@@ -294,8 +299,9 @@
 
 void Consensus::on(const Member &From, const AppendReply &Reply, Millis Now) {
   if (Reply.Term > Log.term()) {
-    // Also from a host that doesn't vote: one that was removed while it asked
-    // for votes has a higher term, and could be fed by no leader before.
+    // This also applies to a host that is not a voter. A host that was removed
+    // while it started elections has a higher term and would otherwise accept
+    // entries from no leader.
     if (isVoter(From) || Peers.count(From.Name) != 0)
       becomeFollower(Reply.Term, "", Now);
     return;
@@ -303,8 +309,8 @@
   const auto Known = Peers.find(From.Name);
   if (!isLeader() || Known == Peers.end() || Reply.Term != Log.term())
     return;
-  // The host came back with another disk, and what is sent to its former self
-  // keeps it from asking to join.
+  // The host restarted with another disk. Messages addressed to its old disk
+  // keep it from sending discovery messages, so it is admitted here.
   if (!isVoter(From))
     admitLearner(From, Now);
   if (Known->second.Identity != From)
@@ -367,9 +373,10 @@
 }
 
 void Consensus::advanceCommit() {
-  const std::uint64_t Held = reachedByMajority(Log.lastIndex(), &Peer::Match);
-  if (Held > CommitIndex && Log.termAt(Held) == Log.term()) {
-    CommitIndex = Held;
+  const std::uint64_t MajorityIndex =
+      reachedByMajority(Log.lastIndex(), &Peer::Match);
+  if (MajorityIndex > CommitIndex && Log.termAt(MajorityIndex) == Log.term()) {
+    CommitIndex = MajorityIndex;
     emitCommitted();
   }
 }
@@ -387,7 +394,7 @@
 void Consensus::compact(std::uint64_t Index, std::string State) {
   if (Failure || Index > EmittedIndex)
     return;
-  // The voters at Index: a later membership entry stays in the log.
+  // The voters as of Index. A later membership entry stays in the log.
   Members AtIndex = Log.snapshotVoters();
   for (std::uint64_t Each = Log.snapshotIndex() + 1; Each <= Index; ++Each) {
     const Entry *Found = Log.entryAt(Each);
@@ -397,16 +404,16 @@
   check(Log.compact(Index, std::move(AtIndex), std::move(State)));
 }
 
-// Reads through the quorum.
+// Reads confirmed by a quorum.
 
 Expected<std::uint64_t> Consensus::beginRead(Millis Now) {
   if (!isReadyLeader() || Failure)
     return fail(ErrorCode::Unavailable, notLeaderReason(Now));
   const std::uint64_t Ticket = NextTicket++;
-  // The round must begin after the read did: an echo of an earlier round
-  // says nothing about who leads now. While one is under way the next waits
-  // for its end, or for the heartbeat where it was lost, so that the renewals
-  // of a thousand leases don't cost a round each.
+  // The round must begin after the read, because an echo of an earlier round
+  // does not prove who leads now. While a round is pending, the next one waits
+  // for its end, or for the heartbeat if the round was lost. The renewals of a
+  // thousand leases therefore do not cost a round each.
   Reads.push_back({Ticket, Round + 1, CommitIndex});
   if (ConfirmedRound == Round)
     startRound(Now);
@@ -425,26 +432,26 @@
 }
 
 std::string Consensus::notLeaderReason(Millis Now) const {
-  std::string Why = "this control host doesn't lead";
+  std::string Reason = "this control host doesn't lead";
   if (Failure)
-    return Why + ": " + Failure->Message;
+    return Reason + ": " + Failure->Message;
   if (!Leader.empty() && Leader != Options.Name)
-    return Why + ", " + Leader + " does";
+    return Reason + ", " + Leader + " does";
   if (Role == ConsensusRole::Founding)
-    return Why + ": the control group forms once all hosts of the settings "
-                 "have been heard with an empty disk";
-  std::string Silent;
+    return Reason + ": the control group forms once all hosts of the settings "
+                    "have been heard with an empty disk";
+  std::string SilentVoters;
   for (const Member &Each : Voters) {
     const auto Known = LastReceived.find(Each.Name);
     if (Each.Name != Options.Name &&
         (Known == LastReceived.end() ||
          Now - Known->second > Options.ElectionTimeout * 2))
-      Silent += (Silent.empty() ? "" : ", ") + Each.Name;
+      SilentVoters += (SilentVoters.empty() ? "" : ", ") + Each.Name;
   }
-  return Why + " and knows of no leader: " + std::to_string(majority()) +
+  return Reason + " and knows of no leader: " + std::to_string(majority()) +
          " of " + std::to_string(Voters.size()) +
          " voting control hosts must agree; not heard here: " +
-         (Silent.empty() ? "none" : Silent);
+         (SilentVoters.empty() ? "none" : SilentVoters);
 }
 
 } // namespace corianderdyke
--- a/Source/Consensus/ConsensusElections.cpp
+++ b/Source/Consensus/ConsensusElections.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How a control group is founded and how its leader is elected.
+/// Bootstrap of a control group and election of its leader.
 
 #include "Consensus/Consensus.h"
 
@@ -9,17 +9,17 @@
 
 namespace corianderdyke {
 
-// Founding. The group forms only once every host that the settings name has
-// said that its disk is empty: a host that lost its disk finds a host with a
-// group and joins that one, instead of forming a second group with an empty
-// manifest. The first host by name alone writes the list of founders and the
-// others take it over. If each wrote its own, a disk lost meanwhile would make
-// lists that differ, under the same index and term.
+// Bootstrap. The group forms only once every host in the settings has reported
+// that its disk is empty. A host that lost its disk therefore finds a host with
+// a group and joins it, instead of forming a second group with an empty
+// manifest. Only the first host by name writes the list of founding members,
+// and the others copy it. If each host wrote its own list, the loss of a disk
+// in the meantime would produce different lists under the same index and term.
 
 std::set<std::string> Consensus::knownHosts() const {
   std::set<std::string> Out(Options.Hosts.begin(), Options.Hosts.end());
   if (Options.Membership == MembershipMode::Open) {
-    // The hosts of the settings may all have been replaced since the file was
+    // All hosts in the settings may have been replaced since the file was
     // written.
     for (const Member &Each : Voters)
       Out.insert(Each.Name);
@@ -34,9 +34,9 @@
     send(Host, GroupDiscovery{Voters, Log.votersIndex(), false});
 }
 
-void Consensus::on(const Member &From, const GroupDiscovery &Hello,
+void Consensus::on(const Member &From, const GroupDiscovery &Discovery,
                    Millis Now) {
-  if (!Hello.IsReply)
+  if (!Discovery.IsReply)
     send(From.Name, GroupDiscovery{Voters, Log.votersIndex(), true});
   if (isLeader() && !isVoter(From)) {
     admitLearner(From, Now);
@@ -44,16 +44,16 @@
   }
   if (Options.Membership == MembershipMode::Open &&
       (Role == ConsensusRole::Founding || Role == ConsensusRole::Joining))
-    for (const Member &Each : Hello.Voters)
+    for (const Member &Each : Discovery.Voters)
       DiscoveredHosts.insert(Each.Name);
   if (Role != ConsensusRole::Founding)
     return;
-  if (!Hello.Voters.empty()) {
-    // Later lists come from the leader with the entries before them.
-    if (Hello.VotersIndex == 1 &&
-        std::find(Hello.Voters.begin(), Hello.Voters.end(), self()) !=
-            Hello.Voters.end())
-      found(Hello.Voters, Now);
+  if (!Discovery.Voters.empty()) {
+    // Later lists come from the leader, together with the entries before them.
+    if (Discovery.VotersIndex == 1 &&
+        std::find(Discovery.Voters.begin(), Discovery.Voters.end(), self()) !=
+            Discovery.Voters.end())
+      foundGroup(Discovery.Voters, Now);
     else
       Role = ConsensusRole::Joining;
     return;
@@ -70,14 +70,14 @@
       Founders.push_back(Known->second);
   }
   if (Founders.size() == Options.Hosts.size())
-    found(Founders, Now);
+    foundGroup(Founders, Now);
 }
 
-void Consensus::found(const Members &Founders, Millis Now) {
+void Consensus::foundGroup(const Members &Founders, Millis Now) {
   Members Sorted = Founders;
   std::sort(Sorted.begin(), Sorted.end());
-  // The same first entry on every founder, as if a leader of term 1 had
-  // written it.
+  // Every founding member writes the same first entry, as if a leader of term 1
+  // had written it.
   if (!check(Log.setTerm(1, "")) ||
       !check(Log.append({Entry{1, 1, EntryKind::Membership, encode(Sorted)}})))
     return;
@@ -117,8 +117,9 @@
   ++Elections.PreVoteRounds;
   Leader.clear();
   countOwnVote();
-  // A host that was removed while it was cut off asks voters that are no more.
-  // The leader feeds it once it's heard, and it learns of its removal.
+  // A host that was removed during a partition asks voters that no longer
+  // exist. Discovery lets the leader replicate to it, so that it receives the
+  // entry of its removal.
   sendDiscovery();
   for (const Member &Each : Voters)
     if (Each.Name != Options.Name && !Each.isVacant())
@@ -135,8 +136,8 @@
 }
 
 void Consensus::startElection(Millis Now) {
-  // A majority has just said that nobody leads, so a lost election needn't be
-  // followed by the whole wait for a leader's heartbeat.
+  // A majority has just confirmed that there is no leader, so a lost election
+  // is retried without waiting for the full heartbeat timeout.
   setElectionTimer(Now, Options.ElectionTimeout / 2);
   if (!check(Log.setTerm(Log.term() + 1, Options.Name)))
     return;
@@ -151,39 +152,42 @@
     becomeLeader(Now);
 }
 
-// A vote is given whether or not this host's own log already names the
-// candidate, or this host itself, as a voter: the entry that does may be the
-// very one that only the candidate holds, and without the vote the group would
-// stand still. The candidate counts votes by disk, so a vote from a disk that
-// isn't one of its voters counts for nothing.
+// A vote is granted even if the log of this host does not list the candidate,
+// or this host itself, as a voter. The entry that lists them may exist only on
+// the candidate, and without the vote the group could not make progress. The
+// candidate counts votes by disk and ignores a vote from a disk that is not one
+// of its voters.
 void Consensus::on(const Member &From, const VoteRequest &Request, Millis Now) {
   if (Role == ConsensusRole::Founding)
     return;
-  // While a leader is heard, nobody is voted for: a host that comes back
-  // from a partition waits its turn instead of ending a working term.
-  const bool LeaderHeard =
+  // No vote is granted while a leader is alive, so that a host that returns
+  // from a partition does not end a working term.
+  const bool IsLeaderAlive =
       isLeader() || Now - LastLeaderContact < Options.ElectionTimeout;
   const bool UpToDate = Request.LastTerm > Log.lastTerm() ||
                         (Request.LastTerm == Log.lastTerm() &&
                          Request.LastIndex >= Log.lastIndex());
   if (Request.PreVote) {
-    const bool Granted = Request.Term > Log.term() && UpToDate && !LeaderHeard;
-    // An election begins there; one of this host's own would split the votes.
+    const bool Granted =
+        Request.Term > Log.term() && UpToDate && !IsLeaderAlive;
+    // The sender is about to start an election. An election of this host at the
+    // same time would split the votes.
     if (Granted)
       ElectionDeadline = std::max(ElectionDeadline, Now + FirstElectionSpacing);
     send(From.Name,
          VoteReply{Granted ? Request.Term : Log.term(), true, Granted});
     return;
   }
-  if (LeaderHeard && Request.Term > Log.term())
+  if (IsLeaderAlive && Request.Term > Log.term())
     return;
   if (Request.Term > Log.term())
     becomeFollower(Request.Term, "", Now);
   if (Failure)
     return;
-  const bool Free = Log.votedFor().empty() || Log.votedFor() == From.Name;
+  const bool IsVoteAvailable =
+      Log.votedFor().empty() || Log.votedFor() == From.Name;
   const bool Granted =
-      Request.Term == Log.term() && Free && UpToDate && !isLeader();
+      Request.Term == Log.term() && IsVoteAvailable && UpToDate && !isLeader();
   if (Granted) {
     if (!check(Log.setTerm(Log.term(), From.Name)))
       return;
@@ -199,12 +203,12 @@
     becomeFollower(Reply.Term, "", Now);
     return;
   }
-  const bool Counts =
+  const bool IsCurrent =
       Reply.Granted && ((Reply.PreVote && Role == ConsensusRole::PreCandidate &&
                          Reply.Term == Log.term() + 1) ||
                         (!Reply.PreVote && Role == ConsensusRole::Candidate &&
                          Reply.Term == Log.term()));
-  if (!Counts)
+  if (!IsCurrent)
     return;
   Votes.insert(From.Name);
   if (Votes.size() < majority())
@@ -222,7 +226,7 @@
   for (const Member &Each : Voters)
     if (Each.Name != Options.Name && !Each.isVacant())
       Peers[Each.Name] = newPeer(Each, true, Now);
-  // Entries of earlier terms are committed only through one of this term.
+  // Entries of earlier terms are committed only through an entry of this term.
   if (!check(Log.append(
           {Entry{Log.lastIndex() + 1, Log.term(), EntryKind::Empty, ""}})))
     return;
@@ -231,11 +235,11 @@
 }
 
 void Consensus::checkLeadership(Millis Now) {
-  std::size_t Heard = isVoter(self()) ? 1 : 0;
+  std::size_t Reachable = isVoter(self()) ? 1 : 0;
   for (const auto &[Name, Each] : Peers)
     if (Each.Voter && Now - Each.LastReply < Options.ElectionTimeout * 2)
-      ++Heard;
-  if (Heard < majority())
+      ++Reachable;
+  if (Reachable < majority())
     becomeFollower(Log.term(), "", Now);
 }
 
--- a/Source/Consensus/ConsensusMembership.cpp
+++ b/Source/Consensus/ConsensusMembership.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How the voters of a control group change.
+/// Membership changes of a control group.
 
 #include "Consensus/Consensus.h"
 
@@ -20,8 +20,8 @@
 
 } // namespace
 
-// Membership. One change at a time, so that any majority before it meets any
-// majority after it.
+// Only one membership change is pending at a time, so that any majority before
+// it overlaps any majority after it.
 
 Consensus::Peer Consensus::newPeer(const Member &Host, bool Voter,
                                    Millis Now) const {
@@ -37,13 +37,13 @@
       std::find(Options.Hosts.begin(), Options.Hosts.end(), Host.Name) ==
           Options.Hosts.end())
     return;
-  // Its former self won't answer any more; it stays in Voters, and so in the
-  // size of the majority, until the change is committed.
+  // The old disk of the host does not answer any more. It stays in Voters, and
+  // so in the size of the majority, until the change is committed.
   Peers[Host.Name] = newPeer(Host, false, Now);
   replicate(Peers[Host.Name], true);
 }
 
-bool Consensus::changeUnderWay() const {
+bool Consensus::isChangePending() const {
   return Log.votersIndex() > CommitIndex;
 }
 
@@ -61,42 +61,42 @@
   return Index;
 }
 
-// A host that comes back with an empty disk is fed first and counted only once
-// committed changes have put it in the place of its former self: the seat of
-// the lost disk becomes vacant, then the new disk takes it. A swap in one step
-// would let {old, B} and {A, new} both decide if the lost disk came back.
+// A host that restarts with an empty disk first receives the log. It counts as
+// a voter only after two committed changes: the seat of the lost disk becomes
+// vacant, and then the new disk takes it. A replacement in one step would let
+// {old, B} and {A, new} both form a majority if the lost disk came back.
 void Consensus::replaceCaughtUpLearners(Millis Now) {
-  if (!isReadyLeader() || changeUnderWay())
+  if (!isReadyLeader() || isChangePending())
     return;
   for (const auto &[Name, Each] : Peers) {
     if (Each.Voter || Each.Match < CommitIndex)
       continue;
     const Member *Seat = findByName(Voters, Name);
-    // Without a seat it waits for the operator's command, but in an open
-    // group.
+    // In a listed group, a host without a seat waits for the command of the
+    // operator.
     if (Seat == nullptr && Options.Membership == MembershipMode::Listed)
       continue;
     Members Next = Voters;
     if (Seat == nullptr) {
       Next.push_back(Each.Identity);
     } else {
-      const Member Taken =
+      const Member Replacement =
           Seat->isVacant() ? Each.Identity : Member{Name, VacantDisk};
-      std::replace(Next.begin(), Next.end(), *Seat, Taken);
+      std::replace(Next.begin(), Next.end(), *Seat, Replacement);
     }
     static_cast<void>(appendVoters(std::move(Next), Now));
     return;
   }
 }
 
-// A host that is gone for good counts in the size of the majority until it's
-// taken out. With an even number of voters its seat is worth nothing: the
-// majority of one voter less is one smaller, so as many others may fail, and
-// no fewer disks hold what is committed than one more than half of the rest.
-// With an odd number it stays: it may only be cut off.
+// A host that is permanently lost counts towards the size of the majority until
+// it is removed. With an even number of voters its seat adds no fault
+// tolerance: the majority of one voter fewer is one smaller, so as many others
+// may fail, and committed entries are still on more than half of the remaining
+// disks. With an odd number the voter stays, since it may only be partitioned.
 void Consensus::removeSilentVoter(Millis Now) {
   if (Options.Membership != MembershipMode::Open || !isReadyLeader() ||
-      changeUnderWay() || Voters.size() % 2 != 0)
+      isChangePending() || Voters.size() % 2 != 0)
     return;
   for (const Member &Each : Voters) {
     if (Each == self())
@@ -124,7 +124,7 @@
 
 bool Consensus::survivesDiskLoss(std::uint64_t Index,
                                  std::size_t LostDisks) const {
-  return Index <= CommitIndex && !changeUnderWay() &&
+  return Index <= CommitIndex && !isChangePending() &&
          Voters.size() > 2 * LostDisks && disksHolding(Index) > LostDisks;
 }
 
@@ -165,7 +165,7 @@
 Expected<void> Consensus::checkChange(Millis Now) const {
   if (!isReadyLeader() || Failure)
     return fail(ErrorCode::Unavailable, notLeaderReason(Now));
-  if (changeUnderWay())
+  if (isChangePending())
     return fail(ErrorCode::Conflict,
                 "another change of the control group is under way: entry " +
                     std::to_string(Log.votersIndex()) + " isn't committed yet");
@@ -173,27 +173,29 @@
 }
 
 Expected<std::uint64_t> Consensus::changeVoters(Members Next, Millis Now) {
-  // A group that can't commit the change that made it could never undo it.
-  std::size_t Heard = 0;
+  // A group that cannot commit the change that created it could never undo that
+  // change.
+  std::size_t Reachable = 0;
   for (const Member &Each : Next) {
     const auto Known = Peers.find(Each.Name);
     if (Each == self() ||
         (Known != Peers.end() && Known->second.Identity == Each &&
          Now - Known->second.LastReply < Options.ElectionTimeout))
-      ++Heard;
+      ++Reachable;
   }
-  if (Heard < Next.size() / 2 + 1)
+  if (Reachable < Next.size() / 2 + 1)
     return fail(ErrorCode::Conflict,
                 "the group would stand still: of " +
                     std::to_string(Next.size()) + " control hosts only " +
-                    std::to_string(Heard) + " would answer");
+                    std::to_string(Reachable) + " would answer");
   return appendVoters(std::move(Next), Now);
 }
 
 void Consensus::stepDownIfRemoved(Millis Now) {
-  if (isVoter(self()) || changeUnderWay())
+  if (isVoter(self()) || isChangePending())
     return;
-  // The others learn that the change is committed, then one of them leads.
+  // The others receive the commit of the change, and one of them becomes
+  // leader.
   startRound(Now);
   becomeFollower(Log.term(), "", Now);
 }
--- a/Source/Consensus/Messages.cpp
+++ b/Source/Consensus/Messages.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Members as text.
+/// Formatting of group members.
 
 #include "Consensus/Messages.h"
 
--- a/Source/Consensus/Messages.h
+++ b/Source/Consensus/Messages.h
@@ -1,5 +1,5 @@
 /// \file
-/// What control hosts tell each other to agree on one log.
+/// Messages by which the control hosts agree on one log.
 
 #ifndef CORIANDERDYKE_CONSENSUS_MESSAGES_H
 #define CORIANDERDYKE_CONSENSUS_MESSAGES_H
@@ -12,15 +12,16 @@
 
 namespace corianderdyke {
 
-/// A control host as a member of the group. A host that comes back with an
-/// empty disk has a new DiskId: its former self's votes and entries are gone,
-/// so it mustn't be counted for them.
+/// A control host as a member of the group. A host that restarts with an empty
+/// disk gets a new DiskId: the votes and entries of its old disk are lost, so
+/// it must not be counted for them.
 struct Member {
   std::string Name;
   std::string DiskId; ///< Empty for a vacant seat.
 
-  /// A vacant seat counts in the size of the majority and never answers: a
-  /// lost disk is out of the group and its host's next disk has yet to enter.
+  /// A vacant seat counts towards the size of the majority and never answers.
+  /// It stands for a lost disk whose replacement on the same host has not been
+  /// admitted yet.
   bool isVacant() const { return DiskId.empty(); }
 
   auto operator<=>(const Member &) const = default;
@@ -29,16 +30,16 @@
 
 using Members = std::vector<Member>;
 
-/// The names of the members, for people.
+/// The names of the members as human-readable text.
 std::string describe(const Members &All);
 
 /// The DiskId of a vacant seat.
 inline constexpr const char *VacantDisk = "";
 
 enum class EntryKind : std::uint8_t {
-  Empty,      ///< A new leader's first entry.
+  Empty,      ///< First entry of a new leader.
   Command,    ///< Bytes for the state machine.
-  Membership, ///< An encoded Members that holds from this entry on.
+  Membership, ///< Encoded Members, in force from this entry on.
 };
 
 struct Entry {
@@ -53,9 +54,9 @@
   }
 };
 
-/// Asks for a vote. With PreVote set it asks only whether a vote would be
-/// given, and changes nobody's term: a host that returns from a partition
-/// can't topple a working leader with its high term.
+/// Requests a vote. With PreVote set it only asks whether a vote would be
+/// granted and changes no term, so that a host that returns from a partition
+/// with a high term cannot depose a working leader.
 struct VoteRequest {
   std::uint64_t Term = 0;
   bool PreVote = false;
@@ -79,14 +80,14 @@
   }
 };
 
-/// Entries, or a heartbeat where there are none.
+/// Log entries, or a heartbeat if Entries is empty.
 struct AppendRequest {
   std::uint64_t Term = 0;
   std::uint64_t PreviousIndex = 0;
   std::uint64_t PreviousTerm = 0;
   std::uint64_t CommitIndex = 0;
-  /// Counts the leader's rounds; its echo proves that the leader was still
-  /// followed after the round began.
+  /// Number of the heartbeat round of the leader. A reply that echoes it proves
+  /// that the sender still followed the leader after the round began.
   std::uint64_t Round = 0;
   std::vector<Entry> Entries;
 
@@ -99,8 +100,8 @@
 struct AppendReply {
   std::uint64_t Term = 0;
   bool Matched = false;
-  /// The last index known to be the leader's too; where Matched is false, an
-  /// index from which the leader may try again.
+  /// The last index at which the log is known to match that of the leader. If
+  /// Matched is false, an index from which the leader may retry.
   std::uint64_t MatchIndex = 0;
   std::uint64_t Round = 0;
 
@@ -110,8 +111,8 @@
   }
 };
 
-/// The state up to an index, for a host whose log ends before the leader's
-/// begins.
+/// The state up to an index, for a host whose log ends before the first entry
+/// that the leader still holds.
 struct SnapshotInstall {
   std::uint64_t Term = 0;
   std::uint64_t LastIndex = 0;
@@ -126,12 +127,12 @@
   }
 };
 
-/// Sent by a host without a group to those that its settings name, and
-/// answered with what the receiver knows.
+/// Sent by a host without a group to the hosts in its settings. The reply
+/// carries the voters that the receiver knows.
 struct GroupDiscovery {
-  /// Empty where the sender has no group either.
+  /// Empty if the sender has no group either.
   Members Voters;
-  /// Index of the entry that Voters stand in; 1 for the founders.
+  /// Index of the entry that holds Voters; 1 for the founding members.
   std::uint64_t VotersIndex = 0;
   bool IsReply = false;
 
--- a/Source/Consensus/ReadBarriers.cpp
+++ b/Source/Consensus/ReadBarriers.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What waits for a majority to confirm that this host still leads.
+/// Handlers of reads that wait until a majority confirms that this host still
+/// leads.
 
 #include "Consensus/ReadBarriers.h"
 
@@ -37,7 +38,7 @@
     OnDone(notLeading());
 }
 
-// A handler may begin another read.
+// The handler is removed before it runs, because it may begin another read.
 void ReadBarriers::end(std::uint64_t Ticket, const Expected<void> &Result) {
   const auto Found = PendingHandlers.find(Ticket);
   if (Found == PendingHandlers.end())
--- a/Source/Consensus/ReadBarriers.h
+++ b/Source/Consensus/ReadBarriers.h
@@ -1,5 +1,6 @@
 /// \file
-/// What waits for a majority to confirm that this host still leads.
+/// Handlers of reads that wait until a majority confirms that this host still
+/// leads.
 
 #ifndef CORIANDERDYKE_CONSENSUS_READBARRIERS_H
 #define CORIANDERDYKE_CONSENSUS_READBARRIERS_H
@@ -11,20 +12,21 @@
 
 namespace corianderdyke {
 
-/// Handlers of reads by their tickets. Each runs once: with success when the
-/// agreement has confirmed its read, else with why it can't.
+/// Keeps the handlers of pending reads by ticket. Each handler runs once: with
+/// success when the read is confirmed, otherwise with the error.
 class ReadBarriers {
 public:
   using Handler = std::function<void(const Expected<void> &)>;
 
-  /// Begins a read; Unavailable where this host doesn't lead, and the handler
-  /// isn't kept then.
+  /// Begins a read. Returns Unavailable if this host does not lead; the handler
+  /// is then not kept.
   Expected<void> await(Consensus &Agreement, Millis Now, Handler OnDone);
 
-  /// Runs the handlers of the reads that these outputs end.
+  /// Runs the handlers of the reads that \p Ended confirms or fails.
   void finish(const ConsensusOutputs &Ended);
 
-  /// This host leads no more: ends all that wait as Unavailable.
+  /// Fails all pending reads as Unavailable because this host has lost the
+  /// leadership.
   void failAll();
 
 private:
--- a/Source/Consensus/ReplicatedLog.cpp
+++ b/Source/Consensus/ReplicatedLog.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The entries, term and vote of one control host, kept on its disk.
+/// Durable entries, term and vote of one control host.
 
 #include "Consensus/ReplicatedLog.h"
 
@@ -47,7 +47,7 @@
 } // namespace
 
 Expected<void> ReplicatedLog::load(const std::string &FreshDiskId) {
-  const auto Content = Records.load();
+  const auto Content = DurableJournal.load();
   if (!Content)
     return tl::unexpected(Content.error());
   if (auto Done = loadSnapshot(Content->Snapshot); !Done)
@@ -55,24 +55,24 @@
   for (const std::string &Bytes : Content->Records)
     if (auto Done = loadRecord(Bytes); !Done)
       return Done;
-  const auto InStep = reconcileWithSnapshot();
-  if (!InStep)
-    return tl::unexpected(InStep.error());
+  const auto IsConsistent = reconcileWithSnapshot();
+  if (!IsConsistent)
+    return tl::unexpected(IsConsistent.error());
   if (Content->TailDamaged)
     if (auto Done = replaceDamagedDiskId(FreshDiskId); !Done)
       return Done;
-  if (Content->TailDamaged || !*InStep)
+  if (Content->TailDamaged || !*IsConsistent)
     return rewrite();
   if (!DiskId.empty())
     return {};
   DiskId = FreshDiskId;
-  return Records.append({recordOf(IdentityRecord{DiskId})});
+  return DurableJournal.append({recordOf(IdentityRecord{DiskId})});
 }
 
 Expected<void> ReplicatedLog::reload() {
-  if (auto Done = Records.repair(); !Done)
+  if (auto Done = DurableJournal.repair(); !Done)
     return Done;
-  const std::string Former = DiskId;
+  const std::string OldDiskId = DiskId;
   Entries.clear();
   SnapshotIndex = 0;
   SnapshotTerm = 0;
@@ -80,7 +80,7 @@
   SnapshotState.clear();
   Term = 0;
   VotedFor.clear();
-  return load(Former);
+  return load(OldDiskId);
 }
 
 Expected<void> ReplicatedLog::loadSnapshot(const std::string &Bytes) {
@@ -106,8 +106,8 @@
     Term = State->Term;
     VotedFor = State->VotedFor;
   }
-  if (const auto *Cut = std::get_if<TruncationRecord>(&*Record))
-    dropFrom(Cut->FromIndex);
+  if (const auto *Truncation = std::get_if<TruncationRecord>(&*Record))
+    dropFrom(Truncation->FromIndex);
   const auto *Next = std::get_if<Entry>(&*Record);
   if (Next == nullptr)
     return {};
@@ -119,10 +119,11 @@
   return {};
 }
 
-// A crash between the two files of a replacement leaves the new snapshot and
-// the old journal. Its entries behind the snapshot belong to the same log only
-// where its entry at the snapshot's index does. What was begun is completed,
-// so that the next start finds the two in step.
+// A crash between writing the two files of a replacement leaves the new
+// snapshot and the old journal. The journal entries after the snapshot belong
+// to the same log only if the journal also contains the last entry of the
+// snapshot. The interrupted replacement is completed, so that the next start
+// finds consistent files.
 Expected<bool> ReplicatedLog::reconcileWithSnapshot() {
   if (Entries.empty() || Entries.front().Index == SnapshotIndex + 1)
     return true;
@@ -167,7 +168,7 @@
     return {};
   Term = NewTerm;
   VotedFor = Vote;
-  return Records.append({recordOf(TermRecord{Term, VotedFor})});
+  return DurableJournal.append({recordOf(TermRecord{Term, VotedFor})});
 }
 
 std::uint64_t ReplicatedLog::lastIndex() const {
@@ -214,12 +215,12 @@
     Entries.push_back(Each);
     Bytes.push_back(recordOf(Each));
   }
-  return Records.append(Bytes);
+  return DurableJournal.append(Bytes);
 }
 
 Expected<void> ReplicatedLog::truncateFrom(std::uint64_t Index) {
   dropFrom(Index);
-  return Records.append({recordOf(TruncationRecord{Index})});
+  return DurableJournal.append({recordOf(TruncationRecord{Index})});
 }
 
 void ReplicatedLog::dropFrom(std::uint64_t Index) {
@@ -229,11 +230,11 @@
 
 Expected<void> ReplicatedLog::compact(std::uint64_t Index, Members Voters,
                                       std::string State) {
-  const auto KeptTerm = termAt(Index);
-  if (!KeptTerm || Index <= SnapshotIndex)
+  const auto SnapshotEntryTerm = termAt(Index);
+  if (!SnapshotEntryTerm || Index <= SnapshotIndex)
     return {};
   SnapshotIndex = Index;
-  SnapshotTerm = *KeptTerm;
+  SnapshotTerm = *SnapshotEntryTerm;
   SnapshotVoters = std::move(Voters);
   SnapshotState = std::move(State);
   dropCoveredEntries();
@@ -245,8 +246,9 @@
   SnapshotTerm = Snapshot.LastTerm;
   SnapshotVoters = Snapshot.Voters;
   SnapshotState = Snapshot.State;
-  // A late snapshot mustn't drop entries behind it that this host has
-  // acknowledged: the leader may have committed them by that answer.
+  // A late snapshot must not drop later entries that this host has
+  // acknowledged, because the leader may have committed them on the basis of
+  // that acknowledgement.
   dropCoveredEntries();
   return rewrite();
 }
@@ -256,9 +258,10 @@
                                    recordOf(TermRecord{Term, VotedFor})};
   for (const Entry &Each : Entries)
     Kept.push_back(recordOf(Each));
-  return Records.replace(encode(SnapshotRecord{SnapshotIndex, SnapshotTerm,
-                                               SnapshotVoters, SnapshotState}),
-                         Kept);
+  return DurableJournal.replace(
+      encode(SnapshotRecord{SnapshotIndex, SnapshotTerm, SnapshotVoters,
+                            SnapshotState}),
+      Kept);
 }
 
 std::uint64_t ReplicatedLog::votersIndex() const {
--- a/Source/Consensus/ReplicatedLog.h
+++ b/Source/Consensus/ReplicatedLog.h
@@ -1,5 +1,5 @@
 /// \file
-/// The entries, term and vote of one control host, kept on its disk.
+/// Durable entries, term and vote of one control host.
 
 #ifndef CORIANDERDYKE_CONSENSUS_REPLICATEDLOG_H
 #define CORIANDERDYKE_CONSENSUS_REPLICATEDLOG_H
@@ -11,18 +11,21 @@
 
 namespace corianderdyke {
 
-/// Durable state of the agreement. Every change is synced before the method
-/// returns, so that nothing is promised to another host from memory alone.
+/// Durable consensus state. Every change is synced before the method returns,
+/// so that no message to another host depends on state that exists only in
+/// memory.
 class ReplicatedLog {
 public:
-  explicit ReplicatedLog(Journal &Journal) : Records(Journal) {}
+  explicit ReplicatedLog(Journal &Journal) : DurableJournal(Journal) {}
 
-  /// Reads what the disk holds; makes and keeps a DiskId where it's empty. A
-  /// disk whose last batch is damaged gets a new one too: the batch may have
-  /// held a vote or entries that others count on, so its host must join anew.
+  /// Reads the state from the disk, and assigns and stores \p FreshDiskId if
+  /// the disk is empty. A disk whose last batch is damaged also gets a new
+  /// DiskId: the batch may have held a vote or entries that other hosts rely
+  /// on, so the host must join again.
   Expected<void> load(const std::string &FreshDiskId);
 
-  /// After a failed write: drops from memory what the disk doesn't hold.
+  /// Recovers from a failed write: discards the state in memory that is not on
+  /// the disk.
   Expected<void> reload();
 
   const std::string &diskId() const { return DiskId; }
@@ -32,50 +35,52 @@
 
   std::uint64_t lastIndex() const;
   std::uint64_t lastTerm() const;
-  /// Index of the last entry that the snapshot stands for.
+  /// Index of the last entry that the snapshot covers.
   std::uint64_t snapshotIndex() const { return SnapshotIndex; }
   std::uint64_t snapshotTerm() const { return SnapshotTerm; }
   const std::string &snapshotState() const { return SnapshotState; }
   const Members &snapshotVoters() const { return SnapshotVoters; }
 
-  /// Term of an entry; nothing where the index is neither in the log nor the
-  /// snapshot's last.
+  /// Term of an entry, or std::nullopt if the index is neither in the log nor
+  /// the last index of the snapshot.
   std::optional<std::uint64_t> termAt(std::uint64_t Index) const;
   const Entry *entryAt(std::uint64_t Index) const;
-  /// Entries from \p First on, up to about \p MaxBytes.
+  /// Returns entries from \p First on, limited to about \p MaxBytes.
   std::vector<Entry> entriesFrom(std::uint64_t First,
                                  std::size_t MaxBytes) const;
 
   Expected<void> append(const std::vector<Entry> &New);
   /// Drops the entries from \p Index on.
   Expected<void> truncateFrom(std::uint64_t Index);
-  /// Lets \p State stand for all up to \p Index; later entries stay.
+  /// Replaces all entries up to \p Index by the snapshot \p State. Later
+  /// entries stay.
   Expected<void> compact(std::uint64_t Index, Members Voters,
                          std::string State);
-  /// Takes another host's snapshot. Entries behind it stay where this log
-  /// holds its last entry too; otherwise the whole log goes.
+  /// Installs a snapshot of another host. Later entries stay if this log
+  /// contains the last entry of the snapshot; otherwise the whole log is
+  /// dropped.
   Expected<void> install(const SnapshotInstall &Snapshot);
 
-  /// The voters in force: those of the last membership entry, committed or
-  /// not, else the snapshot's. Empty before the group is founded.
+  /// The voters in force: those of the last membership entry, committed or not,
+  /// otherwise those of the snapshot. Empty before the group is founded.
   Members voters() const;
-  /// Index of the last membership entry, the snapshot's where there's none.
+  /// Index of the last membership entry, or of the snapshot if there is none.
   std::uint64_t votersIndex() const;
 
   /// Bytes in the journal file.
-  std::size_t journalBytes() const { return Records.size(); }
+  std::size_t journalBytes() const { return DurableJournal.size(); }
 
 private:
   Expected<void> loadSnapshot(const std::string &Bytes);
   Expected<void> loadRecord(const std::string &Bytes);
-  /// False where a replacement was interrupted and has to be completed.
+  /// Returns false if a replacement was interrupted and must be completed.
   Expected<bool> reconcileWithSnapshot();
   Expected<void> replaceDamagedDiskId(const std::string &FreshDiskId);
   void dropCoveredEntries();
   void dropFrom(std::uint64_t Index);
   Expected<void> rewrite();
 
-  Journal &Records;
+  Journal &DurableJournal;
   std::string DiskId;
   std::uint64_t Term = 0;
   std::string VotedFor;
