--- a/Source/Failover/FailoverCoordinator.cpp
+++ b/Source/Failover/FailoverCoordinator.cpp
@@ -10,21 +10,23 @@
 
 namespace {
 
-/// An order without an answer is sent again after this long.
-constexpr Millis CallAgainAfter(150);
-/// A proposal normally commits within a few milliseconds.
-constexpr Millis ProposeAgainAfter(1000);
-/// How many times SuspectAfter a group with too few targets waits before its
-/// manifest's promote-with-loss policy applies.
-constexpr std::int64_t TooFewPatience = 10;
-/// A hand-over waits for what runs at the leaving primary, but not longer.
-constexpr Millis DrainAtMost(10000);
-/// The former primary is chosen again only where the others don't answer
-/// within this time.
-constexpr Millis OthersFirst(150);
+/// Interval after which an unanswered order is sent again.
+constexpr Millis OrderRetryInterval(150);
+/// Interval between two equal proposals. A proposal normally commits within a
+/// few milliseconds.
+constexpr Millis ProposalRetryInterval(1000);
+/// Number of SuspectAfter intervals that a group with too few targets waits
+/// before the promote-with-loss policy of its manifest applies.
+constexpr std::int64_t ShortageWaitFactor = 10;
+/// Maximum time that a hand-over waits for the work that runs at the leaving
+/// primary.
+constexpr Millis MaxDrainTime(10000);
+/// Time during which the former primary is not a candidate while other targets
+/// may still answer.
+constexpr Millis FormerPrimaryDelay(150);
 
-/// Higher log term first: a target that followed a fork may hold a higher
-/// position of a term that lost.
+/// Compares the log term first: a target that followed an abandoned fork may
+/// hold a higher position in it.
 bool isBehind(const TargetPosition &Left, const TargetPosition &Right) {
   return std::pair(Left.LogTerm, Left.Position) <
          std::pair(Right.LogTerm, Right.Position);
@@ -34,16 +36,16 @@
 
 bool isSuspected(const std::string &Target, const LeaseRegistry &Leases,
                  const FailoverPolicy &Policy, Millis Now) {
-  std::size_t Live = 0;
-  std::size_t Against = 0;
+  std::size_t LiveProxies = 0;
+  std::size_t ReportingProxies = 0;
   for (const auto &[Id, Holder] : Leases.holders()) {
     if (Now - Holder.LastRequestAt > Policy.LeaseDuration || !Holder.hasView())
       continue;
-    ++Live;
+    ++LiveProxies;
     if (Holder.unhealthyReport(Target) != nullptr)
-      ++Against;
+      ++ReportingProxies;
   }
-  return Live > 0 && Against * 2 > Live;
+  return LiveProxies > 0 && ReportingProxies * 2 > LiveProxies;
 }
 
 FailoverActions FailoverCoordinator::step(const ClusterView &View,
@@ -56,302 +58,327 @@
     const GroupRecord *Group = View.group(Policy.Name);
     if (Group == nullptr)
       continue;
-    GroupState &Of = Databases[Policy.Name];
-    Progress &At = Of.At;
-    if (At.Term != Group->Term || At.Phase != Group->Phase ||
-        At.Revision == 0) {
-      if (At.Phase == GroupPhase::Promoted)
-        Of.Pace.recordReplacement(Now);
-      At = Progress();
-      At.Term = Group->Term;
-      At.Phase = Group->Phase;
-      At.Since = Now;
-      At.Revision = View.Revision;
+    GroupState &State = Databases[Policy.Name];
+    Progress &Current = State.Current;
+    if (Current.Term != Group->Term || Current.Phase != Group->Phase ||
+        Current.Revision == 0) {
+      if (Current.Phase == GroupPhase::Promoted)
+        State.Backoff.recordReplacement(Now);
+      Current = Progress();
+      Current.Term = Group->Term;
+      Current.Phase = Group->Phase;
+      Current.Since = Now;
+      Current.Revision = View.Revision;
     }
-    const Step In{View, *Group, Policy, Leases, Now, Out};
+    const StepContext Context{View, *Group, Policy, Leases, Now, Out};
     switch (Group->Phase) {
     case GroupPhase::Forming:
-      stepForming(In, At);
+      stepForming(Context, Current);
       break;
     case GroupPhase::Promoted:
-      stepPromoted(In, Of);
+      stepPromoted(Context, State);
       break;
     case GroupPhase::Draining:
-      stepDraining(In, Of);
+      stepDraining(Context, State);
       break;
     case GroupPhase::Fencing:
-      stepFencing(In, Of);
+      stepFencing(Context, State);
       break;
     }
   }
   return Out;
 }
 
-void FailoverCoordinator::stepForming(const Step &In, Progress &At) {
-  if (In.View.targetsOf(In.Group.Database).size() <
-          In.Group.failoverQuorum(In.Policy) ||
-      In.Now < At.ProposedUntil)
+void FailoverCoordinator::stepForming(const StepContext &Context,
+                                      Progress &Current) {
+  if (Context.View.targetsOf(Context.Group.Database).size() <
+          Context.Group.failoverQuorum(Context.Policy) ||
+      Context.Now < Current.ProposedUntil)
     return;
-  At.ProposedUntil = In.Now + ProposeAgainAfter;
-  In.Out.Proposals.push_back(
-      FenceGroup{In.Group.Database, In.Group.Term + 1, "first primary"});
+  Current.ProposedUntil = Context.Now + ProposalRetryInterval;
+  Context.Out.Proposals.push_back(FenceGroup{
+      Context.Group.Database, Context.Group.Term + 1, "first primary"});
 }
 
-std::string FailoverCoordinator::reasonToReplace(const Step &In,
-                                                 GroupState &Of) {
-  const std::string &Name = In.Group.Primary;
-  const TargetAnnouncement *Primary = In.View.target(Name);
+std::string FailoverCoordinator::reasonToReplace(const StepContext &Context,
+                                                 GroupState &State) {
+  const std::string &Name = Context.Group.Primary;
+  const TargetAnnouncement *Primary = Context.View.target(Name);
   if (Primary == nullptr)
     return Name + " is gone";
-  // A primary that restarted may have lost its log or the end of it. Given
-  // the same term again it would use positions twice, and copies of what its
-  // former life wrote would pass for copies of what it writes now.
+  // A primary that restarted may have lost all or the end of its log. If it got
+  // the same term again, it would use positions twice, and copies of writes of
+  // its former incarnation would be taken for copies of its new writes.
   const bool Restarted =
-      !Primary->Leaving && Primary->Sequence != In.Group.PrimarySequence;
-  const FailoverPolicy &Limits = In.View.CurrentManifest->Failover;
-  if (!Restarted && !isSuspected(Name, In.Leases, Limits, In.Now)) {
-    Of.At.SuspectedSince.reset();
+      !Primary->Leaving && Primary->Sequence != Context.Group.PrimarySequence;
+  const FailoverPolicy &Policy = Context.View.CurrentManifest->Failover;
+  if (!Restarted && !isSuspected(Name, Context.Leases, Policy, Context.Now)) {
+    State.Current.SuspectedSince.reset();
     return "";
   }
-  if (!Of.At.SuspectedSince)
-    Of.At.SuspectedSince = In.Now;
-  if (In.Now - *Of.At.SuspectedSince <
-      Of.Pace.delay(Limits.SuspectAfter, In.Now))
+  if (!State.Current.SuspectedSince)
+    State.Current.SuspectedSince = Context.Now;
+  if (Context.Now - *State.Current.SuspectedSince <
+      State.Backoff.delay(Policy.SuspectAfter, Context.Now))
     return "";
   return Name + (Restarted
                      ? " has restarted"
                      : " can't be reached, or can't copy to its replicas");
 }
 
-void FailoverCoordinator::stepPromoted(const Step &In, GroupState &Of) {
-  const std::string Reason = reasonToReplace(In, Of);
+void FailoverCoordinator::stepPromoted(const StepContext &Context,
+                                       GroupState &State) {
+  const std::string Reason = reasonToReplace(Context, State);
   if (!Reason.empty()) {
-    if (In.Now < Of.At.ProposedUntil)
+    if (Context.Now < State.Current.ProposedUntil)
       return;
-    Of.At.ProposedUntil = In.Now + ProposeAgainAfter;
-    Of.Replaced = In.Group.Primary;
-    In.Out.Proposals.push_back(
-        FenceGroup{In.Group.Database, In.Group.Term + 1, Reason});
+    State.Current.ProposedUntil = Context.Now + ProposalRetryInterval;
+    State.Replaced = Context.Group.Primary;
+    Context.Out.Proposals.push_back(
+        FenceGroup{Context.Group.Database, Context.Group.Term + 1, Reason});
     return;
   }
-  if (In.View.target(In.Group.Primary)->Leaving)
-    return startHandOver(In, Of.At);
-  assignRoles(In, Of.At);
-  confirmCaughtUpTargets(In, Of.At);
+  if (Context.View.target(Context.Group.Primary)->Leaving)
+    return startHandOver(Context, State.Current);
+  assignRoles(Context, State.Current);
+  confirmCaughtUpTargets(Context, State.Current);
 }
 
-void FailoverCoordinator::startHandOver(const Step &In, Progress &At) {
-  // Begun without enough others, a hand-over would end in a group that
-  // stands still: its primary is better kept until they are there.
-  const GroupRecord &Group = In.Group;
+void FailoverCoordinator::startHandOver(const StepContext &Context,
+                                        Progress &Current) {
+  // A hand-over without enough other targets would leave the group without a
+  // primary. The primary is kept until the other targets are available.
+  const GroupRecord &Group = Context.Group;
   std::size_t Ready = 0;
-  for (const TargetAnnouncement &Each : In.View.targetsOf(Group.Database))
+  for (const TargetAnnouncement &Each : Context.View.targetsOf(Group.Database))
     if (Group.isLogComplete(Each) &&
-        !isSuspected(Each.Name, In.Leases, In.View.CurrentManifest->Failover,
-                     In.Now))
+        !isSuspected(Each.Name, Context.Leases,
+                     Context.View.CurrentManifest->Failover, Context.Now))
       ++Ready;
-  const std::size_t Needed = In.Group.failoverQuorum(In.Policy);
-  const std::string Who = Group.Primary + " is leaving";
+  const std::size_t Needed = Context.Group.failoverQuorum(Context.Policy);
+  const std::string LeavingReason = Group.Primary + " is leaving";
   if (Ready < Needed) {
-    if (!std::exchange(At.ShortageRecorded, true))
-      In.Out.Proposals.push_back(
+    if (!std::exchange(Current.ShortageRecorded, true))
+      Context.Out.Proposals.push_back(
           RecordAuditEvent{"hand-over-waiting", Group.Database,
-                           Who + "; " + std::to_string(Ready) +
+                           LeavingReason + "; " + std::to_string(Ready) +
                                " other targets can take over, " +
                                std::to_string(Needed) + " are needed"});
     return;
   }
-  if (In.Now < At.ProposedUntil)
+  if (Context.Now < Current.ProposedUntil)
     return;
-  At.ProposedUntil = In.Now + ProposeAgainAfter;
-  In.Out.Proposals.push_back(DrainGroup{Group.Database, Group.Term, Who});
+  Current.ProposedUntil = Context.Now + ProposalRetryInterval;
+  Context.Out.Proposals.push_back(
+      DrainGroup{Group.Database, Group.Term, LeavingReason});
 }
 
-void FailoverCoordinator::stepDraining(const Step &In, GroupState &Of) {
-  // What runs ends by its own deadline or by the bound of idle transactions.
-  // One caller must not keep all others waiting for longer.
-  const std::string Failed = reasonToReplace(In, Of);
+void FailoverCoordinator::stepDraining(const StepContext &Context,
+                                       GroupState &State) {
+  // Running work ends by its own deadline or by the limit on idle transactions.
+  // One caller must not delay all others for longer than MaxDrainTime.
+  const std::string Failed = reasonToReplace(Context, State);
   const bool Drained =
-      In.Leases.isDrained(In.View, In.Group.Database, Of.At.Revision, In.Now);
-  if ((Failed.empty() && !Drained && In.Now - Of.At.Since < DrainAtMost) ||
-      In.Now < Of.At.ProposedUntil)
+      Context.Leases.isDrained(Context.View, Context.Group.Database,
+                               State.Current.Revision, Context.Now);
+  if ((Failed.empty() && !Drained &&
+       Context.Now - State.Current.Since < MaxDrainTime) ||
+      Context.Now < State.Current.ProposedUntil)
     return;
-  Of.At.ProposedUntil = In.Now + ProposeAgainAfter;
-  In.Out.Proposals.push_back(FenceGroup{
-      In.Group.Database, In.Group.Term + 1,
-      Failed.empty() ? In.Group.Primary + " has handed over" : Failed});
+  State.Current.ProposedUntil = Context.Now + ProposalRetryInterval;
+  Context.Out.Proposals.push_back(FenceGroup{
+      Context.Group.Database, Context.Group.Term + 1,
+      Failed.empty() ? Context.Group.Primary + " has handed over" : Failed});
 }
 
-bool FailoverCoordinator::mayCall(const std::string &Target, Progress &At,
-                                  Millis Now) {
-  const auto Called = At.CalledAt.find(Target);
-  if (Called != At.CalledAt.end() && Now - Called->second < CallAgainAfter)
+bool FailoverCoordinator::shouldSendOrder(const std::string &Target,
+                                          Progress &Current, Millis Now) {
+  const auto LastOrder = Current.OrderedAt.find(Target);
+  if (LastOrder != Current.OrderedAt.end() &&
+      Now - LastOrder->second < OrderRetryInterval)
     return false;
-  At.CalledAt[Target] = Now;
+  Current.OrderedAt[Target] = Now;
   return true;
 }
 
-void FailoverCoordinator::assignRoles(const Step &In, Progress &At) {
-  const GroupRecord &Group = In.Group;
-  const TargetAnnouncement &Primary = *In.View.target(Group.Primary);
+void FailoverCoordinator::assignRoles(const StepContext &Context,
+                                      Progress &Current) {
+  const GroupRecord &Group = Context.Group;
+  const TargetAnnouncement &Primary = *Context.View.target(Group.Primary);
   if (Primary.Sequence != Group.PrimarySequence)
     return;
-  for (const TargetAnnouncement &Each : In.View.targetsOf(Group.Database)) {
-    const auto Done = At.Confirmed.find(Each.Name);
-    if ((Done != At.Confirmed.end() && Done->second >= Each.Sequence) ||
-        !mayCall(Each.Name, At, In.Now))
+  for (const TargetAnnouncement &Each :
+       Context.View.targetsOf(Group.Database)) {
+    const auto Confirmation = Current.Confirmed.find(Each.Name);
+    if ((Confirmation != Current.Confirmed.end() &&
+         Confirmation->second >= Each.Sequence) ||
+        !shouldSendOrder(Each.Name, Current, Context.Now))
       continue;
-    In.Out.Orders.push_back({Each.Name == Group.Primary
-                                 ? TargetOrderKind::Promote
-                                 : TargetOrderKind::Follow,
-                             Each, Group.Term, Primary.Address, Group.Forks});
+    Context.Out.Orders.push_back(
+        {Each.Name == Group.Primary ? TargetOrderKind::Promote
+                                    : TargetOrderKind::Follow,
+         Each, Group.Term, Primary.Address, Group.Forks});
   }
 }
 
-void FailoverCoordinator::confirmCaughtUpTargets(const Step &In, Progress &At) {
-  const GroupRecord &Group = In.Group;
-  const TargetAnnouncement &Primary = *In.View.target(Group.Primary);
-  for (const TargetAnnouncement &Each : In.View.targetsOf(Group.Database)) {
-    const bool Proven = Group.isLogComplete(Each) &&
-                        Group.UnverifiedTargets.count(Each.Name) == 0;
-    if (Proven || Each.Name == Group.Primary)
+void FailoverCoordinator::confirmCaughtUpTargets(const StepContext &Context,
+                                                 Progress &Current) {
+  const GroupRecord &Group = Context.Group;
+  const TargetAnnouncement &Primary = *Context.View.target(Group.Primary);
+  for (const TargetAnnouncement &Each :
+       Context.View.targetsOf(Group.Database)) {
+    const bool IsComplete = Group.isLogComplete(Each) &&
+                            Group.UnverifiedTargets.count(Each.Name) == 0;
+    if (IsComplete || Each.Name == Group.Primary)
       continue;
-    CatchUp &Of = At.CatchUps[Each.Name];
-    const std::uint64_t Version = In.View.CurrentManifest->Version;
-    if (Of.Revision == 0 || Of.LogId != Each.LogId ||
-        Of.ManifestVersion != Version)
-      Of = {Each.LogId, Version, In.View.Revision, false, std::nullopt, false};
-    if (!In.Leases.isInForce(In.View, Of.Revision, In.Now))
+    CatchUp &Check = Current.CatchUps[Each.Name];
+    const std::uint64_t Version = Context.View.CurrentManifest->Version;
+    if (Check.Revision == 0 || Check.LogId != Each.LogId ||
+        Check.ManifestVersion != Version)
+      Check = {Each.LogId, Version,      Context.View.Revision,
+               false,      std::nullopt, false};
+    if (!Context.Leases.isInForce(Context.View, Check.Revision, Context.Now))
       continue;
-    if (Of.Reached && In.Now >= At.ProposedUntil) {
-      At.ProposedUntil = In.Now + ProposeAgainAfter;
-      In.Out.Proposals.push_back(
+    if (Check.Reached && Context.Now >= Current.ProposedUntil) {
+      Current.ProposedUntil = Context.Now + ProposalRetryInterval;
+      Context.Out.Proposals.push_back(
           ConfirmTargetLog{Group.Database, Group.Term, Each.Name, Each.LogId});
     }
-    if (Of.Reached)
+    if (Check.Reached)
       continue;
-    // Asked again, each answers with its position and changes nothing.
-    const bool ToPrimary = !Of.PrimaryPosition;
-    const TargetAnnouncement &Called = ToPrimary ? Primary : Each;
-    if (!mayCall(Called.Name, At, In.Now))
+    // A repeated order only makes the target answer with its position.
+    const bool ToPrimary = !Check.PrimaryPosition;
+    const TargetAnnouncement &Recipient = ToPrimary ? Primary : Each;
+    if (!shouldSendOrder(Recipient.Name, Current, Context.Now))
       continue;
-    Of.PrimaryAsked = Of.PrimaryAsked || ToPrimary;
-    In.Out.Orders.push_back(
-        {ToPrimary ? TargetOrderKind::Promote : TargetOrderKind::Follow, Called,
-         Group.Term, Primary.Address, Group.Forks});
+    Check.PrimaryAsked = Check.PrimaryAsked || ToPrimary;
+    Context.Out.Orders.push_back(
+        {ToPrimary ? TargetOrderKind::Promote : TargetOrderKind::Follow,
+         Recipient, Group.Term, Primary.Address, Group.Forks});
   }
 }
 
 bool FailoverCoordinator::hasPosition(const TargetAnnouncement &Target,
-                                      const Progress &At) {
-  const auto Found = At.Readings.find(Target.Name);
-  return Found != At.Readings.end() &&
+                                      const Progress &Current) {
+  const auto Found = Current.Positions.find(Target.Name);
+  return Found != Current.Positions.end() &&
          Found->second.Sequence == Target.Sequence;
 }
 
 std::vector<TargetAnnouncement>
-FailoverCoordinator::targetsWithPosition(const Step &In, const Progress &At,
-                                         bool SettledOnly) {
+FailoverCoordinator::targetsWithPosition(const StepContext &Context,
+                                         const Progress &Current,
+                                         bool CompleteLogsOnly) {
   std::vector<TargetAnnouncement> Out;
-  for (const TargetAnnouncement &Each : In.View.targetsOf(In.Group.Database))
-    if (hasPosition(Each, At) && (!SettledOnly || In.Group.isLogComplete(Each)))
+  for (const TargetAnnouncement &Each :
+       Context.View.targetsOf(Context.Group.Database))
+    if (hasPosition(Each, Current) &&
+        (!CompleteLogsOnly || Context.Group.isLogComplete(Each)))
       Out.push_back(Each);
   return Out;
 }
 
-TargetAnnouncement
-FailoverCoordinator::mostAdvanced(const std::vector<TargetAnnouncement> &Of,
-                                  const Progress &At) {
-  return *std::max_element(
-      Of.begin(), Of.end(),
-      [&At](const TargetAnnouncement &Left, const TargetAnnouncement &Right) {
-        return isBehind(At.Readings.at(Left.Name).At,
-                        At.Readings.at(Right.Name).At);
-      });
+TargetAnnouncement FailoverCoordinator::mostAdvanced(
+    const std::vector<TargetAnnouncement> &Candidates,
+    const Progress &Current) {
+  return *std::max_element(Candidates.begin(), Candidates.end(),
+                           [&Current](const TargetAnnouncement &Left,
+                                      const TargetAnnouncement &Right) {
+                             return isBehind(
+                                 Current.Positions.at(Left.Name).Position,
+                                 Current.Positions.at(Right.Name).Position);
+                           });
 }
 
-void FailoverCoordinator::stepFencing(const Step &In, GroupState &Of) {
-  const GroupRecord &Group = In.Group;
-  Progress &At = Of.At;
-  // One that is leaving is told too, though it's no candidate any more.
-  for (const TargetAnnouncement &Each : In.View.allTargetsOf(Group.Database))
-    if (!hasPosition(Each, At) && mayCall(Each.Name, At, In.Now))
-      In.Out.Orders.push_back(
+void FailoverCoordinator::stepFencing(const StepContext &Context,
+                                      GroupState &State) {
+  const GroupRecord &Group = Context.Group;
+  Progress &Current = State.Current;
+  // A target that is leaving is fenced too, though it is no longer a candidate.
+  for (const TargetAnnouncement &Each :
+       Context.View.allTargetsOf(Group.Database))
+    if (!hasPosition(Each, Current) &&
+        shouldSendOrder(Each.Name, Current, Context.Now))
+      Context.Out.Orders.push_back(
           {TargetOrderKind::Fence, Each, Group.Term, Endpoint{}, Group.Forks});
-  // The former primary must be unable to be acknowledged anywhere before
-  // another takes its place.
-  if (!In.Leases.isInForce(In.View, At.Revision, In.Now) ||
-      In.Now < At.ProposedUntil)
+  // No write at the former primary may be acknowledged by any proxy once
+  // another primary takes its place.
+  if (!Context.Leases.isInForce(Context.View, Current.Revision, Context.Now) ||
+      Context.Now < Current.ProposedUntil)
     return;
-  // A target that came back without its log proves nothing by its position.
-  std::vector<TargetAnnouncement> Read = targetsWithPosition(In, At, true);
-  const std::size_t Readings = Read.size();
-  const std::size_t Needed = In.Group.failoverQuorum(In.Policy);
-  std::string Reason =
-      std::to_string(Readings) + " of " + std::to_string(In.Policy.Targets) +
-      " targets told their position, " + std::to_string(Needed) + " are needed";
-  if (Readings < Needed) {
-    const Millis Patience =
-        In.View.CurrentManifest->Failover.SuspectAfter * TooFewPatience;
-    if (In.Now - At.Since < Patience)
+  // The position of a target that came back without its log proves nothing.
+  std::vector<TargetAnnouncement> Candidates =
+      targetsWithPosition(Context, Current, true);
+  const std::size_t PositionCount = Candidates.size();
+  const std::size_t Needed = Context.Group.failoverQuorum(Context.Policy);
+  std::string Reason = std::to_string(PositionCount) + " of " +
+                       std::to_string(Context.Policy.Targets) +
+                       " targets told their position, " +
+                       std::to_string(Needed) + " are needed";
+  if (PositionCount < Needed) {
+    const Millis MaxWait = Context.View.CurrentManifest->Failover.SuspectAfter *
+                           ShortageWaitFactor;
+    if (Context.Now - Current.Since < MaxWait)
       return;
-    Read = targetsWithPosition(In, At, false);
-    if (Read.empty() ||
-        In.Policy.InsufficientTargets == InsufficientTargetsPolicy::Wait) {
-      if (!std::exchange(At.ShortageRecorded, true))
-        In.Out.Proposals.push_back(
+    Candidates = targetsWithPosition(Context, Current, false);
+    if (Candidates.empty() ||
+        Context.Policy.InsufficientTargets == InsufficientTargetsPolicy::Wait) {
+      if (!std::exchange(Current.ShortageRecorded, true))
+        Context.Out.Proposals.push_back(
             RecordAuditEvent{"failover-waiting", Group.Database, Reason});
       return;
     }
     Reason += "; acknowledged writes may be lost";
-  } else if (!excludeFormerPrimary(In, Of, Read)) {
+  } else if (!excludeFormerPrimary(Context, State, Candidates)) {
     return;
   }
-  At.ProposedUntil = In.Now + ProposeAgainAfter;
-  const TargetAnnouncement Best = mostAdvanced(Read, At);
-  In.Out.Proposals.push_back(PromoteTarget{
-      Group.Database, Group.Term, Best.Name, At.Readings[Best.Name].At.Position,
-      Best.Sequence, Readings < Needed, Reason});
+  Current.ProposedUntil = Context.Now + ProposalRetryInterval;
+  const TargetAnnouncement Best = mostAdvanced(Candidates, Current);
+  Context.Out.Proposals.push_back(
+      PromoteTarget{Group.Database, Group.Term, Best.Name,
+                    Current.Positions[Best.Name].Position.Position,
+                    Best.Sequence, PositionCount < Needed, Reason});
 }
 
 bool FailoverCoordinator::excludeFormerPrimary(
-    const Step &In, const GroupState &Of,
-    std::vector<TargetAnnouncement> &Read) {
-  // The former primary often has the highest position, by writes that nobody
-  // was told of. Chosen for them it would be replaced again at once, and
-  // callers would never write. Enough others prove that they hold all that
-  // was acknowledged.
+    const StepContext &Context, const GroupState &State,
+    std::vector<TargetAnnouncement> &Candidates) {
+  // The former primary often has the highest position because of writes that
+  // were never acknowledged. If it were selected for them, it would be replaced
+  // again at once, and callers could never write. Enough other targets prove
+  // that they hold everything that was acknowledged.
   std::vector<TargetAnnouncement> Others;
-  for (const TargetAnnouncement &Each : Read)
-    if (Each.Name != Of.Replaced)
+  for (const TargetAnnouncement &Each : Candidates)
+    if (Each.Name != State.Replaced)
       Others.push_back(Each);
-  if (Others.size() == Read.size())
+  if (Others.size() == Candidates.size())
     return true;
-  if (Others.size() < In.Group.failoverQuorum(In.Policy))
-    return In.Now - Of.At.Since >= OthersFirst;
-  Read = std::move(Others);
+  if (Others.size() < Context.Group.failoverQuorum(Context.Policy))
+    return Context.Now - State.Current.Since >= FormerPrimaryDelay;
+  Candidates = std::move(Others);
   return true;
 }
 
-void FailoverCoordinator::recordAnswer(const TargetOrderRequest &Call,
+void FailoverCoordinator::recordAnswer(const TargetOrderRequest &Order,
                                        const TargetPosition &Answer) {
-  const auto Known = Databases.find(Call.Target.Database);
-  if (Known == Databases.end() || Known->second.At.Term != Call.Term ||
-      Answer.Term != Call.Term)
+  const auto Known = Databases.find(Order.Target.Database);
+  if (Known == Databases.end() || Known->second.Current.Term != Order.Term ||
+      Answer.Term != Order.Term)
     return;
-  Progress &At = Known->second.At;
-  const std::string &Name = Call.Target.Name;
-  if (Call.Kind == TargetOrderKind::Fence) {
-    At.Readings[Name] = {Call.Target.Sequence, Answer};
+  Progress &Current = Known->second.Current;
+  const std::string &Name = Order.Target.Name;
+  if (Order.Kind == TargetOrderKind::Fence) {
+    Current.Positions[Name] = {Order.Target.Sequence, Answer};
     return;
   }
-  At.Confirmed[Name] = Call.Target.Sequence;
-  for (auto &[Joining, Of] : At.CatchUps) {
-    if (Call.Kind == TargetOrderKind::Promote && Of.PrimaryAsked &&
-        !Of.PrimaryPosition)
-      Of.PrimaryPosition = Answer.Position;
-    if (Joining == Name && Of.LogId == Call.Target.LogId && Of.PrimaryPosition)
-      Of.Reached = Answer.Position >= *Of.PrimaryPosition;
+  Current.Confirmed[Name] = Order.Target.Sequence;
+  for (auto &[Joining, Check] : Current.CatchUps) {
+    if (Order.Kind == TargetOrderKind::Promote && Check.PrimaryAsked &&
+        !Check.PrimaryPosition)
+      Check.PrimaryPosition = Answer.Position;
+    if (Joining == Name && Check.LogId == Order.Target.LogId &&
+        Check.PrimaryPosition)
+      Check.Reached = Answer.Position >= *Check.PrimaryPosition;
   }
 }
 
--- a/Source/Failover/FailoverCoordinator.h
+++ b/Source/Failover/FailoverCoordinator.h
@@ -1,17 +1,19 @@
 /// \file
 /// Replaces failed primaries. Runs on the leading control host.
 ///
-/// A change of primary takes these steps, each of which a new leader can take
-/// up from the replicated state:
-///   1. Enough proxies report the primary silent: the fence is committed.
+/// A change of primary takes these steps. A new leader can resume at any of
+/// them from the replicated state:
+///   1. Enough proxies report the primary as unhealthy: the fence is committed.
 ///   2. In parallel, every proxy applies the fence or loses its lease, and
-///      the targets are told the new term and answer with their positions.
-///   3. Of enough answers the highest position wins; the promotion is
-///      committed, the winner is told, and the others follow it.
+///      the targets receive the new term and answer with their positions.
+///   3. Once enough targets have answered, the one with the highest position
+///      is selected. The promotion is committed, the target receives the
+///      promote order, and the other targets are ordered to follow it.
 ///
-/// Nothing acknowledged is lost: a write is acknowledged when Copies targets
-/// hold it, and a promotion reads Targets - Copies + 1 of them after they
-/// have refused the old term, so that at least one of those has it.
+/// No acknowledged write is lost: a write is acknowledged when Copies targets
+/// hold it, and a promotion reads the positions of Targets - Copies + 1 targets
+/// after they have started to refuse the old term. At least one of these
+/// targets holds the write.
 
 #ifndef CORIANDERDYKE_FAILOVER_FAILOVERCOORDINATOR_H
 #define CORIANDERDYKE_FAILOVER_FAILOVERCOORDINATOR_H
@@ -24,9 +26,9 @@
 
 namespace corianderdyke {
 
-/// What a target answers when it's told a term.
+/// Answer of a target to an order.
 struct TargetPosition {
-  std::uint64_t Term = 0;    ///< The term that it obeys now.
+  std::uint64_t Term = 0;    ///< The term in force at the target.
   std::uint64_t LogTerm = 0; ///< Term of its last log entry.
   std::uint64_t Position = 0;
 
@@ -35,7 +37,7 @@
 
 enum class TargetOrderKind : std::uint8_t { Fence, Promote, Follow };
 
-/// An order to one target, to be sent by the caller.
+/// An order to one target. The caller sends it.
 struct TargetOrderRequest {
   TargetOrderKind Kind = TargetOrderKind::Fence;
   TargetAnnouncement Target;
@@ -53,33 +55,37 @@
 
 class FailoverCoordinator {
 public:
-  /// Forgets all that a former leadership left.
+  /// Discards the state of a former leadership.
   void reset() { Databases.clear(); }
 
-  /// What there is to do now. To be called after every event and tick.
+  /// Returns the proposals and orders that are due now. Must be called after
+  /// every event and tick.
   FailoverActions step(const ClusterView &View, const LeaseRegistry &Leases,
                        Millis Now);
 
-  /// A target has carried out an order.
-  void recordAnswer(const TargetOrderRequest &Call,
+  /// Records the answer of a target that has carried out an order.
+  void recordAnswer(const TargetOrderRequest &Order,
                     const TargetPosition &Answer);
 
 private:
-  /// What one life of a target answered to the fence.
+  /// The position that one incarnation of a target reported in answer to the
+  /// fence order.
   struct PositionReport {
     std::uint64_t Sequence = 0;
-    TargetPosition At;
+    TargetPosition Position;
   };
 
-  /// A target whose log isn't settled yet. It is once it has reached a
-  /// position that the primary told after every proxy knew of the target:
-  /// all that was acknowledged with the copy of one that left is below that.
+  /// A target whose log is not yet known to be complete. It is complete once it
+  /// has reached a position that the primary reported after every proxy knew of
+  /// the target. Everything that was acknowledged with the copy of a target
+  /// that left lies below that position.
   struct CatchUp {
     std::string LogId;
-    /// Proof counts from the manifest that was in force when it began.
+    /// Manifest version in force when the check began. A new version restarts
+    /// the check.
     std::uint64_t ManifestVersion = 0;
-    std::uint64_t Revision = 0; ///< To be in force first.
-    bool PrimaryAsked = false;  ///< The primary, for its position.
+    std::uint64_t Revision = 0; ///< Must be in force first.
+    bool PrimaryAsked = false;  ///< For its position.
     std::optional<std::uint64_t> PrimaryPosition;
     bool Reached = false;
   };
@@ -88,32 +94,34 @@
     std::uint64_t Term = 0;
     GroupPhase Phase = GroupPhase::Forming;
     Millis Since;
-    /// The view's revision when the phase was first seen; at or after the
-    /// entry that began it.
+    /// Revision of the view when the phase was first seen, which is at or after
+    /// the entry that began it.
     std::uint64_t Revision = 0;
-    /// Until then a proposal that was made is given time to be committed.
+    /// No further proposal is made before this time, so that the last one can
+    /// be committed.
     Millis ProposedUntil;
-    std::map<std::string, Millis> CalledAt;
-    std::map<std::string, PositionReport> Readings;
-    /// Announcement sequence with which a target confirmed its role: one
-    /// that restarted announces anew and must be told again.
+    std::map<std::string, Millis> OrderedAt;
+    std::map<std::string, PositionReport> Positions;
+    /// Announcement sequence with which each target confirmed its role. A
+    /// target that restarts announces a new sequence and receives its order
+    /// again.
     std::map<std::string, std::uint64_t> Confirmed;
     std::map<std::string, CatchUp> CatchUps;
-    /// Since when the primary has been missed without a break.
+    /// Start of the current uninterrupted suspicion of the primary.
     std::optional<Millis> SuspectedSince;
-    bool ShortageRecorded = false; ///< That too few targets are left.
+    bool ShortageRecorded = false; ///< The shortage is in the audit trail.
   };
 
-  /// One database group, with what outlives its phases.
+  /// State of one database group that outlives its phases.
   struct GroupState {
-    Progress At;
-    ReplacementBackoff Pace;
+    Progress Current;
+    ReplacementBackoff Backoff;
     /// The primary that was replaced last, unless it left.
     std::string Replaced;
   };
 
-  /// All that a step of one group looks at.
-  struct Step {
+  /// Inputs and outputs of a step of one group.
+  struct StepContext {
     const ClusterView &View;
     const GroupRecord &Group;
     const DatabasePolicy &Policy;
@@ -122,31 +130,39 @@
     FailoverActions &Out;
   };
 
-  static void stepForming(const Step &In, Progress &At);
-  static void stepPromoted(const Step &In, GroupState &Of);
-  static void stepDraining(const Step &In, GroupState &Of);
-  static void startHandOver(const Step &In, Progress &At);
-  static void stepFencing(const Step &In, GroupState &Of);
-  /// Why the primary should be replaced now; empty where it shouldn't.
-  static std::string reasonToReplace(const Step &In, GroupState &Of);
-  static void assignRoles(const Step &In, Progress &At);
-  static void confirmCaughtUpTargets(const Step &In, Progress &At);
-  static bool mayCall(const std::string &Target, Progress &At, Millis Now);
-  static bool hasPosition(const TargetAnnouncement &Target, const Progress &At);
+  static void stepForming(const StepContext &Context, Progress &Current);
+  static void stepPromoted(const StepContext &Context, GroupState &State);
+  static void stepDraining(const StepContext &Context, GroupState &State);
+  static void startHandOver(const StepContext &Context, Progress &Current);
+  static void stepFencing(const StepContext &Context, GroupState &State);
+  /// Returns why the primary should be replaced now, or an empty string.
+  static std::string reasonToReplace(const StepContext &Context,
+                                     GroupState &State);
+  static void assignRoles(const StepContext &Context, Progress &Current);
+  static void confirmCaughtUpTargets(const StepContext &Context,
+                                     Progress &Current);
+  static bool shouldSendOrder(const std::string &Target, Progress &Current,
+                              Millis Now);
+  static bool hasPosition(const TargetAnnouncement &Target,
+                          const Progress &Current);
   static std::vector<TargetAnnouncement>
-  targetsWithPosition(const Step &In, const Progress &At, bool SettledOnly);
-  /// Leaves the former primary out where the others suffice; false where
-  /// they are worth waiting for.
-  static bool excludeFormerPrimary(const Step &In, const GroupState &Of,
-                                   std::vector<TargetAnnouncement> &Read);
+  targetsWithPosition(const StepContext &Context, const Progress &Current,
+                      bool CompleteLogsOnly);
+  /// Removes the former primary from \p Candidates if the others suffice.
+  /// Returns false if the answers of others are still worth waiting for.
+  static bool excludeFormerPrimary(const StepContext &Context,
+                                   const GroupState &State,
+                                   std::vector<TargetAnnouncement> &Candidates);
   static TargetAnnouncement
-  mostAdvanced(const std::vector<TargetAnnouncement> &Of, const Progress &At);
+  mostAdvanced(const std::vector<TargetAnnouncement> &Candidates,
+               const Progress &Current);
 
   std::map<std::string, GroupState> Databases;
 };
 
-/// True where most of the proxies that have been heard of late report that
-/// they can't reach the target, or that it copies nothing.
+/// True if more than half of the proxies that recently requested a lease report
+/// that they cannot reach the target or that it does not copy writes to enough
+/// replicas.
 bool isSuspected(const std::string &Target, const LeaseRegistry &Leases,
                  const FailoverPolicy &Policy, Millis Now);
 
--- a/Source/Failover/ReplacementBackoff.cpp
+++ b/Source/Failover/ReplacementBackoff.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Slows down replacements that follow each other.
+/// Delays repeated replacements of the primary of one group.
 
 #include "Failover/ReplacementBackoff.h"
 
@@ -8,14 +8,14 @@
 namespace corianderdyke {
 
 void ReplacementBackoff::recordReplacement(Millis Now) {
-  while (!Replaced.empty() && Now - Replaced.front() > Window)
-    Replaced.pop_front();
-  Replaced.push_back(Now);
+  while (!ReplacementTimes.empty() && Now - ReplacementTimes.front() > Window)
+    ReplacementTimes.pop_front();
+  ReplacementTimes.push_back(Now);
 }
 
 Millis ReplacementBackoff::delay(Millis SuspectAfter, Millis Now) const {
   const auto Recent = static_cast<std::size_t>(
-      std::count_if(Replaced.begin(), Replaced.end(),
+      std::count_if(ReplacementTimes.begin(), ReplacementTimes.end(),
                     [&](Millis Each) { return Now - Each <= Window; }));
   if (Recent < ImmediateReplacements)
     return {};
