--- a/Source/Lease/LeaseHolder.cpp
+++ b/Source/Lease/LeaseHolder.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A proxy's side of its lease.
+/// The lease state of a proxy.
 
 #include "Lease/LeaseHolder.h"
 
@@ -10,8 +10,8 @@
 void LeaseHolder::applyGrant(const LeaseGrant &Grant) {
   if (Grant.Proxy != Self || Grant.Sequence > Sequence)
     return;
-  // It counts from the sending of the request: the answer may have been
-  // under way for longer than the lease.
+  // The lease starts when the request was sent, because the answer may have
+  // been in transit for longer than the lease.
   const Millis GrantEnd = Grant.SentAt + Grant.Duration;
   if (Grant.RequiredRevision <= Applied)
     End = std::max(End, GrantEnd);
--- a/Source/Lease/LeaseHolder.h
+++ b/Source/Lease/LeaseHolder.h
@@ -1,5 +1,5 @@
 /// \file
-/// A proxy's side of its lease.
+/// The lease state of a proxy.
 
 #ifndef CORIANDERDYKE_LEASE_LEASEHOLDER_H
 #define CORIANDERDYKE_LEASE_LEASEHOLDER_H
@@ -8,18 +8,18 @@
 
 namespace corianderdyke {
 
-/// Knows until when the proxy may acknowledge and serve by the revision that
-/// it has applied.
+/// Tracks until when the proxy may serve and acknowledge statements with the
+/// revision that it has applied.
 class LeaseHolder {
 public:
   explicit LeaseHolder(ProcessId Self) : Self(std::move(Self)) {}
 
-  /// Takes a grant in. One for another life of this proxy, or for a request
-  /// that was never sent, is ignored.
+  /// Applies a grant. A grant for another incarnation of this proxy, or for a
+  /// request that was never sent, is ignored.
   void applyGrant(const LeaseGrant &Grant);
 
-  /// Moves to a later revision; an earlier one is ignored, so that a late
-  /// update can't take a decision back. True where it moved.
+  /// Advances to a later revision and returns true. An earlier revision is
+  /// ignored and returns false, so that a late update cannot revert a decision.
   bool applyRevision(std::uint64_t Revision);
 
   /// True while the proxy may serve and acknowledge.
@@ -28,17 +28,18 @@
   Millis end() const { return End; }
   std::uint64_t appliedRevision() const { return Applied; }
 
-  /// Numbers the next request.
+  /// Returns the sequence number of the next request.
   std::uint64_t nextSequence() { return ++Sequence; }
 
 private:
   ProcessId Self;
   std::uint64_t Sequence = 0;
   std::uint64_t Applied = 0;
-  /// End of the leases whose revision is applied.
+  /// Latest end of the leases whose required revision is applied.
   Millis End = Millis(-1);
-  /// Ends of leases that wait for their revision. Any that is reached moves
-  /// into End; the lease in hand is never lengthened without its revision.
+  /// Ends of the leases whose required revision is not applied yet, by that
+  /// revision. They move into End when it is; the current lease is never
+  /// extended before that.
   std::map<std::uint64_t, Millis> PendingEnds;
 };
 
--- a/Source/Lease/LeaseRegistry.cpp
+++ b/Source/Lease/LeaseRegistry.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The leader's record of which proxies may still act on old decisions.
+/// Leases granted by the leader, and which proxies may still act on old
+/// decisions.
 
 #include "Lease/LeaseRegistry.h"
 
@@ -10,15 +11,16 @@
 namespace {
 
 constexpr std::int64_t Million = 1000000;
-/// Each of the two readings of a clock may be up to a millisecond late.
+/// Each of the two clock readings may be up to a millisecond late.
 constexpr Millis Rounding(2);
 
 } // namespace
 
 Millis maxLeaseAcrossClocks(Millis Duration, std::uint32_t DriftPpm) {
-  // The proxy's clock shows Duration after Duration / (1 - drift), in which
-  // the leader's may show (1 + drift) times that. Adding twice the drift
-  // would fall short of it: by 13 ms for 600 ms at a tenth.
+  // The clock of the proxy shows Duration after Duration / (1 - drift), in
+  // which time the clock of the leader may advance by (1 + drift) times that.
+  // Adding twice the drift would be too short: by 13 ms for 600 ms at a drift
+  // of one tenth.
   const std::int64_t Slowest = Million - DriftPpm;
   const std::int64_t Fastest = Million + DriftPpm;
   return Millis((Duration.count() * Fastest + Slowest - 1) / Slowest) +
@@ -52,7 +54,7 @@
   Known.LastRequestAt = Now;
   Known.AppliedRevision =
       std::max(Known.AppliedRevision, Request.AppliedRevision);
-  // Datagrams may overtake each other.
+  // Datagrams may arrive out of order.
   if (Request.Sequence < Known.Sequence)
     return;
   Known.Sequence = Request.Sequence;
--- a/Source/Lease/Messages.h
+++ b/Source/Lease/Messages.h
@@ -1,5 +1,5 @@
 /// \file
-/// What proxies and control tell each other about leases and decisions.
+/// Messages between proxies and control hosts about leases and decisions.
 
 #ifndef CORIANDERDYKE_LEASE_MESSAGES_H
 #define CORIANDERDYKE_LEASE_MESSAGES_H
@@ -10,14 +10,14 @@
 
 namespace corianderdyke {
 
-/// What a proxy sees of a target that it watches. Only targets in trouble are
-/// sent: a report on each would, with thousands of targets, cost a node far
-/// more than all else that control does.
+/// Health of a target as seen by a proxy. Only unhealthy targets are reported:
+/// with thousands of targets, a report on each would cost a node far more than
+/// all other work of a control host.
 struct TargetReport {
   std::string Target;
   bool Reachable = true;
-  Millis SilentFor; ///< Since the last answer.
-  /// A primary that takes writes and copies them to too few replicas.
+  Millis SilentFor; ///< Time since the last answer.
+  /// Set for a primary that accepts writes and copies them to too few replicas.
   bool Stalled = false;
 
   bool isUnhealthy() const { return !Reachable || Stalled; }
@@ -28,15 +28,15 @@
   }
 };
 
-/// Asks for a lease, or for a longer one.
+/// Requests a lease or its renewal.
 struct LeaseRequest {
   ProcessId Proxy;
   Locality ProxyLocality;
   std::uint64_t Sequence = 0;
   Millis SentAt; ///< By the proxy's clock; echoed and not interpreted.
   std::uint64_t AppliedRevision = 0;
-  std::vector<TargetReport> Reports; ///< Of targets in trouble.
-  /// Databases at whose primary something of this proxy still runs.
+  std::vector<TargetReport> Reports; ///< Unhealthy targets only.
+  /// Databases at whose primary work of this proxy still runs.
   std::set<std::string> BusyDatabases = {};
 
   auto operator<=>(const LeaseRequest &) const = default;
@@ -46,8 +46,8 @@
   }
 };
 
-/// A lease that counts from SentAt by the proxy's clock, and only while the
-/// proxy has applied RequiredRevision or later.
+/// A lease that starts at SentAt by the clock of the proxy and is valid only
+/// while the proxy has applied RequiredRevision or later.
 struct LeaseGrant {
   ProcessId Proxy;
   std::uint64_t Sequence = 0;
@@ -61,15 +61,15 @@
   }
 };
 
-/// The answer of a control host that doesn't lead.
+/// Answer of a control host that does not lead.
 struct NotLeader {
-  std::string Leader; ///< The host that it follows; may be empty.
+  std::string Leader; ///< Leader that it follows; may be empty.
 
   auto operator<=>(const NotLeader &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(Leader); }
 };
 
-/// The decisions as of a revision.
+/// The cluster view as of a revision.
 struct ViewUpdate {
   ClusterView View;
 
@@ -77,7 +77,8 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(View); }
 };
 
-/// The proxy acts by this revision from now on, and by none before it.
+/// Reports that the proxy has applied this revision and no longer acts on an
+/// earlier one.
 struct ViewApplied {
   ProcessId Proxy;
   std::uint64_t Revision = 0;
@@ -86,7 +87,7 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(Proxy, Revision); }
 };
 
-/// A target's announcement on its way from a proxy to control.
+/// An announcement of a target, forwarded by a proxy to the control hosts.
 struct ForwardedAnnouncement {
   TargetAnnouncement Target;
 
