--- a/Source/State/ClusterView.cpp
+++ b/Source/State/ClusterView.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Lookups in the cluster view.
+/// Lookups and consistency checks on the cluster view.
 
 #include "State/ClusterView.h"
 
@@ -18,16 +18,17 @@
 }
 
 bool GroupRecord::isLogComplete(const TargetAnnouncement &Target) const {
-  // Before the first primary nothing was acknowledged.
+  // Nothing was acknowledged before the first primary was promoted.
   if (Forks.empty())
     return true;
-  const auto Known = CompleteLogs.find(Target.Name);
-  return Known != CompleteLogs.end() && Known->second == Target.LogId;
+  const auto Existing = CompleteLogs.find(Target.Name);
+  return Existing != CompleteLogs.end() && Existing->second == Target.LogId;
 }
 
 std::size_t GroupRecord::failoverQuorum(const DatabasePolicy &Policy) const {
-  // A write is acknowledged with Copies targets; that many readings leave out
-  // fewer than Copies, so that one of them has it.
+  // A write is acknowledged when AcknowledgedCopies targets hold it. A failover
+  // that reads this many positions omits fewer targets than that, so at least
+  // one of those it reads holds the write.
   return std::max(Policy.Targets - Policy.AcknowledgedCopies + 1,
                   MinFailoverQuorum);
 }
@@ -49,18 +50,19 @@
                       : nullptr;
   if (Policy == nullptr || group(Announcement.Database) == nullptr)
     return "no database '" + Announcement.Database + "' in the manifest";
-  const TargetAnnouncement *Known = target(Announcement.Name);
-  // A copied configuration or a typing error gives two hosts one name. Were
-  // the later one believed, callers of the live target would be sent to it.
-  if (Known != nullptr && !Known->Leaving &&
-      (Known->TargetLocality != Announcement.TargetLocality ||
-       Known->Address != Announcement.Address ||
-       Known->Database != Announcement.Database))
-    return "the name belongs to " + Known->Address.text() + " of " +
-           Known->Database + " until that leaves or is long silent";
-  // With more members than the manifest says, the copies of a write and the
-  // positions that a failover reads need no longer have a target in common.
-  if ((Known == nullptr || Known->Leaving) && !Announcement.Leaving &&
+  const TargetAnnouncement *Existing = target(Announcement.Name);
+  // A copied configuration or a typing error can give two hosts the same name.
+  // If the later announcement were accepted, callers of the live target would
+  // be routed to the other host.
+  if (Existing != nullptr && !Existing->Leaving &&
+      (Existing->TargetLocality != Announcement.TargetLocality ||
+       Existing->Address != Announcement.Address ||
+       Existing->Database != Announcement.Database))
+    return "the name belongs to " + Existing->Address.text() + " of " +
+           Existing->Database + " until that leaves or is long silent";
+  // If a group had more members than the manifest specifies, the targets that
+  // hold a write and the targets that a failover reads might not overlap.
+  if ((Existing == nullptr || Existing->Leaving) && !Announcement.Leaving &&
       targetsOf(Announcement.Database).size() >= Policy->Targets)
     return "the group has its " + std::to_string(Policy->Targets) + " targets";
   return "";
--- a/Source/State/ClusterView.h
+++ b/Source/State/ClusterView.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the control group has decided, as far as proxies need it.
+/// The replicated decisions of the control group that proxies need.
 
 #ifndef CORIANDERDYKE_STATE_CLUSTERVIEW_H
 #define CORIANDERDYKE_STATE_CLUSTERVIEW_H
@@ -14,8 +14,8 @@
 
 namespace corianderdyke {
 
-/// Where a term's log began: entries at or before Position are those of the
-/// terms before it, later ones are its own.
+/// The position at which the log of a term began: entries up to and including
+/// Position belong to earlier terms, later ones to this term.
 struct Fork {
   std::uint64_t Term = 0;
   std::uint64_t Position = 0;
@@ -26,37 +26,39 @@
 
 enum class GroupPhase : std::uint8_t {
   Forming,  ///< Too few targets have announced themselves yet.
-  Fencing,  ///< The former primary's term has ended; no one may write.
+  Fencing,  ///< Term of the former primary ended; writes are refused.
   Promoted, ///< Primary holds the term.
-  Draining, ///< Primary is leaving: it ends what runs and begins nothing.
+  Draining, ///< Primary is leaving: it finishes its work and accepts none.
 };
 
-/// One database group.
+/// Replicated state of one database group.
 struct GroupRecord {
   std::string Database;
   GroupPhase Phase = GroupPhase::Forming;
-  /// Never goes down. While fencing it's the term of the primary to come.
+  /// Never decreases. While fencing, it is the term of the next primary.
   std::uint64_t Term = 0;
   std::string Primary; ///< Target name; empty unless promoted.
   std::vector<Fork> Forks;
-  /// Names of all targets that have announced themselves for it.
+  /// Names of all targets that have announced themselves for this database.
   std::set<std::string> Targets;
-  /// The announcement by which the primary was known when it was promoted. A
-  /// later one is another life, which must not take up the term again.
+  /// Announcement sequence of the primary when it was promoted. A later one
+  /// belongs to another incarnation, which must not resume the term.
   std::uint64_t PrimarySequence = 0;
-  /// The logs, by target, that are known to hold all that was acknowledged
-  /// with a copy at that target. Only these prove anything in a failover.
+  /// Identifiers of the logs, by target name, that are known to hold everything
+  /// that was acknowledged with a copy at that target. Only the positions of
+  /// these logs count in a failover.
   std::map<std::string, std::string> CompleteLogs = {};
-  /// How many times a name that wasn't in the group has joined it.
+  /// Number of times that a new name has joined the group.
   std::uint32_t JoinCount = 0;
-  /// Value of Joins once no target can be one of the group's first any more.
+  /// Value of JoinCount once no target can count as one of the initial targets
+  /// of the group any more.
   static constexpr std::uint32_t InitialJoinsClosed = UINT32_MAX;
-  /// Targets that a failover reads at the least, where what was acknowledged
-  /// by an earlier manifest asks for more than the present one does. 0 where
-  /// the present one says enough.
+  /// Minimum number of targets that a failover reads, if writes acknowledged
+  /// under an earlier manifest require more than the current manifest does;
+  /// otherwise 0.
   std::uint32_t MinFailoverQuorum = 0;
-  /// Targets that have yet to show, after such a change of the manifest, that
-  /// they hold all that was acknowledged before it.
+  /// Targets that have not yet proved, after such a change of the manifest,
+  /// that they hold everything that was acknowledged before it.
   std::set<std::string> UnverifiedTargets = {};
 
   auto operator<=>(const GroupRecord &) const = default;
@@ -67,31 +69,31 @@
 
   bool isLogComplete(const TargetAnnouncement &Target) const;
 
-  /// Targets that must tell their position before one is promoted.
+  /// Number of targets that must report their position before one is promoted.
   std::size_t failoverQuorum(const DatabasePolicy &Policy) const;
 
-  /// True where new work may begin at the primary.
+  /// True if new work may begin at the primary.
   bool isWritable() const { return Phase == GroupPhase::Promoted; }
-  /// True where what runs at the primary may still be acknowledged.
+  /// True if work that runs at the primary may still be acknowledged.
   bool hasPrimary() const {
     return Phase == GroupPhase::Promoted || Phase == GroupPhase::Draining;
   }
 
-  /// True where a position that was acknowledged in \p InTerm is still part
-  /// of the group's log: every later term began at or behind it.
+  /// True if a position that was acknowledged in \p InTerm is still part of the
+  /// log of the group, that is, if every later term began at or after it.
   bool containsPosition(std::uint64_t InTerm, std::uint64_t Position) const;
 };
 
-/// The state of decisions after one entry of the control log.
+/// The replicated decisions after one entry of the control log.
 struct ClusterView {
   std::uint64_t Revision = 0;
   std::optional<Manifest> CurrentManifest;
   std::map<std::string, GroupRecord> Groups;
   std::map<std::string, TargetAnnouncement> Targets;
-  /// The longest lease that any manifest so far has allowed: a new leader
-  /// doesn't know by which of them its predecessor granted.
+  /// The longest lease duration that any manifest so far has allowed. A new
+  /// leader does not know under which of them its predecessor granted leases.
   Millis MaxLeaseDuration;
-  /// Proxies that may hold a lease, by their incarnation.
+  /// Proxies that may hold a lease, by incarnation.
   std::map<ProcessId, Locality> Proxies;
 
   bool operator==(const ClusterView &) const = default;
@@ -101,11 +103,12 @@
 
   const GroupRecord *group(const std::string &Database) const;
   const TargetAnnouncement *target(const std::string &Name) const;
-  /// Why an announcement isn't believed; empty where it is.
+  /// Returns why an announcement is refused, or an empty string if it is
+  /// accepted.
   std::string refusalReason(const TargetAnnouncement &Announcement) const;
   std::vector<TargetAnnouncement>
   allTargetsOf(const std::string &Database) const;
-  /// Targets of a database that aren't leaving.
+  /// Returns the targets of a database that are not leaving.
   std::vector<TargetAnnouncement> targetsOf(const std::string &Database) const;
 };
 
--- a/Source/State/Command.h
+++ b/Source/State/Command.h
@@ -1,5 +1,5 @@
 /// \file
-/// The commands that the control group agrees on, one an entry of its log.
+/// The commands in the log of the control group. Each log entry holds one.
 
 #ifndef CORIANDERDYKE_STATE_COMMAND_H
 #define CORIANDERDYKE_STATE_COMMAND_H
@@ -10,7 +10,7 @@
 
 namespace corianderdyke {
 
-/// Puts a manifest in force.
+/// Puts a manifest into force.
 struct ApplyManifest {
   Manifest New;
   std::string Text; ///< The file as the operator sent it.
@@ -18,8 +18,9 @@
   template <class Archive> void serialize(Archive &Ar) { Ar(New, Text); }
 };
 
-/// Lets one life of a proxy ask for leases. It's committed before the first
-/// lease, so that a new leader knows everyone who may hold one.
+/// Permits one incarnation of a proxy to request leases. It is committed before
+/// the first lease is granted, so that a new leader knows every proxy that may
+/// hold one.
 struct RegisterProxy {
   ProcessId Id;
   Locality ProxyLocality;
@@ -29,14 +30,14 @@
   }
 };
 
-/// Forgets a proxy whose last lease has certainly run out.
+/// Removes a proxy whose last lease has certainly expired.
 struct RemoveProxy {
   ProcessId Id;
   auto operator<=>(const RemoveProxy &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(Id); }
 };
 
-/// Takes over what a target has said of itself.
+/// Records an announcement of a target.
 struct RecordTarget {
   TargetAnnouncement Target;
   auto operator<=>(const RecordTarget &) const = default;
@@ -54,14 +55,14 @@
   }
 };
 
-/// Gives the term to a target.
+/// Makes a target the primary of a term.
 struct PromoteTarget {
   std::string Database;
   std::uint64_t Term = 0;
   std::string Target;
-  std::uint64_t Position = 0; ///< Where its log stood; the term's fork.
-  std::uint64_t Sequence = 0; ///< Of the life that told this position.
-  bool Lossy = false; ///< Too few targets were read to prove it has all.
+  std::uint64_t Position = 0; ///< End of its log, where the term forks.
+  std::uint64_t Sequence = 0; ///< Incarnation that reported it.
+  bool Lossy = false;         ///< Read too few targets to rule out loss.
   std::string Reason;
   auto operator<=>(const PromoteTarget &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
@@ -69,7 +70,8 @@
   }
 };
 
-/// A target that came new or without its log has caught up in this term.
+/// Confirms that a target that joined or came back without its log has caught
+/// up in this term.
 struct ConfirmTargetLog {
   std::string Database;
   std::uint64_t Term = 0;
@@ -81,7 +83,7 @@
   }
 };
 
-/// Forgets a target that has left or has been silent for long.
+/// Removes a target that has left or has been silent for too long.
 struct RemoveTarget {
   std::string Target;
   std::uint64_t Sequence = 0;
@@ -92,7 +94,7 @@
   }
 };
 
-/// Begins the hand-over of a primary that is leaving.
+/// Starts the hand-over from a primary that is leaving.
 struct DrainGroup {
   std::string Database;
   std::uint64_t Term = 0;
@@ -103,8 +105,8 @@
   }
 };
 
-/// Writes into the audit trail what the system can't or won't do, and why, or
-/// who ordered what an entry of another kind carries out.
+/// Adds an audit record that says what the system cannot or will not do and
+/// why, or who requested a change that an entry of another kind makes.
 struct RecordAuditEvent {
   std::string Action;
   std::string Subject;
@@ -122,7 +124,7 @@
 
 struct Command {
   std::string Actor; ///< The operator, or "control" for the system itself.
-  Millis WallTime;   ///< The proposer's; for people only.
+  Millis WallTime;   ///< Clock of the proposer; for display only.
   CommandBody Body;
 
   auto operator<=>(const Command &) const = default;
--- a/Source/State/ControlState.cpp
+++ b/Source/State/ControlState.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The state machine that the control group's log drives.
+/// The replicated state machine of the control group.
 
 #include "State/ControlState.h"
 
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t ShownDigest = 12;
+constexpr std::size_t ShownDigestLength = 12;
 
 std::string describe(const Manifest &Of) {
   return "version " + std::to_string(Of.Version) + " (" +
-         Of.digest().substr(0, ShownDigest) + ")";
+         Of.digest().substr(0, ShownDigestLength) + ")";
 }
 
 std::string describe(const GroupRecord &Of) {
@@ -21,19 +21,22 @@
          (Of.Primary.empty() ? "" : " primary " + Of.Primary);
 }
 
-/// Drops the oldest of more than \p Most, at least \p AtOnce of them: to move
-/// thousands of lines for each new one took most of a change's time.
+/// Removes the oldest elements beyond \p MaxCount once there are \p Batch more
+/// than that. Removing one element for each new one would move thousands of
+/// records and take most of the time of a change.
 template <class T>
-void keepLast(std::vector<T> &All, std::size_t Most, std::size_t AtOnce) {
-  if (All.size() >= Most + AtOnce)
-    All.erase(All.begin(), All.end() - static_cast<std::ptrdiff_t>(Most));
+void keepLast(std::vector<T> &Elements, std::size_t MaxCount,
+              std::size_t Batch) {
+  if (Elements.size() >= MaxCount + Batch)
+    Elements.erase(Elements.begin(),
+                   Elements.end() - static_cast<std::ptrdiff_t>(MaxCount));
 }
 
 } // namespace
 
 ApplyResult ControlState::apply(std::uint64_t Revision, const Command &Entry) {
-  // The same change sent again after its answer was lost: it gets the answer
-  // that was lost, and proxies get nothing new.
+  // This is a retry of a change whose answer was lost. It gets the same answer,
+  // and proxies receive no new revision.
   if (const auto *Body = std::get_if<ApplyManifest>(&Entry.Body);
       Body != nullptr && isCurrentManifest(Body->New))
     return {Manifests.back().Revision, std::nullopt};
@@ -68,7 +71,7 @@
                                          " is in force; version " +
                                          std::to_string(New.Version) +
                                          " is behind it" + acceptedBefore(New));
-  // Which copies a failover under way must read would change under it.
+  // The change would alter which targets a pending failover must read.
   for (const std::string &Database : databasesWithOtherCopies(New))
     if (!View.group(Database)->isWritable())
       return fail(ErrorCode::Conflict,
@@ -78,9 +81,9 @@
   return {};
 }
 
-// An operator whose answer was lost may learn only now that the change had
-// been made, when another has already taken its place. To accept it again
-// would look as if it were in force.
+// An operator whose answer was lost may retry a change only after another
+// change has already replaced it. Accepting the retry would wrongly suggest
+// that the change is in force.
 std::string ControlState::acceptedBefore(const Manifest &Old) const {
   for (const ManifestRecord &Each : Manifests)
     if (Each.Version == Old.Version)
@@ -99,8 +102,8 @@
 
 ApplyResult ControlState::recordControlHosts(std::uint64_t Revision,
                                              const std::string &Voters) {
-  // The entry carries no time of day. All hosts agree on that of the last
-  // line.
+  // The entry carries no wall time. The time of the last audit record is the
+  // same on all hosts.
   AuditRecord Line{.Revision = Revision,
                    .WallTime = Audit.empty() ? Millis() : Audit.back().WallTime,
                    .Actor = "control",
@@ -129,14 +132,15 @@
 }
 
 void ControlState::raiseFailoverQuorum(GroupRecord &Group) const {
-  // Writes that were acknowledged with fewer copies, or in a larger group, may
-  // be on none of the targets that the new numbers have read in a failover:
-  // callers would miss them after it. Until each target has reached a position
-  // that the primary told after the new manifest was in force everywhere, a
-  // failover reads as many as either manifest asks for.
-  const DatabasePolicy *Former = View.CurrentManifest->database(Group.Database);
+  // A failover under the new numbers might read none of the targets that hold a
+  // write which was acknowledged with fewer copies or in a larger group, and
+  // callers would lose it. Until each target has reached a position that the
+  // primary reported after the new manifest was in force everywhere, a failover
+  // reads as many targets as the stricter of the two manifests requires.
+  const DatabasePolicy *OldPolicy =
+      View.CurrentManifest->database(Group.Database);
   Group.MinFailoverQuorum =
-      static_cast<std::uint32_t>(Group.failoverQuorum(*Former));
+      static_cast<std::uint32_t>(Group.failoverQuorum(*OldPolicy));
   Group.JoinCount = GroupRecord::InitialJoinsClosed;
   Group.UnverifiedTargets = Group.Targets;
   Group.UnverifiedTargets.erase(Group.Primary);
@@ -193,22 +197,22 @@
 std::optional<Error> ControlState::on(const Command &Entry,
                                       const RecordTarget &Body) {
   const TargetAnnouncement &New = Body.Target;
-  if (std::string Why = View.refusalReason(New); !Why.empty())
-    return Error{ErrorCode::Conflict, std::move(Why)};
+  if (std::string Refusal = View.refusalReason(New); !Refusal.empty())
+    return Error{ErrorCode::Conflict, std::move(Refusal)};
   const auto Known = View.Targets.find(New.Name);
   if (Known != View.Targets.end() && Known->second.Sequence >= New.Sequence)
     return Error{ErrorCode::Conflict, "a later announcement is known"};
-  const bool Joins = Known == View.Targets.end();
-  if (!Joins && Known->second.Database != New.Database)
+  const bool IsNew = Known == View.Targets.end();
+  if (!IsNew && Known->second.Database != New.Database)
     View.Groups[Known->second.Database].Targets.erase(New.Name);
   View.Targets[New.Name] = New;
   addToGroup(View.Groups[New.Database], New);
-  // If it comes back after another took its place, what was acknowledged
-  // meanwhile may be missing from its log.
+  // If the target returns after another one replaced it, writes that were
+  // acknowledged in the meantime may be missing from its log.
   if (New.Leaving)
     View.Groups[New.Database].CompleteLogs.erase(New.Name);
   appendAudit(Entry, {.Action = New.Leaving ? "target-leaving"
-                                : Joins     ? "target-joined"
+                                : IsNew     ? "target-joined"
                                             : "target-changed",
                       .Subject = New.Name,
                       .To = New.Address.text() + " of " + New.Database});
@@ -221,11 +225,11 @@
     return;
   if (Group.JoinCount != GroupRecord::InitialJoinsClosed)
     ++Group.JoinCount;
-  // One of the first targets of a group, which starts with the first few of
-  // them. Nothing was ever acknowledged on the strength of a log that it has
-  // lost, nor on that of a target that it takes the place of. Without this a
-  // group whose primary fails before the last target has caught up would
-  // stand still for no reason.
+  // The log of an initial target of a group counts as complete: a group starts
+  // with its first few targets, and no write was acknowledged on the basis of a
+  // log that this target lost, or of a target that it replaces. Otherwise a
+  // group whose primary fails before the last target has caught up would remain
+  // without a primary for no reason.
   const DatabasePolicy *Policy =
       View.CurrentManifest ? View.CurrentManifest->database(Group.Database)
                            : nullptr;
@@ -236,7 +240,7 @@
 void ControlState::updateCompleteLogs(GroupRecord &Group,
                                       const TargetAnnouncement &Primary,
                                       bool Lossy) const {
-  // What is acknowledged from now on counts from the log of this primary.
+  // Writes acknowledged from now on are counted from the log of this primary.
   if (Lossy)
     Group.CompleteLogs.clear();
   if (Group.Forks.empty())
@@ -271,12 +275,13 @@
                                       const RemoveTarget &Body) {
   const TargetAnnouncement *Target = View.target(Body.Target);
   if (Target == nullptr || Target->Sequence != Body.Sequence)
-    return Error{ErrorCode::NotFound, "no such target, or a later life of it"};
+    return Error{ErrorCode::NotFound,
+                 "no such target, or a later incarnation of it"};
   for (auto &[Database, Group] : View.Groups) {
     if (Group.Primary == Body.Target)
       return Error{ErrorCode::Conflict, "it's the primary of " + Database};
-    // What is acknowledged while it's away isn't counted on it; if it comes
-    // back it has to catch up first.
+    // Writes that are acknowledged in the absence of the target do not count on
+    // it. If it returns, it must catch up first.
     Group.CompleteLogs.erase(Body.Target);
   }
   appendAudit(Entry,
@@ -284,9 +289,9 @@
                .Subject = Body.Target,
                .From = Target->Address.text() + " of " + Target->Database,
                .Reason = Body.Reason});
-  GroupRecord &Left = View.Groups[Target->Database];
-  Left.Targets.erase(Body.Target);
-  markVerified(Left, Body.Target);
+  GroupRecord &FormerGroup = View.Groups[Target->Database];
+  FormerGroup.Targets.erase(Body.Target);
+  markVerified(FormerGroup, Body.Target);
   View.Targets.erase(Body.Target);
   return std::nullopt;
 }
@@ -343,7 +348,8 @@
   GroupRecord &Group = Known->second;
   if (Group.Term != Body.Term || Group.Phase != GroupPhase::Fencing)
     return Error{ErrorCode::Conflict, "the group isn't fenced for that term"};
-  // A target that restarted since it told its position may have lost its log.
+  // A target that restarted since it reported its position may have lost its
+  // log.
   const TargetAnnouncement *Target = View.target(Body.Target);
   if (Target == nullptr || Target->Sequence != Body.Sequence)
     return Error{ErrorCode::Conflict, "the target isn't the one that was read"};
--- a/Source/State/ControlState.h
+++ b/Source/State/ControlState.h
@@ -1,5 +1,5 @@
 /// \file
-/// The state machine that the control group's log drives.
+/// The replicated state machine of the control group.
 
 #ifndef CORIANDERDYKE_STATE_CONTROLSTATE_H
 #define CORIANDERDYKE_STATE_CONTROLSTATE_H
@@ -8,7 +8,7 @@
 
 namespace corianderdyke {
 
-/// One line of the audit trail.
+/// One record of the audit trail.
 struct AuditRecord {
   std::uint64_t Revision = 0;
   Millis WallTime = {};
@@ -40,29 +40,31 @@
   }
 };
 
-/// What the application of one command came to.
+/// Result of applying one command.
 struct ApplyResult {
-  /// The revision that made the change. A manifest sent again after its answer
-  /// was lost gets the one of its first acceptance.
+  /// The revision that made the change. A retry of a manifest whose answer was
+  /// lost gets the revision of the first acceptance.
   std::uint64_t Revision = 0;
-  /// Set where the command was refused; the state is then unchanged.
+  /// Set if the command was refused. The state is then unchanged.
   std::optional<Error> Refusal;
 
   bool operator==(const ApplyResult &) const = default;
 };
 
-/// Deterministic: hosts that applied the same entries hold the same state.
+/// Deterministic: hosts that applied the same entries have equal states.
 class ControlState {
 public:
-  /// Applies the entry at \p Revision, which is above any before.
+  /// Applies the entry at \p Revision, which must be greater than any earlier
+  /// one.
   ApplyResult apply(std::uint64_t Revision, const Command &Entry);
 
-  /// Adds the control hosts that vote from \p Revision on to the audit trail.
+  /// Records in the audit trail which control hosts vote from \p Revision on.
   ApplyResult recordControlHosts(std::uint64_t Revision,
                                  const std::string &Voters);
 
-  /// Whether a manifest would be accepted now; Conflict where the version
-  /// stands for other content or is behind.
+  /// Checks whether a manifest would be accepted now. Returns Conflict if its
+  /// version is in force with other content or is older than the version in
+  /// force.
   Expected<void> check(const Manifest &New) const;
 
   const ClusterView &view() const { return View; }
@@ -75,9 +77,10 @@
 
   bool operator==(const ControlState &) const = default;
 
-  /// Older lines leave the state; each host's log file keeps them longer.
+  /// Maximum number of audit records in the state. The log file of each host
+  /// keeps older ones for longer.
   static constexpr std::size_t MaxAuditRecords = 5000;
-  /// Manifest texts that are kept.
+  /// Maximum number of manifest texts that are kept.
   static constexpr std::size_t MaxManifests = 50;
 
 private:
@@ -92,7 +95,8 @@
   std::optional<Error> on(const Command &Entry, const ConfirmTargetLog &Body);
   std::optional<Error> on(const Command &Entry, const RemoveTarget &Body);
   std::optional<Error> on(const Command &Entry, const RecordAuditEvent &Body);
-  /// Databases in use whose numbers of targets or copies would change.
+  /// Returns the databases in use whose number of targets or copies \p New
+  /// would change.
   std::vector<std::string> databasesWithOtherCopies(const Manifest &New) const;
   void raiseFailoverQuorum(GroupRecord &Group) const;
   static void markVerified(GroupRecord &Group, const std::string &Target);
--- a/Source/State/ViewDelta.cpp
+++ b/Source/State/ViewDelta.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What changed from one cluster view to a later one.
+/// Differences between two cluster views.
 
 #include "State/ViewDelta.h"
 
@@ -8,7 +8,8 @@
 namespace {
 
 template <class Map, class Set>
-void compare(const Map &From, const Map &To, Map &Changed, Set &Removed) {
+void collectChanges(const Map &From, const Map &To, Map &Changed,
+                    Set &Removed) {
   for (const auto &[Key, Value] : To) {
     const auto Before = From.find(Key);
     if (Before == From.end() || Before->second != Value)
@@ -20,7 +21,7 @@
 }
 
 template <class Map, class Set>
-void change(Map &View, const Map &Changed, const Set &Removed) {
+void applyChanges(Map &View, const Map &Changed, const Set &Removed) {
   for (const auto &[Key, Value] : Changed)
     View[Key] = Value;
   for (const auto &Key : Removed)
@@ -39,19 +40,18 @@
   else if (To.CurrentManifest && *From.CurrentManifest != *To.CurrentManifest)
     Out.ChangedManifest =
         computeDelta(*From.CurrentManifest, *To.CurrentManifest);
-  compare(From.Groups, To.Groups, Out.Groups, Out.RemovedGroups);
-  compare(From.Targets, To.Targets, Out.Targets, Out.RemovedTargets);
-  compare(From.Proxies, To.Proxies, Out.Proxies, Out.RemovedProxies);
+  collectChanges(From.Groups, To.Groups, Out.Groups, Out.RemovedGroups);
+  collectChanges(From.Targets, To.Targets, Out.Targets, Out.RemovedTargets);
+  collectChanges(From.Proxies, To.Proxies, Out.Proxies, Out.RemovedProxies);
   return Out;
 }
 
 Expected<ClusterView> applyDelta(const ClusterView &View,
                                  const ViewDelta &Delta) {
   if (View.Revision != Delta.Base)
-    return fail(ErrorCode::Conflict, "the delta goes on from revision " +
-                                         std::to_string(Delta.Base) +
-                                         ", the view is at " +
-                                         std::to_string(View.Revision));
+    return fail(ErrorCode::Conflict,
+                "the delta applies to revision " + std::to_string(Delta.Base) +
+                    ", the view is at " + std::to_string(View.Revision));
   ClusterView Out = View;
   Out.Revision = Delta.Revision;
   Out.MaxLeaseDuration = Delta.MaxLeaseDuration;
@@ -64,9 +64,9 @@
       return tl::unexpected(Changed.error());
     Out.CurrentManifest = std::move(*Changed);
   }
-  change(Out.Groups, Delta.Groups, Delta.RemovedGroups);
-  change(Out.Targets, Delta.Targets, Delta.RemovedTargets);
-  change(Out.Proxies, Delta.Proxies, Delta.RemovedProxies);
+  applyChanges(Out.Groups, Delta.Groups, Delta.RemovedGroups);
+  applyChanges(Out.Targets, Delta.Targets, Delta.RemovedTargets);
+  applyChanges(Out.Proxies, Delta.Proxies, Delta.RemovedProxies);
   return Out;
 }
 
--- a/Source/State/ViewDelta.h
+++ b/Source/State/ViewDelta.h
@@ -1,5 +1,5 @@
 /// \file
-/// What changed from one cluster view to a later one.
+/// Differences between two cluster views.
 
 #ifndef CORIANDERDYKE_STATE_VIEWDELTA_H
 #define CORIANDERDYKE_STATE_VIEWDELTA_H
@@ -11,14 +11,15 @@
 
 namespace corianderdyke {
 
-/// A change of one database costs a message of its size and not of the whole
-/// view's, which at thousands of databases would use up a node's share of the
-/// network on every restart of any other node.
+/// Changes from one view to a later one. The message for a change of one
+/// database then has the size of that change. With thousands of databases,
+/// sending the whole view on every restart of any node would use up the network
+/// share of each node.
 struct ViewDelta {
-  std::uint64_t Base = 0; ///< Revision of the view that it goes on from.
+  std::uint64_t Base = 0; ///< Revision of the view that it applies to.
   std::uint64_t Revision = 0;
-  /// The first manifest, or how the present one changes; both are empty
-  /// where it stays.
+  /// The first manifest, or the changes to the current one. Both are empty if
+  /// the manifest does not change.
   std::optional<Manifest> NewManifest;
   std::optional<ManifestDelta> ChangedManifest;
   Millis MaxLeaseDuration;
@@ -36,10 +37,11 @@
   }
 };
 
-/// The delta that turns \p From into \p To.
+/// Returns the delta that turns \p From into \p To.
 ViewDelta computeDelta(const ClusterView &From, const ClusterView &To);
 
-/// The view after a delta; Conflict where the delta doesn't go on from it.
+/// Returns the view after a delta, or Conflict if the delta does not apply to
+/// the revision of \p View.
 Expected<ClusterView> applyDelta(const ClusterView &View,
                                  const ViewDelta &Delta);
 
