--- a/Source/Control/ControlNode.cpp
+++ b/Source/Control/ControlNode.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// A control host: the agreement, what it decides, and who must know.
+/// A control host: consensus, the replicated state, leases, failover and the
+/// distribution of views to proxies.
 
 #include "Control/ControlNode.h"
 
@@ -10,12 +11,12 @@
 namespace {
 
 constexpr Millis TickInterval(10);
-/// A proxy that is still behind this long after something went to it didn't
-/// get it, or couldn't use it.
-constexpr Millis SendViewAgainAfter(60);
+/// A proxy that is still behind this long after a view or delta was sent to it
+/// did not receive it or could not apply it.
+constexpr Millis ViewRetryInterval(60);
 constexpr std::size_t CompactAtBytes = 4U << 20U;
-/// A proxy is forgotten this many lease durations after it was last heard.
-constexpr std::int64_t RemoveAfterLeases = 10;
+/// A silent proxy is removed this many lease durations after its last request.
+constexpr std::int64_t RemovalLeaseCount = 10;
 constexpr const char *SystemActor = "control";
 
 ConsensusOptions consensusOptions(const Settings &From) {
@@ -62,13 +63,14 @@
 
 void ControlNode::on(const Envelope &From, const LeaseRequest &Body) {
   const Millis Now = Deps.Time.now();
-  const PendingLease To{Body, From.ReplyTo, Now};
+  const PendingLease Pending{Body, From.ReplyTo, Now};
   const bool IsRegistered = State.view().Proxies.count(Body.Proxy) != 0;
-  const auto Begun = Reads.await(
-      Agreement, Now, [this, To, IsRegistered](const Expected<void> &Done) {
-        if (Done && IsRegistered)
-          grant(To);
-      });
+  const auto Begun =
+      Reads.await(Agreement, Now,
+                  [this, Pending, IsRegistered](const Expected<void> &Done) {
+                    if (Done && IsRegistered)
+                      grant(Pending);
+                  });
   if (!Begun) {
     Deps.Peers.send(From.ReplyTo, Delivery::Datagram,
                     NotLeader{Agreement.leader()});
@@ -76,8 +78,8 @@
   }
   Leases.recordRequest(Body, From.ReplyTo, Now);
   if (!IsRegistered) {
-    // A life that was removed for silence and speaks again is registered
-    // anew: whatever lease it held has run out.
+    // An incarnation that was removed for silence and sends requests again is
+    // registered anew, since any lease that it held has expired.
     propose(SystemActor, RegisterProxy{Body.Proxy, Body.ProxyLocality},
             [](const Expected<ApplyResult> &) {});
     return;
@@ -102,23 +104,23 @@
 
 void ControlNode::on(const Envelope &From, const RightsRequest &Body) {
   const Millis Now = Deps.Time.now();
-  // Without the quorum's word a former leader, cut off, would go on renewing
-  // rights that its successor has waited out.
-  const PendingRights To{Body, From.ReplyTo, Now};
+  // Without confirmation by a quorum, a partitioned former leader could keep
+  // renewing rights whose expiry its successor has already waited for.
+  const PendingRights Pending{Body, From.ReplyTo, Now};
   const auto Begun =
-      Reads.await(Agreement, Now, [this, To](const Expected<void> &Done) {
+      Reads.await(Agreement, Now, [this, Pending](const Expected<void> &Done) {
         if (Done)
-          grantRights(To);
+          grantRights(Pending);
       });
   if (Begun)
     processOutputs();
 }
 
-void ControlNode::grantRights(const PendingRights &To) {
-  const auto Grant =
-      Connections.handleRequest(To.Request, State.view(), To.ReceivedAt);
+void ControlNode::grantRights(const PendingRights &Pending) {
+  const auto Grant = Connections.handleRequest(Pending.Request, State.view(),
+                                               Pending.ReceivedAt);
   if (Grant)
-    Deps.Peers.send(To.ReplyTo, Delivery::Datagram, *Grant);
+    Deps.Peers.send(Pending.ReplyTo, Delivery::Datagram, *Grant);
 }
 
 void ControlNode::propose(std::string Actor, CommandBody Body,
@@ -165,8 +167,8 @@
 }
 
 void ControlNode::processOutputs() {
-  // Handlers called below may come back here; the outer call goes on until
-  // nothing is left.
+  // Handlers called below may reenter this function. The outer call continues
+  // until no outputs are left.
   if (ProcessingOutputs)
     return;
   ProcessingOutputs = true;
@@ -215,8 +217,8 @@
   std::optional<ApplyResult> Result;
   if (Committed.Kind == EntryKind::Command) {
     const auto Entry = decode<Command>(Committed.Bytes);
-    // To pass over a change that the others make would give this host another
-    // state than theirs under the same revision.
+    // Skipping a change that the other hosts apply would give this host a
+    // different state under the same revision.
     if (!Entry)
       return Failed.emit(Entry.error());
     Result = State.apply(Committed.Index, *Entry);
@@ -226,15 +228,16 @@
       return Failed.emit(Voters.error());
     Result = State.recordControlHosts(Committed.Index, describe(*Voters));
   }
-  // The trail is cut at its other end, so its length says nothing.
+  // The audit trail is truncated at its start, so its length does not show
+  // whether a record was added.
   if (!State.audit().empty() &&
       State.audit().back().Revision == Committed.Index)
     Audited.emit(State.audit().back());
-  const auto Waiting = Changes.find(Committed.Index);
-  if (Waiting == Changes.end())
+  const auto Pending = Changes.find(Committed.Index);
+  if (Pending == Changes.end())
     return;
-  const PendingChange Change = std::move(Waiting->second);
-  Changes.erase(Waiting);
+  const PendingChange Change = std::move(Pending->second);
+  Changes.erase(Pending);
   if (Change.Term != Committed.Term || !Result)
     Change.OnDone(fail(ErrorCode::Unavailable,
                        "another leader's entry took the place of this one"));
@@ -242,24 +245,24 @@
     Change.OnDone(*Result);
 }
 
-void ControlNode::grant(const PendingLease &To) {
+void ControlNode::grant(const PendingLease &Pending) {
   const ClusterView &View = State.view();
-  // Before the first manifest there is nothing to serve.
-  if (!View.CurrentManifest || View.Proxies.count(To.Request.Proxy) == 0)
+  // There is nothing to serve before the first manifest.
+  if (!View.CurrentManifest || View.Proxies.count(Pending.Request.Proxy) == 0)
     return;
   const LeaseGrant Grant{
-      To.Request.Proxy, To.Request.Sequence, To.Request.SentAt,
+      Pending.Request.Proxy, Pending.Request.Sequence, Pending.Request.SentAt,
       View.CurrentManifest->Failover.LeaseDuration, View.Revision};
-  Leases.recordGrant(Grant, To.ReceivedAt,
+  Leases.recordGrant(Grant, Pending.ReceivedAt,
                      View.CurrentManifest->Failover.ClockDriftPpm);
-  Deps.Peers.send(To.ReplyTo, Delivery::Datagram, Grant);
-  if (To.Request.AppliedRevision < View.Revision)
-    sendView(To.Request.Proxy, To.ReplyTo);
+  Deps.Peers.send(Pending.ReplyTo, Delivery::Datagram, Grant);
+  if (Pending.Request.AppliedRevision < View.Revision)
+    sendView(Pending.Request.Proxy, Pending.ReplyTo);
 }
 
 void ControlNode::updateLeadership() {
-  // Also one that never settled may have taken changes in: without an answer
-  // their operators would wait for good.
+  // A leader that never became ready may also have accepted changes. Without an
+  // answer, the operators who sent them would wait forever.
   if (!Agreement.isLeader())
     failPending();
   if (Agreement.isReadyLeader() == Leading)
@@ -271,15 +274,15 @@
     Announcements.reset(State.view(), Deps.Time.now());
     Connections.startTerm(Agreement.term(), State.view(), Deps.Time.now());
     Published = State.view();
-    SentAt.clear();
+    ViewSentAt.clear();
   }
   Leadership.emit(Leading);
 }
 
 void ControlNode::failPending() {
   Reads.failAll();
-  const auto Waiting = std::exchange(Changes, {});
-  for (const auto &[Index, Change] : Waiting)
+  const auto Pending = std::exchange(Changes, {});
+  for (const auto &[Index, Change] : Pending)
     Change.OnDone(fail(ErrorCode::Unavailable,
                        "leadership moved before the change was committed; it "
                        "may or may not take place: send it again"));
@@ -294,19 +297,19 @@
   for (const auto &[Id, Holder] : Leases.holders()) {
     if (Holder.ReplyTo.Port == 0 || Published.Proxies.count(Id) == 0)
       continue;
-    // A proxy that isn't at the delta's base ignores it, goes on asking with
-    // its old revision, and gets the whole view.
+    // A proxy whose view is not at the base of the delta ignores it, reports
+    // its old revision in the next request, and then receives the whole view.
     Deps.Peers.send(Holder.ReplyTo, Delivery::Stream, Delta);
-    SentAt[Id] = Now;
+    ViewSentAt[Id] = Now;
   }
 }
 
 void ControlNode::sendView(const ProcessId &Proxy, const Endpoint &To) {
   const Millis Now = Deps.Time.now();
-  const auto Last = SentAt.find(Proxy);
-  if (Last != SentAt.end() && Now - Last->second < SendViewAgainAfter)
+  const auto Last = ViewSentAt.find(Proxy);
+  if (Last != ViewSentAt.end() && Now - Last->second < ViewRetryInterval)
     return;
-  SentAt[Proxy] = Now;
+  ViewSentAt[Proxy] = Now;
   Deps.Peers.send(To, Delivery::Stream, ViewUpdate{State.view()});
 }
 
@@ -326,20 +329,21 @@
   if (!State.view().CurrentManifest)
     return;
   const Millis Now = Deps.Time.now();
-  const Millis Silence =
-      State.view().CurrentManifest->Failover.LeaseDuration * RemoveAfterLeases;
+  const Millis SilenceLimit =
+      State.view().CurrentManifest->Failover.LeaseDuration * RemovalLeaseCount;
   for (const auto &[Id, Where] : State.view().Proxies) {
     const auto Known = Leases.holders().find(Id);
     const auto End = Leases.expiry(Id);
-    // A new leader waits for those that are registered: whoever may still
-    // have connections open is one of them.
-    const bool Expired =
+    // A new leader waits only for registered proxies, so any proxy that may
+    // still have open connections must stay registered.
+    const bool IsExpired =
         (!End || *End < Now) && !Connections.mayHoldConnections(Id, Now);
-    const bool Silent = Known == Leases.holders().end() ||
-                        Now - Known->second.LastRequestAt > Silence;
+    const bool IsSilent = Known == Leases.holders().end() ||
+                          Now - Known->second.LastRequestAt > SilenceLimit;
     const auto Proposed = ProposedRemoval.find(Id);
-    if (!Expired || !Silent ||
-        (Proposed != ProposedRemoval.end() && Now - Proposed->second < Silence))
+    if (!IsExpired || !IsSilent ||
+        (Proposed != ProposedRemoval.end() &&
+         Now - Proposed->second < SilenceLimit))
       continue;
     ProposedRemoval[Id] = Now;
     propose(SystemActor, RemoveProxy{Id}, [](const Expected<ApplyResult> &) {});
--- a/Source/Control/ControlNode.h
+++ b/Source/Control/ControlNode.h
@@ -1,5 +1,6 @@
 /// \file
-/// A control host: the agreement, what it decides, and who must know.
+/// A control host: consensus, the replicated state, leases, failover and the
+/// distribution of views to proxies.
 
 #ifndef CORIANDERDYKE_CONTROL_CONTROLNODE_H
 #define CORIANDERDYKE_CONTROL_CONTROLNODE_H
@@ -16,7 +17,7 @@
 
 namespace corianderdyke {
 
-/// The outside things that a control host works with.
+/// External services that a control host uses.
 struct ControlDependencies {
   Clock &Time;
   Scheduler &Timers;
@@ -26,9 +27,10 @@
 
 class ControlNode : public sigc::trackable {
 public:
-  /// The state that a committed change led to, or why it wasn't made.
+  /// Receives the result of a committed change, or the error if it was not
+  /// made.
   using ChangeHandler = std::function<void(Expected<ApplyResult>)>;
-  /// The latest state, or Unavailable where this host doesn't lead.
+  /// Receives the latest state, or Unavailable if this host does not lead.
   using ReadHandler = std::function<void(Expected<const ControlState *>)>;
 
   ControlNode(const Settings &Options, ControlDependencies Deps,
@@ -36,37 +38,40 @@
 
   void start();
 
-  /// Proposes a change; the handler runs once it's committed or refused, or
-  /// with Unavailable where that can't be known here any more.
+  /// Proposes a change. The handler runs once it is committed or refused, or
+  /// with Unavailable if this host can no longer determine the outcome.
   void propose(std::string Actor, CommandBody Body, ChangeHandler OnDone);
 
-  /// Makes a control host that has caught up a voter, or takes one out of the
-  /// group for good. One change at a time: Conflict while another is under
-  /// way. The steps for an operator are in docs/design/control-state.md.
+  /// Adds a control host that has caught up to the voters, or permanently
+  /// removes one from the group. Only one change is possible at a time:
+  /// Conflict while another is pending. docs/design/control-state.md describes
+  /// the steps for an operator.
   void addControlHost(const std::string &Name, ChangeHandler OnDone);
   void removeControlHost(const std::string &Name, ChangeHandler OnDone);
 
-  /// Reads through the quorum.
+  /// Reads the state after a quorum has confirmed that this host leads.
   void readLatest(const ReadHandler &OnRead);
 
-  /// Emitted with the disk's error when it refuses writes, and with nothing
-  /// when it takes them again. Meanwhile this host neither leads nor votes.
+  /// Emitted with the error of the disk when it refuses writes, and with an
+  /// empty text when it accepts them again. In the meantime this host neither
+  /// leads nor votes.
   sigc::signal<void(const std::string &)> &signalDiskStatus() {
     return DiskChanged;
   }
-  /// Emitted when the disk holds what can't be right: the process must end.
+  /// Emitted when the state on the disk is invalid. The process must exit.
   sigc::signal<void(const Error &)> &signalFailed() { return Failed; }
-  /// Emitted for each line that is added to the audit trail here.
+  /// Emitted for each record that this host adds to its audit trail.
   sigc::signal<void(const AuditRecord &)> &signalAudited() { return Audited; }
-  /// Emitted when this host becomes leader or ceases to be.
+  /// Emitted when this host gains or loses the leadership.
   sigc::signal<void(bool)> &signalLeadership() { return Leadership; }
 
   const Consensus &consensus() const { return Agreement; }
   const LeaseRegistry &leases() const { return Leases; }
   const ConnectionLedger &connections() const { return Connections; }
-  /// What this host has applied; it may be behind unless it leads.
+  /// The state that this host has applied. It may be outdated unless this host
+  /// leads.
   const ControlState &appliedState() const { return State; }
-  /// True once no proxy can act without the revision any more.
+  /// True once no proxy can act without \p Revision.
   bool isInForce(std::uint64_t Revision) const;
 
 private:
@@ -96,18 +101,19 @@
   void on(const Envelope &From, const RightsRequest &Body);
   template <class Other> void on(const Envelope &, const Other &) {}
 
-  /// Carries out what the agreement wants done, and what follows from it.
+  /// Processes the outputs of the consensus and the actions that follow from
+  /// them.
   void processOutputs();
   void updateDiskStatus();
   void applyOutputs(ConsensusOutputs Outputs);
   void await(const Expected<std::uint64_t> &Index, ChangeHandler OnDone);
   void apply(const Entry &Committed);
-  void grant(const PendingLease &To);
-  void grantRights(const PendingRights &To);
+  void grant(const PendingLease &Pending);
+  void grantRights(const PendingRights &Pending);
   void updateLeadership();
   void publish();
-  /// Sends the whole view to a proxy that is behind, unless something went
-  /// to it just now.
+  /// Sends the whole view to a proxy that is behind, unless a view or delta was
+  /// sent to it very recently.
   void sendView(const ProcessId &Proxy, const Endpoint &To);
   void runFailover();
   void removeExpiredProxies();
@@ -127,10 +133,11 @@
   bool Leading = false;
   bool ProcessingOutputs = false;
   std::uint64_t AppliedIndex = 0;
-  /// The view that was last sent out as a delta or is known to all.
+  /// Base of the next delta: the view as of the last delta, or as of the start
+  /// of this leadership.
   ClusterView Published;
-  /// When a view or delta last went to a proxy.
-  std::map<ProcessId, Millis> SentAt;
+  /// When a view or delta was last sent to each proxy.
+  std::map<ProcessId, Millis> ViewSentAt;
   std::map<std::uint64_t, PendingChange> Changes;
   ReadBarriers Reads;
   std::map<ProcessId, Millis> ProposedRemoval;
--- a/Source/Control/TargetOrderSender.cpp
+++ b/Source/Control/TargetOrderSender.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sends orders to targets by their published protocol.
+/// Sends orders to targets by their published HTTP protocol.
 
 #include "Control/TargetOrderSender.h"
 
@@ -10,7 +10,7 @@
 constexpr Millis OrderTimeout(300);
 constexpr int StatusOk = 200;
 
-std::string refusalText(const std::vector<Fork> &Forks) {
+std::string formatForks(const std::vector<Fork> &Forks) {
   std::string Out;
   for (const Fork &Each : Forks)
     Out += (Out.empty() ? "" : ",") + std::to_string(Each.Term) + ":" +
@@ -18,14 +18,15 @@
   return Out;
 }
 
-HttpRequest requestFor(const TargetOrderRequest &Call) {
+HttpRequest makeRequest(const TargetOrderRequest &Order) {
   HttpRequest Out;
   Out.Method = HttpMethod::Post;
-  Out.Query["term"] = std::to_string(Call.Term);
-  // An order is for one life. A target that restarted empty, and whose new
-  // announcement is still under way, must not take up its former role.
-  Out.Query["sequence"] = std::to_string(Call.Target.Sequence);
-  switch (Call.Kind) {
+  Out.Query["term"] = std::to_string(Order.Term);
+  // An order is addressed to one incarnation. A target that restarted with no
+  // data, and whose new announcement is still in transit, must not resume its
+  // former role.
+  Out.Query["sequence"] = std::to_string(Order.Target.Sequence);
+  switch (Order.Kind) {
   case TargetOrderKind::Fence:
     Out.Path = "/v1/fence";
     return Out;
@@ -34,25 +35,25 @@
     break;
   case TargetOrderKind::Follow:
     Out.Path = "/v1/follow";
-    Out.Query["primary"] = Call.Primary.text();
+    Out.Query["primary"] = Order.Primary.text();
     break;
   }
-  Out.Query["forks"] = refusalText(Call.Forks);
+  Out.Query["forks"] = formatForks(Order.Forks);
   return Out;
 }
 
 } // namespace
 
-void TargetOrderSender::send(const TargetOrderRequest &Call, Handler OnDone) {
-  Link &To = Links[Call.Target.Name];
-  // A new order overtakes one that hangs: the connection is made anew.
-  if (!To.Connection || To.Address != Call.Target.Address || To.Busy)
-    To = Link{Call.Target.Address, Connector.connect(Call.Target.Address),
+void TargetOrderSender::send(const TargetOrderRequest &Order, Handler OnDone) {
+  Link &To = Links[Order.Target.Name];
+  // A new order does not wait for an unanswered one: it uses a new connection.
+  if (!To.Connection || To.Address != Order.Target.Address || To.Busy)
+    To = Link{Order.Target.Address, Connector.connect(Order.Target.Address),
               false};
   To.Busy = true;
   To.Connection->request(
-      requestFor(Call), OrderTimeout,
-      [this, Name = Call.Target.Name,
+      makeRequest(Order), OrderTimeout,
+      [this, Name = Order.Target.Name,
        OnDone = std::move(OnDone)](Expected<HttpResponse> Answer) {
         Link &From = Links[Name];
         From.Busy = false;
--- a/Source/Control/TargetOrderSender.h
+++ b/Source/Control/TargetOrderSender.h
@@ -1,5 +1,5 @@
 /// \file
-/// Sends orders to targets by their published protocol.
+/// Sends orders to targets by their published HTTP protocol.
 
 #ifndef CORIANDERDYKE_CONTROL_TARGETORDERSENDER_H
 #define CORIANDERDYKE_CONTROL_TARGETORDERSENDER_H
@@ -9,16 +9,16 @@
 
 namespace corianderdyke {
 
-/// One connection a target, opened when first needed.
+/// Keeps one connection for each target, opened on first use.
 class TargetOrderSender {
 public:
   using Handler = std::function<void(const TargetPosition &)>;
 
   explicit TargetOrderSender(HttpConnector &Connector) : Connector(Connector) {}
 
-  /// Sends an order. \p OnDone runs only where the target carried it out; an
-  /// order that failed is sent again by the coordinator.
-  void send(const TargetOrderRequest &Call, Handler OnDone);
+  /// Sends an order. \p OnDone runs only if the target carried the order out.
+  /// The coordinator sends a failed order again.
+  void send(const TargetOrderRequest &Order, Handler OnDone);
 
 private:
   struct Link {
