--- a/Source/Membership/AnnouncementGate.cpp
+++ b/Source/Membership/AnnouncementGate.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Decides which announcements the leading control host believes.
+/// Decides which target announcements the leading control host accepts.
 
 #include "Membership/AnnouncementGate.h"
 
@@ -18,9 +18,9 @@
 std::optional<CommandBody>
 AnnouncementGate::evaluate(const ClusterView &View,
                            const TargetAnnouncement &Announcement, Millis Now) {
-  const TargetAnnouncement *Known = View.target(Announcement.Name);
-  const std::string Fault = View.refusalReason(Announcement);
-  if (!Fault.empty()) {
+  const TargetAnnouncement *Existing = View.target(Announcement.Name);
+  const std::string Refusal = View.refusalReason(Announcement);
+  if (!Refusal.empty()) {
     const bool First =
         RecordedRefusals.size() < MaxRecordedRefusals &&
         RecordedRefusals.emplace(Announcement.Name, Announcement.Address)
@@ -29,12 +29,12 @@
       return std::nullopt;
     return RecordAuditEvent{"target-refused", Announcement.Name,
                             "announced at " + Announcement.Address.text() +
-                                ": " + Fault};
+                                ": " + Refusal};
   }
-  if (Known != nullptr && Known->Sequence > Announcement.Sequence)
+  if (Existing != nullptr && Existing->Sequence > Announcement.Sequence)
     return std::nullopt;
   LastAnnounced[Announcement.Name] = Now;
-  if (Known != nullptr && Known->Sequence == Announcement.Sequence)
+  if (Existing != nullptr && Existing->Sequence == Announcement.Sequence)
     return std::nullopt;
   return RecordTarget{Announcement};
 }
@@ -46,22 +46,25 @@
   if (!View.CurrentManifest)
     return Out;
   for (const auto &[Name, Target] : View.Targets) {
-    const Millis Heard = LastAnnounced.try_emplace(Name, Now).first->second;
-    const Millis Borne =
+    const Millis AnnouncedAt =
+        LastAnnounced.try_emplace(Name, Now).first->second;
+    const Millis Timeout =
         Target.Leaving ? LeavingTargetTimeout : SilentTargetTimeout;
     const GroupRecord *Group = View.group(Target.Database);
     const auto Proposed = ProposedRemoval.find(Name);
-    // Announcements may be lost on their way while callers are served.
-    if (Now - Heard < Borne || (Group != nullptr && Group->Primary == Name) ||
+    // Announcements may be lost in transit while the target serves callers.
+    if (Now - AnnouncedAt < Timeout ||
+        (Group != nullptr && Group->Primary == Name) ||
         !isSuspected(Name, Leases, View.CurrentManifest->Failover, Now) ||
         (Proposed != ProposedRemoval.end() &&
          Now - Proposed->second < LeavingTargetTimeout))
       continue;
     ProposedRemoval[Name] = Now;
     Out.push_back({Name, Target.Sequence,
-                   Target.Leaving ? "it has left"
-                                  : "silent and out of reach for " +
-                                        std::to_string(Borne.count()) + " ms"});
+                   Target.Leaving
+                       ? "it has left"
+                       : "silent and out of reach for " +
+                             std::to_string(Timeout.count()) + " ms"});
   }
   return Out;
 }
--- a/Source/Membership/TargetAnnouncement.h
+++ b/Source/Membership/TargetAnnouncement.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a target says of itself when it announces itself.
+/// The announcement by which a target registers itself.
 
 #ifndef CORIANDERDYKE_MEMBERSHIP_TARGETANNOUNCEMENT_H
 #define CORIANDERDYKE_MEMBERSHIP_TARGETANNOUNCEMENT_H
@@ -8,10 +8,10 @@
 
 namespace corianderdyke {
 
-/// A fact with a sequence: the announcement of a name with the highest
-/// sequence holds. A target raises it when it starts and when it leaves. It
-/// reaches any proxy through the platform's balancer, and that proxy passes it
-/// on to control.
+/// Describes a target. For each name, the announcement with the highest
+/// sequence is in force. A target increments the sequence when it starts and
+/// when it leaves. The platform load balancer routes the announcement to any
+/// proxy, which forwards it to the control hosts.
 struct TargetAnnouncement {
   std::string Name;
   std::string Database;
@@ -19,8 +19,8 @@
   Endpoint Address;
   std::uint64_t Sequence = 0;
   bool Leaving = false;
-  /// Names the log that the target holds; one that comes back without its log
-  /// has another. Empty where the database doesn't tell.
+  /// Identifies the log that the target holds. A target that comes back without
+  /// its log has a new one. Empty if the database does not report it.
   std::string LogId = {};
 
   auto operator<=>(const TargetAnnouncement &) const = default;
