--- a/Source/Transport/Envelope.cpp
+++ b/Source/Transport/Envelope.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sealing and opening of envelopes.
+/// Signing, compression and verification of envelopes.
 
 #include "Transport/Envelope.h"
 
@@ -17,18 +17,18 @@
 Expected<Envelope> verifyAndDecode(const std::string &Bytes,
                                    const std::string &Key) {
   if (Bytes.size() < TruncatedHmacBytes)
-    return fail(ErrorCode::BadInput, "too short for a message");
+    return fail(ErrorCode::BadInput, "too short for a signed message");
   const std::string Content = Bytes.substr(TruncatedHmacBytes);
   if (!equalsInConstantTime(Bytes.substr(0, TruncatedHmacBytes),
                             truncatedHmac(Key, Content)))
-    return fail(ErrorCode::BadInput, "sealed with another key");
-  const auto Unpacked = decompressMessage(Content, MaxUncompressedBytes);
-  if (!Unpacked)
-    return tl::unexpected(Unpacked.error());
-  auto Out = decode<Envelope>(*Unpacked);
+    return fail(ErrorCode::BadInput, "signed with another key");
+  const auto Decompressed = decompressMessage(Content, MaxUncompressedBytes);
+  if (!Decompressed)
+    return tl::unexpected(Decompressed.error());
+  auto Out = decode<Envelope>(*Decompressed);
   if (Out && Out->Version != Envelope::CurrentVersion)
     return fail(ErrorCode::BadInput, "version " + std::to_string(Out->Version) +
-                                         " of the protocol isn't known");
+                                         " of the protocol is not supported");
   return Out;
 }
 
--- a/Source/Transport/Envelope.h
+++ b/Source/Transport/Envelope.h
@@ -1,5 +1,5 @@
 /// \file
-/// The frame around every message between the system's own processes.
+/// The envelope of every message between processes of the system.
 
 #ifndef CORIANDERDYKE_TRANSPORT_ENVELOPE_H
 #define CORIANDERDYKE_TRANSPORT_ENVELOPE_H
@@ -14,8 +14,8 @@
 
 namespace corianderdyke {
 
-/// New kinds of message are added at the end, so that an older process still
-/// reads the ones it knows.
+/// New message types are added at the end, so that an older process can still
+/// read the types that it knows.
 using Message =
     std::variant<ConsensusMessage, LeaseRequest, LeaseGrant, NotLeader,
                  ViewUpdate, ViewApplied, ForwardedAnnouncement, ViewDelta,
@@ -24,7 +24,7 @@
                  ProxyListUpdate, ReachabilityQuery, SeatGrant, PermitRequest,
                  PermitReply>;
 
-/// The longest message before it's packed.
+/// Maximum size of a message before compression.
 constexpr std::size_t MaxUncompressedBytes = 64U << 20U;
 
 struct Envelope {
@@ -32,7 +32,7 @@
 
   std::uint32_t Version = CurrentVersion;
   std::string From; ///< The sender's process name.
-  Endpoint ReplyTo; ///< Where the sender's peers listener is.
+  Endpoint ReplyTo; ///< Endpoint of the sender's peer listener.
   Message Body;
 
   bool operator==(const Envelope &) const = default;
@@ -41,11 +41,11 @@
   }
 };
 
-/// Bytes of an envelope, sealed with the key that the processes share.
+/// Encodes an envelope and signs it with the key that the processes share.
 std::string signAndEncode(const Envelope &Message, const std::string &Key);
 
-/// The envelope in \p Bytes; BadInput where the seal isn't the key's,
-/// Corrupt where the content can't be read.
+/// Decodes the envelope in \p Bytes. Returns BadInput if the signature does not
+/// match the key, and Corrupt if the content cannot be decoded.
 Expected<Envelope> verifyAndDecode(const std::string &Bytes,
                                    const std::string &Key);
 
--- a/Source/Transport/PeerStreams.h
+++ b/Source/Transport/PeerStreams.h
@@ -1,5 +1,5 @@
 /// \file
-/// Streams of frames between two processes of the system, both ways.
+/// Bidirectional streams of frames between two processes of the system.
 
 #ifndef CORIANDERDYKE_TRANSPORT_PEERSTREAMS_H
 #define CORIANDERDYKE_TRANSPORT_PEERSTREAMS_H
@@ -13,12 +13,12 @@
 
 struct PeerStreamEvents {
   std::function<void(const std::string &)> OnFrame;
-  /// Nothing more will come.
+  /// Called when the stream is closed. No frame follows.
   std::function<void()> OnClose;
 };
 
-/// Frames arrive in order and whole. Destroying it closes the stream without
-/// further events.
+/// Delivers whole frames in order. Destroying the object closes the stream
+/// without further events.
 class PeerStream {
 public:
   virtual ~PeerStream() = default;
@@ -32,11 +32,11 @@
 
   virtual ~PeerStreams() = default;
 
-  /// Opens a stream; no event is raised before this returns. One that can't
-  /// be opened closes.
+  /// Opens a stream. No event is raised before this returns. A stream that
+  /// cannot be opened raises OnClose.
   virtual std::shared_ptr<PeerStream> connect(const Endpoint &To,
                                               PeerStreamEvents Events) = 0;
-  /// Who takes the streams that others open.
+  /// Sets the handler of streams that other processes open.
   virtual void setAcceptHandler(OnAccept Handler) = 0;
 };
 
--- a/Source/Transport/SocketOptions.cpp
+++ b/Source/Transport/SocketOptions.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What all TCP connections of a process have in common.
+/// Socket addresses, options and listeners shared by all TCP connections of a
+/// process.
 
 #include "Transport/SocketOptions.h"
 
@@ -20,24 +21,25 @@
 }
 
 void setTcpOptions(int Socket, Millis UserTimeout) {
-  const int On = 1;
-  setsockopt(Socket, IPPROTO_TCP, TCP_NODELAY, &On, sizeof(On));
-  const auto Bound = static_cast<unsigned>(UserTimeout.count());
-  setsockopt(Socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &Bound, sizeof(Bound));
+  const int Enabled = 1;
+  setsockopt(Socket, IPPROTO_TCP, TCP_NODELAY, &Enabled, sizeof(Enabled));
+  const auto TimeoutMs = static_cast<unsigned>(UserTimeout.count());
+  setsockopt(Socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &TimeoutMs,
+             sizeof(TimeoutMs));
 }
 
 Expected<evconnlistener *> makeListener(event_base *Base, const Endpoint &At,
                                         int Backlog, evconnlistener_cb Handler,
                                         void *Argument) {
   const sockaddr_in Address = socketAddress(At);
-  evconnlistener *Made = evconnlistener_new_bind(
+  evconnlistener *Listener = evconnlistener_new_bind(
       Base, Handler, Argument,
       LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
       Backlog, reinterpret_cast<const sockaddr *>(&Address), sizeof(Address));
-  if (Made == nullptr)
+  if (Listener == nullptr)
     return fail(ErrorCode::System,
                 "can't listen on " + At.text() + ": " + std::strerror(errno));
-  return Made;
+  return Listener;
 }
 
 int makeTcpSocket(Millis UserTimeout) {
--- a/Source/Transport/SocketOptions.h
+++ b/Source/Transport/SocketOptions.h
@@ -1,5 +1,6 @@
 /// \file
-/// What all TCP connections of a process have in common.
+/// Socket addresses, options and listeners shared by all TCP connections of a
+/// process.
 
 #ifndef CORIANDERDYKE_TRANSPORT_SOCKETOPTIONS_H
 #define CORIANDERDYKE_TRANSPORT_SOCKETOPTIONS_H
@@ -14,18 +15,18 @@
 
 sockaddr_in socketAddress(const Endpoint &Of);
 
-/// Sends small messages at once, and ends a connection whose peer hasn't
-/// confirmed anything for \p UserTimeout. Behind a partition it would else
-/// stay open and hold its bytes back for seconds after the partition is over,
-/// or for good.
+/// Disables delays of small messages, and ends a connection whose peer has not
+/// acknowledged data for \p UserTimeout. Otherwise a connection across a
+/// partition would stay open and hold back its bytes for seconds after the
+/// partition ends, or forever.
 void setTcpOptions(int Socket, Millis UserTimeout);
 
-/// A TCP socket for a connection of our own, with these options set before it
-/// connects; negative where there's none to be had.
+/// Creates a TCP socket for an outgoing connection and sets these options
+/// before it connects. Returns a negative value on failure.
 int makeTcpSocket(Millis UserTimeout);
 
-/// Listens for TCP connections; \p Handler is called with \p Argument. System
-/// where the address can't be listened on.
+/// Listens for TCP connections and calls \p Handler with \p Argument for each.
+/// Returns System if it cannot listen on the address.
 Expected<evconnlistener *> makeListener(event_base *Base, const Endpoint &At,
                                         int Backlog, evconnlistener_cb Handler,
                                         void *Argument);
--- a/Source/Transport/SocketPeerStreams.cpp
+++ b/Source/Transport/SocketPeerStreams.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Streams of frames between processes on TCP through libevent.
+/// Streams of frames between processes, over TCP with libevent.
 
 #include "Transport/SocketPeerStreams.h"
 
@@ -17,21 +17,24 @@
 namespace {
 
 constexpr std::size_t LengthBytes = 4;
-/// A peer that reads nothing is cut before its frames fill the memory.
+/// Maximum size of the output queue. A peer that stops reading is disconnected
+/// before its frames exhaust the memory.
 constexpr std::size_t MaxQueuedBytes = 8U << 20U;
-/// Bytes that a peer hasn't confirmed for this long will hardly arrive in a
-/// caller's time; well above the way there and back between regions.
-constexpr Millis SilenceBorne(800);
-/// Proxies that may connect at the same moment, after all have restarted.
+/// Timeout of unacknowledged data. Data that is unacknowledged for this long is
+/// unlikely to arrive before the deadline of a caller. The value is well above
+/// the round-trip time between regions.
+constexpr Millis UnackedDataTimeout(800);
+/// Number of proxies that may connect at the same moment after a simultaneous
+/// restart.
 constexpr int Backlog = 512;
 
-/// What the callbacks of one stream work on. It outlives the stream while a
+/// State of one stream, used by its callbacks. It outlives the stream while a
 /// callback runs, since handlers may destroy the stream.
 struct StreamState {
   bufferevent *Buffer = nullptr;
   PeerStreamEvents Handlers;
   std::string Key;
-  bool IsEnded = false; ///< No handler runs any more.
+  bool IsEnded = false; ///< Set once no handler may run.
 
   ~StreamState() {
     if (Buffer != nullptr)
@@ -47,7 +50,8 @@
       Handler();
   }
 
-  /// False where no whole frame is there yet.
+  /// Delivers the next frame. Returns false if it is not complete yet or the
+  /// stream was closed.
   bool takeFrame() {
     evbuffer *In = bufferevent_get_input(Buffer);
     if (evbuffer_get_length(In) < LengthBytes)
@@ -101,7 +105,7 @@
     State->IsEnded = true;
     bufferevent_setcb(State->Buffer, nullptr, nullptr, nullptr, nullptr);
     bufferevent_disable(State->Buffer, EV_READ);
-    // It may be destroyed inside its own callback.
+    // The stream may be destroyed inside its own callback.
     Loop.defer([Held = State, Kept = Argument] { Kept->reset(); });
   }
 
@@ -144,14 +148,15 @@
     if ((Events & BEV_EVENT_CONNECTED) != 0)
       return;
     const StreamStatePtr Held = *static_cast<StreamStatePtr *>(Raw);
-    // What the peer sent before it closed may still be in the buffer.
+    // Data that the peer sent before it closed may still be in the buffer.
     Held->read();
     Held->end();
   }
 
   EventLoop &Loop;
   StreamStatePtr State;
-  /// The argument of libevent's callbacks: keeps the state while one runs.
+  /// Argument of the libevent callbacks. It keeps the state alive while a
+  /// callback runs.
   std::shared_ptr<StreamStatePtr> Argument;
 };
 
@@ -183,14 +188,14 @@
 std::shared_ptr<PeerStream>
 SocketPeerStreams::connect(const Endpoint &To, PeerStreamEvents Events) {
   auto Made = std::make_shared<SocketPeerStream>(
-      Loop, makeTcpSocket(SilenceBorne), Key);
+      Loop, makeTcpSocket(UnackedDataTimeout), Key);
   Made->start(std::move(Events));
   Made->connect(To);
   return Made;
 }
 
 void SocketPeerStreams::accepted(int Socket) {
-  setTcpOptions(Socket, SilenceBorne);
+  setTcpOptions(Socket, UnackedDataTimeout);
   auto Made = std::make_shared<SocketPeerStream>(Loop, Socket, Key);
   if (AcceptHandler)
     Made->start(AcceptHandler(Made));
--- a/Source/Transport/SocketPeerStreams.h
+++ b/Source/Transport/SocketPeerStreams.h
@@ -1,5 +1,5 @@
 /// \file
-/// Streams of frames between processes on TCP through libevent.
+/// Streams of frames between processes, over TCP with libevent.
 
 #ifndef CORIANDERDYKE_TRANSPORT_SOCKETPEERSTREAMS_H
 #define CORIANDERDYKE_TRANSPORT_SOCKETPEERSTREAMS_H
@@ -13,8 +13,9 @@
 
 class EventLoop;
 
-/// A frame is a length in four bytes, a digest with the processes' key, and
-/// the bytes. A frame with another digest closes its stream.
+/// A frame consists of its length in four bytes, an HMAC with the key that the
+/// processes share, and the payload. A frame with a wrong HMAC closes its
+/// stream.
 class SocketPeerStreams final : public PeerStreams {
 public:
   static Expected<std::unique_ptr<SocketPeerStreams>>
@@ -30,7 +31,7 @@
     AcceptHandler = std::move(Handler);
   }
 
-  /// The longest answer that a target may give, and room around it.
+  /// Maximum size of a frame: the largest answer of a target plus overhead.
   static constexpr std::size_t MaxFrameBytes = 4U << 20U;
 
 private:
--- a/Source/Transport/SocketTransport.cpp
+++ b/Source/Transport/SocketTransport.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Transport on UDP and TCP sockets through libevent.
+/// Transport over UDP and TCP sockets with libevent.
 
 #include "Transport/SocketTransport.h"
 
@@ -21,25 +21,26 @@
 namespace {
 
 constexpr std::size_t LengthBytes = 4;
-/// A peer that reads nothing is cut before its messages fill the memory.
+/// Maximum size of the output queue. A peer that stops reading is disconnected
+/// before its messages exhaust the memory.
 constexpr std::size_t MaxQueuedBytes = 64U << 20U;
 
-/// A stream without any sign of life for this long is opened anew with the
-/// next message. Behind a partition the kernel would hold messages back for
-/// seconds after it's over, and a proxy would go on with an old plan. It's
-/// well above the way there and back between regions.
-constexpr Millis SilenceBorne(800);
+/// Timeout of unacknowledged data, after which the next message opens a new
+/// stream. After a partition, the kernel would hold back messages for further
+/// seconds, and a proxy would keep using an old plan. The value is well above
+/// the round-trip time between regions.
+constexpr Millis UnackedDataTimeout(800);
 
-/// A connection that isn't there after this long was asked for while its peer
-/// was down. It's well above the way there and back between regions.
-constexpr Millis ConnectTakes(60);
+/// A connection attempt that takes longer than this was started while its peer
+/// was down. The value is well above the round-trip time between regions.
+constexpr Millis StalledConnectTimeout(60);
 
 } // namespace
 
 struct SocketTransport::Stream {
   SocketTransport *Owner = nullptr;
   bufferevent *Buffer = nullptr;
-  bool IsConnected = false; ///< Of an outgoing one.
+  bool IsConnected = false; ///< Outgoing streams only.
   Millis OpenedAt;
 
   ~Stream() { bufferevent_free(Buffer); }
@@ -53,11 +54,11 @@
 Expected<std::unique_ptr<SocketTransport>>
 SocketTransport::listen(EventLoop &Loop, const Endpoint &At, std::string Name,
                         std::string Key) {
-  std::unique_ptr<SocketTransport> Made(
+  std::unique_ptr<SocketTransport> Result(
       new SocketTransport(Loop, At, std::move(Name), std::move(Key)));
-  if (auto Bound = Made->bind(); !Bound)
+  if (auto Bound = Result->bind(); !Bound)
     return tl::unexpected(Bound.error());
-  return Made;
+  return Result;
 }
 
 Expected<void> SocketTransport::bind() {
@@ -80,12 +81,12 @@
       [](evconnlistener *, evutil_socket_t Socket, sockaddr *, int,
          void *Argument) {
         auto *Self = static_cast<SocketTransport *>(Argument);
-        auto Made = std::make_unique<Stream>();
-        Made->Owner = Self;
-        Made->Buffer = bufferevent_socket_new(Self->Loop.base(), Socket,
-                                              BEV_OPT_CLOSE_ON_FREE);
+        auto NewStream = std::make_unique<Stream>();
+        NewStream->Owner = Self;
+        NewStream->Buffer = bufferevent_socket_new(Self->Loop.base(), Socket,
+                                                   BEV_OPT_CLOSE_ON_FREE);
         bufferevent_setcb(
-            Made->Buffer,
+            NewStream->Buffer,
             [](bufferevent *, void *From) {
               auto *Each = static_cast<Stream *>(From);
               Each->Owner->readFrames(*Each);
@@ -95,9 +96,9 @@
               auto *Each = static_cast<Stream *>(From);
               Each->Owner->closeStream(Each);
             },
-            Made.get());
-        bufferevent_enable(Made->Buffer, EV_READ | EV_WRITE);
-        Self->Incoming.insert(std::move(Made));
+            NewStream.get());
+        bufferevent_enable(NewStream->Buffer, EV_READ | EV_WRITE);
+        Self->Incoming.insert(std::move(NewStream));
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
       -1, Raw, sizeof(Address));
@@ -133,8 +134,8 @@
 }
 
 void SocketTransport::send(const Endpoint &To, Delivery How,
-                           const PreparedMessage &What) {
-  sendSigned(To, How, What.SignedBytes);
+                           const PreparedMessage &Prepared) {
+  sendSigned(To, How, Prepared.SignedBytes);
 }
 
 void SocketTransport::sendSigned(const Endpoint &To, Delivery How,
@@ -149,20 +150,21 @@
 void SocketTransport::sendDatagram(const Endpoint &To,
                                    const std::string &Bytes) {
   const sockaddr_in Address = socketAddress(To);
-  // A datagram that the kernel has no room for is lost like any other.
+  // A datagram that the kernel has no room for is lost like any other lost
+  // datagram.
   ::sendto(DatagramSocket, Bytes.data(), Bytes.size(), MSG_DONTWAIT,
            reinterpret_cast<const sockaddr *>(&Address), sizeof(Address));
 }
 
 std::unique_ptr<SocketTransport::Stream>
 SocketTransport::connect(const Endpoint &To) {
-  auto Made = std::make_unique<Stream>();
-  Made->Owner = this;
-  Made->OpenedAt = Time.now();
-  Made->Buffer = bufferevent_socket_new(
-      Loop.base(), makeTcpSocket(SilenceBorne), BEV_OPT_CLOSE_ON_FREE);
+  auto NewStream = std::make_unique<Stream>();
+  NewStream->Owner = this;
+  NewStream->OpenedAt = Time.now();
+  NewStream->Buffer = bufferevent_socket_new(
+      Loop.base(), makeTcpSocket(UnackedDataTimeout), BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb(
-      Made->Buffer, nullptr, nullptr,
+      NewStream->Buffer, nullptr, nullptr,
       [](bufferevent *, short Events, void *From) {
         auto *Each = static_cast<Stream *>(From);
         if ((Events & BEV_EVENT_CONNECTED) != 0)
@@ -170,44 +172,46 @@
         else
           Each->Owner->closeStream(Each);
       },
-      Made.get());
+      NewStream.get());
   const sockaddr_in Address = socketAddress(To);
-  bufferevent_enable(Made->Buffer, EV_READ | EV_WRITE);
-  if (bufferevent_socket_connect(Made->Buffer,
+  bufferevent_enable(NewStream->Buffer, EV_READ | EV_WRITE);
+  if (bufferevent_socket_connect(NewStream->Buffer,
                                  reinterpret_cast<const sockaddr *>(&Address),
                                  sizeof(Address)) != 0)
     return nullptr;
-  return Made;
+  return NewStream;
 }
 
-// Load pattern: hosts come back one by one after a loss of power. The first
-// ones ask those that are still down, and the kernel repeats such a request to
-// connect only after a second. Votes for the first leader would wait in it
-// though their host is up by now: 440 ms of the time without any service.
+// Hosts return one by one after a power loss. The first ones try to connect to
+// hosts that are still down, and the kernel repeats a connection attempt only
+// after a second. Votes for the first leader would wait for that although their
+// receiver is up by then, which adds 440 ms to the time without service. A
+// message from the peer therefore restarts the connection.
 void SocketTransport::reconnectStalled(const Endpoint &To) {
   const auto Found = Outgoing.find(To);
   if (Found == Outgoing.end() || Found->second->IsConnected ||
-      Time.now() - Found->second->OpenedAt < ConnectTakes)
+      Time.now() - Found->second->OpenedAt < StalledConnectTimeout)
     return;
-  std::unique_ptr<Stream> Anew = connect(To);
-  if (!Anew)
+  std::unique_ptr<Stream> NewStream = connect(To);
+  if (!NewStream)
     return;
-  // Nothing of it was sent: messages wait whole.
+  // None of the queued bytes were sent before the connection was established,
+  // so only whole messages are moved.
   evbuffer *Old = bufferevent_get_output(Found->second->Buffer);
   evbuffer_unfreeze(Old, 1);
-  evbuffer_add_buffer(bufferevent_get_output(Anew->Buffer), Old);
-  Found->second = std::move(Anew);
+  evbuffer_add_buffer(bufferevent_get_output(NewStream->Buffer), Old);
+  Found->second = std::move(NewStream);
 }
 
 void SocketTransport::sendFrame(const Endpoint &To, const std::string &Bytes) {
-  std::unique_ptr<Stream> &Open = Outgoing[To];
-  if (!Open)
-    Open = connect(To);
-  if (!Open) {
+  std::unique_ptr<Stream> &Connection = Outgoing[To];
+  if (!Connection)
+    Connection = connect(To);
+  if (!Connection) {
     Outgoing.erase(To);
     return;
   }
-  evbuffer *Queue = bufferevent_get_output(Open->Buffer);
+  evbuffer *Queue = bufferevent_get_output(Connection->Buffer);
   if (evbuffer_get_length(Queue) > MaxQueuedBytes) {
     Outgoing.erase(To);
     return;
@@ -250,13 +254,13 @@
 
 void SocketTransport::deliver(const std::string &Bytes) {
   ReceivedBytes += Bytes.size();
-  const auto Opened = verifyAndDecode(Bytes, Key);
-  if (!Opened) {
+  const auto Verified = verifyAndDecode(Bytes, Key);
+  if (!Verified) {
     ++Rejected;
     return;
   }
-  reconnectStalled(Opened->ReplyTo);
-  signalReceived().emit(*Opened);
+  reconnectStalled(Verified->ReplyTo);
+  signalReceived().emit(*Verified);
 }
 
 void SocketTransport::closeStream(Stream *Closed) {
--- a/Source/Transport/SocketTransport.h
+++ b/Source/Transport/SocketTransport.h
@@ -1,5 +1,5 @@
 /// \file
-/// Transport on UDP and TCP sockets through libevent.
+/// Transport over UDP and TCP sockets with libevent.
 
 #ifndef CORIANDERDYKE_TRANSPORT_SOCKETTRANSPORT_H
 #define CORIANDERDYKE_TRANSPORT_SOCKETTRANSPORT_H
@@ -18,8 +18,8 @@
 
 class EventLoop;
 
-/// Listens on one port number with both protocols. A stream carries frames
-/// of a length in four bytes and a sealed envelope.
+/// Listens on the same port number with both protocols. A frame on a stream
+/// consists of its length in four bytes and a signed envelope.
 class SocketTransport final : public Transport {
 public:
   static Expected<std::unique_ptr<SocketTransport>> listen(EventLoop &Loop,
@@ -34,7 +34,7 @@
   void send(const Endpoint &To, Delivery How, Message Body) override;
   PreparedMessage prepare(Message Body) const override;
   void send(const Endpoint &To, Delivery How,
-            const PreparedMessage &What) override;
+            const PreparedMessage &Prepared) override;
 
   PeerTraffic traffic() const override {
     return {SentBytes, ReceivedBytes, Rejected};
@@ -43,7 +43,8 @@
   /// Bytes sent and received, for metrics.
   std::uint64_t bytesSent() const { return SentBytes; }
   std::uint64_t bytesReceived() const { return ReceivedBytes; }
-  /// Messages thrown away for a bad seal or content.
+  /// Number of messages discarded because of an invalid size, signature or
+  /// content.
   std::uint64_t rejected() const { return Rejected; }
 
   static constexpr std::size_t MaxDatagramBytes = 60000;
@@ -60,9 +61,10 @@
   void sendSigned(const Endpoint &To, Delivery How, const std::string &Bytes);
   void sendDatagram(const Endpoint &To, const std::string &Bytes);
   void sendFrame(const Endpoint &To, const std::string &Bytes);
-  /// A stream that begins to connect; null where it can't.
+  /// Returns a new stream that starts to connect, or null on failure.
   std::unique_ptr<Stream> connect(const Endpoint &To);
-  /// A peer was heard: a stream to it that still connects begins anew.
+  /// Restarts a stream to \p To whose connection attempt has stalled. Called
+  /// when a message from that peer arrives.
   void reconnectStalled(const Endpoint &To);
   void readDatagrams();
   void readFrames(Stream &From);
--- a/Source/Transport/Transport.h
+++ b/Source/Transport/Transport.h
@@ -1,5 +1,5 @@
 /// \file
-/// How the system's own processes reach each other.
+/// Message transport between the processes of the system.
 
 #ifndef CORIANDERDYKE_TRANSPORT_TRANSPORT_H
 #define CORIANDERDYKE_TRANSPORT_TRANSPORT_H
@@ -11,48 +11,48 @@
 namespace corianderdyke {
 
 enum class Delivery : std::uint8_t {
-  Datagram, ///< May be lost; must be small. UDP.
-  Stream,   ///< In order while the connection stands. TCP.
+  Datagram, ///< UDP: may be lost and must be small.
+  Stream,   ///< TCP: in order while the connection is open.
 };
 
 /// Counters for metrics.
 struct PeerTraffic {
   std::uint64_t SentBytes = 0;
   std::uint64_t ReceivedBytes = 0;
-  std::uint64_t Rejected = 0; ///< Too long, or a bad seal or content.
+  std::uint64_t Rejected = 0; ///< Invalid size, signature or content.
 
   auto operator<=>(const PeerTraffic &) const = default;
 };
 
-/// A message that goes to many. Load pattern: everything starts at the same
-/// moment and hundreds of proxies ask the new leader for the same three long
-/// messages. They are encoded, packed and sealed once for all, not once for
-/// each receiver.
+/// A message for several receivers. When the whole system starts at once,
+/// hundreds of proxies request the same three long messages from the new
+/// leader. Such a message is encoded, compressed and signed once instead of
+/// once for each receiver.
 struct PreparedMessage {
   Message Body;
-  std::string SignedBytes; ///< Empty where the transport seals none.
+  std::string SignedBytes; ///< Empty if the transport does not sign.
 };
 
-/// Sends and receives messages. No delivery is certain: everything that
-/// matters is asked again until it's answered.
+/// Sends and receives messages. Delivery is not guaranteed: senders repeat
+/// every important request until it is answered.
 class Transport {
 public:
   virtual ~Transport() = default;
 
   virtual void send(const Endpoint &To, Delivery How, Message Body) = 0;
 
-  /// For a message to several, or to one several times.
+  /// Prepares a message that is sent to several receivers, or several times.
   virtual PreparedMessage prepare(Message Body) const {
     return {std::move(Body), ""};
   }
   virtual void send(const Endpoint &To, Delivery How,
-                    const PreparedMessage &What) {
-    send(To, How, What.Body);
+                    const PreparedMessage &Prepared) {
+    send(To, How, Prepared.Body);
   }
 
   virtual PeerTraffic traffic() const { return {}; }
 
-  /// Emitted for each message that arrives with a good seal.
+  /// Emitted for each message that arrives with a valid signature.
   sigc::signal<void(const Envelope &)> &signalReceived() { return Received; }
 
 private:
