--- a/Source/Storage/FileDisk.cpp
+++ b/Source/Storage/FileDisk.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A data folder on the machine's file system.
+/// A data folder on the file system of the host.
 
 #include "Storage/FileDisk.h"
 
@@ -21,12 +21,12 @@
 
 constexpr int FileMode = 0600;
 
-tl::unexpected<Error> systemError(const std::string &What) {
-  return fail(ErrorCode::System, What + ": " + std::strerror(errno));
+tl::unexpected<Error> systemError(const std::string &Operation) {
+  return fail(ErrorCode::System, Operation + ": " + std::strerror(errno));
 }
 
 Expected<void> writeAll(int Descriptor, const std::string &Bytes,
-                        const std::string &What) {
+                        const std::string &Path) {
   std::size_t Done = 0;
   while (Done < Bytes.size()) {
     const ssize_t Count =
@@ -34,7 +34,7 @@
     if (Count < 0 && errno == EINTR)
       continue;
     if (Count < 0)
-      return systemError("can't write " + What);
+      return systemError("cannot write " + Path);
     Done += static_cast<std::size_t>(Count);
   }
   return {};
@@ -49,29 +49,32 @@
     return fail(ErrorCode::System,
                 "can't make data folder " + Folder + ": " + Code.message());
   const std::string Path = Folder + "/lock";
-  const int Lock = ::open(Path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, FileMode);
-  if (Lock < 0)
+  const int LockDescriptor =
+      ::open(Path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, FileMode);
+  if (LockDescriptor < 0)
     return systemError("can't write data folder " + Folder);
-  if (::flock(Lock, LOCK_EX | LOCK_NB) != 0) {
-    ::close(Lock);
+  if (::flock(LockDescriptor, LOCK_EX | LOCK_NB) != 0) {
+    ::close(LockDescriptor);
     return fail(ErrorCode::Conflict,
                 "data folder " + Folder + " is held by another process");
   }
-  return FileDisk(Folder, Lock);
+  return FileDisk(Folder, LockDescriptor);
 }
 
-FileDisk::FileDisk(std::string Folder, int Lock)
-    : Folder(std::move(Folder)), Lock(Lock) {}
+FileDisk::FileDisk(std::string Folder, int LockDescriptor)
+    : Folder(std::move(Folder)), LockDescriptor(LockDescriptor) {}
 
 FileDisk::FileDisk(FileDisk &&Other) noexcept
-    : Folder(std::move(Other.Folder)), Lock(std::exchange(Other.Lock, -1)),
-      Open(std::exchange(Other.Open, {})), Syncs(Other.Syncs) {}
+    : Folder(std::move(Other.Folder)),
+      LockDescriptor(std::exchange(Other.LockDescriptor, -1)),
+      Descriptors(std::exchange(Other.Descriptors, {})),
+      SyncDurations(Other.SyncDurations) {}
 
 FileDisk::~FileDisk() {
-  for (const auto &[Name, Descriptor] : Open)
+  for (const auto &[Name, Descriptor] : Descriptors)
     ::close(Descriptor);
-  if (Lock >= 0)
-    ::close(Lock);
+  if (LockDescriptor >= 0)
+    ::close(LockDescriptor);
 }
 
 Expected<std::string> FileDisk::read(const std::string &Name) {
@@ -84,27 +87,27 @@
 }
 
 Expected<int> FileDisk::descriptor(const std::string &Name) {
-  const auto Known = Open.find(Name);
-  if (Known != Open.end())
+  const auto Known = Descriptors.find(Name);
+  if (Known != Descriptors.end())
     return Known->second;
   const std::string Path = Folder + "/" + Name;
   const int Descriptor =
       ::open(Path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, FileMode);
   if (Descriptor < 0)
-    return systemError("can't open " + Path);
-  Open[Name] = Descriptor;
-  // A new file lasts only once its folder entry does.
+    return systemError("cannot open " + Path);
+  Descriptors[Name] = Descriptor;
+  // A new file is durable only once its folder entry is.
   if (auto Done = syncFolder(); !Done)
     return tl::unexpected(Done.error());
   return Descriptor;
 }
 
 void FileDisk::closeDescriptor(const std::string &Name) {
-  const auto Known = Open.find(Name);
-  if (Known == Open.end())
+  const auto Known = Descriptors.find(Name);
+  if (Known == Descriptors.end())
     return;
   ::close(Known->second);
-  Open.erase(Known);
+  Descriptors.erase(Known);
 }
 
 Expected<void> FileDisk::append(const std::string &Name,
@@ -120,7 +123,7 @@
   if (!Descriptor)
     return tl::unexpected(Descriptor.error());
   if (timedSync(::fdatasync, *Descriptor) != 0)
-    return systemError("can't sync " + Folder + "/" + Name);
+    return systemError("cannot sync " + Folder + "/" + Name);
   return {};
 }
 
@@ -130,7 +133,7 @@
     return tl::unexpected(Descriptor.error());
   if (::ftruncate(*Descriptor, static_cast<off_t>(Size)) != 0 ||
       timedSync(::fsync, *Descriptor) != 0)
-    return systemError("can't cut " + Folder + "/" + Name);
+    return systemError("cannot truncate " + Folder + "/" + Name);
   return {};
 }
 
@@ -141,15 +144,15 @@
   const int Descriptor = ::open(
       Temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, FileMode);
   if (Descriptor < 0)
-    return systemError("can't open " + Temporary);
+    return systemError("cannot open " + Temporary);
   Expected<void> Written = writeAll(Descriptor, Bytes, Temporary);
   if (Written && timedSync(::fsync, Descriptor) != 0)
-    Written = systemError("can't sync " + Temporary);
+    Written = systemError("cannot sync " + Temporary);
   ::close(Descriptor);
   if (!Written)
     return Written;
   if (::rename(Temporary.c_str(), Path.c_str()) != 0)
-    return systemError("can't rename " + Temporary);
+    return systemError("cannot rename " + Temporary);
   closeDescriptor(Name);
   return syncFolder();
 }
@@ -158,7 +161,7 @@
   const SystemClock Time;
   const Millis Begin = Time.now();
   const int Result = Sync(Descriptor);
-  Syncs.observe(Time.now() - Begin);
+  SyncDurations.observe(Time.now() - Begin);
   return Result;
 }
 
@@ -166,11 +169,11 @@
   const int Descriptor =
       ::open(Folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (Descriptor < 0)
-    return systemError("can't open " + Folder);
+    return systemError("cannot open " + Folder);
   const int Result = timedSync(::fsync, Descriptor);
   ::close(Descriptor);
   if (Result != 0)
-    return systemError("can't sync " + Folder);
+    return systemError("cannot sync " + Folder);
   return {};
 }
 
--- a/Source/Storage/FileDisk.h
+++ b/Source/Storage/FileDisk.h
@@ -1,5 +1,5 @@
 /// \file
-/// A data folder on the machine's file system.
+/// A data folder on the file system of the host.
 
 #ifndef CORIANDERDYKE_STORAGE_FILEDISK_H
 #define CORIANDERDYKE_STORAGE_FILEDISK_H
@@ -11,11 +11,12 @@
 
 namespace corianderdyke {
 
-/// Disk on a folder, held by one process at a time through a lock file.
+/// Implements Disk on a folder. A lock file ensures that only one process uses
+/// the folder at a time.
 class FileDisk final : public Disk {
 public:
-  /// Opens a folder, made where it's missing; System where it can't be
-  /// written, Conflict where another process holds it.
+  /// Opens a folder and creates it if it is missing. Returns System if it
+  /// cannot be written, and Conflict if another process holds it.
   static Expected<FileDisk> open(const std::string &Folder);
 
   FileDisk(FileDisk &&Other) noexcept;
@@ -30,11 +31,11 @@
   Expected<void> writeAtomically(const std::string &Name,
                                  const std::string &Bytes) override;
 
-  /// How long the host took for each sync.
-  const DurationHistogram &syncDurations() const { return Syncs; }
+  /// Durations of the syncs on this host.
+  const DurationHistogram &syncDurations() const { return SyncDurations; }
 
 private:
-  FileDisk(std::string Folder, int Lock);
+  FileDisk(std::string Folder, int LockDescriptor);
 
   Expected<int> descriptor(const std::string &Name);
   void closeDescriptor(const std::string &Name);
@@ -43,10 +44,10 @@
   int timedSync(int (*Sync)(int), int Descriptor);
 
   std::string Folder;
-  int Lock = -1;
+  int LockDescriptor = -1;
   /// Open descriptors for appending, by file name.
-  std::map<std::string, int> Open;
-  DurationHistogram Syncs;
+  std::map<std::string, int> Descriptors;
+  DurationHistogram SyncDurations;
 };
 
 } // namespace corianderdyke
--- a/Source/Storage/Journal.cpp
+++ b/Source/Storage/Journal.cpp
@@ -15,15 +15,15 @@
 constexpr const char *SnapshotName = "snapshot";
 constexpr std::uint32_t Magic = 0x4b59'4443; // "CDYK"
 constexpr std::size_t HeaderBytes = 24;
-/// A run of zeros this long is taken for a block that wasn't written.
-constexpr std::size_t ZeroBytes = 64;
+/// Minimum length of a run of zeros that is taken for an unwritten block.
+constexpr std::size_t MinZeroRunBytes = 64;
 
-void putNumber(std::string &Out, std::uint64_t Value, int Bytes) {
+void appendNumber(std::string &Out, std::uint64_t Value, int Bytes) {
   for (int Index = 0; Index < Bytes; ++Index)
     Out.push_back(static_cast<char>((Value >> (8 * Index)) & 0xffU));
 }
 
-std::uint64_t number(const std::string &In, std::size_t At, int Bytes) {
+std::uint64_t readNumber(const std::string &In, std::size_t At, int Bytes) {
   std::uint64_t Value = 0;
   for (int Index = Bytes - 1; Index >= 0; --Index)
     Value = (Value << 8U) | static_cast<unsigned char>(In[At + Index]);
@@ -31,18 +31,18 @@
 }
 
 std::uint64_t checksum(const std::string &Payload, std::uint64_t SyncedTo) {
-  // The size and the place are in the seed, so that a record that landed at
-  // another offset isn't taken for a good one.
+  // The seed contains the size and the offset, so that a record that was
+  // written at another offset is not accepted.
   return XXH64(Payload.data(), Payload.size(), SyncedTo ^ Payload.size());
 }
 
-std::string record(const std::string &Payload, std::uint64_t SyncedTo) {
+std::string encodeRecord(const std::string &Payload, std::uint64_t SyncedTo) {
   std::string Out;
   Out.reserve(HeaderBytes + Payload.size());
-  putNumber(Out, Magic ^ Payload.size(), 4);
-  putNumber(Out, Payload.size(), 4);
-  putNumber(Out, SyncedTo, 8);
-  putNumber(Out, checksum(Payload, SyncedTo), 8);
+  appendNumber(Out, Magic ^ Payload.size(), 4);
+  appendNumber(Out, Payload.size(), 4);
+  appendNumber(Out, SyncedTo, 8);
+  appendNumber(Out, checksum(Payload, SyncedTo), 8);
   Out += Payload;
   return Out;
 }
@@ -52,13 +52,14 @@
   std::uint64_t SyncedTo = 0;
 };
 
-/// The length in a header; nothing where no good header begins here.
+/// Returns the length in the header at \p At, or std::nullopt if there is no
+/// valid header.
 std::optional<std::uint64_t> statedLength(const std::string &Bytes,
                                           std::size_t At) {
   if (Bytes.size() - At < HeaderBytes)
     return std::nullopt;
-  const std::uint64_t Length = number(Bytes, At + 4, 4);
-  if (number(Bytes, At, 4) != (Magic ^ Length))
+  const std::uint64_t Length = readNumber(Bytes, At + 4, 4);
+  if (readNumber(Bytes, At, 4) != (Magic ^ Length))
     return std::nullopt;
   return Length;
 }
@@ -72,35 +73,36 @@
       Bytes.size() - At - HeaderBytes < Length)
     return std::nullopt;
   ParsedRecord Out;
-  Out.SyncedTo = number(Bytes, At + 8, 8);
+  Out.SyncedTo = readNumber(Bytes, At + 8, 8);
   Out.Payload = Bytes.substr(At + HeaderBytes, Length);
-  if (number(Bytes, At + 16, 8) != checksum(Out.Payload, Out.SyncedTo))
+  if (readNumber(Bytes, At + 16, 8) != checksum(Out.Payload, Out.SyncedTo))
     return std::nullopt;
   return Out;
 }
 
-/// True where a good record behind \p Fault says that \p Fault was synced.
-bool wasSynced(const std::string &Bytes, std::size_t Fault) {
-  for (std::size_t At = Fault + 1; At + HeaderBytes <= Bytes.size(); ++At) {
+/// True if a valid record after \p DamagedAt shows that the bytes at \p
+/// DamagedAt had been synced.
+bool wasSynced(const std::string &Bytes, std::size_t DamagedAt) {
+  for (std::size_t At = DamagedAt + 1; At + HeaderBytes <= Bytes.size(); ++At) {
     const auto Later = parse(Bytes, At);
-    if (Later && Later->SyncedTo > Fault)
+    if (Later && Later->SyncedTo > DamagedAt)
       return true;
   }
   return false;
 }
 
-/// True where the bytes from \p Fault on hold a whole record that is wrong in
-/// its content. A write that a crash cut short ends before its record does, or
-/// has a block of zeros where the data didn't reach the disk.
-bool looksDamaged(const std::string &Bytes, std::size_t Fault) {
-  if (Bytes.size() - Fault < HeaderBytes)
+/// True if the bytes from \p DamagedAt on hold a complete record with invalid
+/// content. A write that a crash interrupted ends before the end of its record,
+/// or contains a block of zeros where data did not reach the disk.
+bool looksDamaged(const std::string &Bytes, std::size_t DamagedAt) {
+  if (Bytes.size() - DamagedAt < HeaderBytes)
     return false;
-  const auto Length = statedLength(Bytes, Fault);
-  if (Length && Bytes.size() - Fault - HeaderBytes < *Length)
+  const auto Length = statedLength(Bytes, DamagedAt);
+  if (Length && Bytes.size() - DamagedAt - HeaderBytes < *Length)
     return false;
-  const std::string Zeros(ZeroBytes, '\0');
-  return Bytes.find_first_not_of('\0', Fault) != std::string::npos &&
-         Bytes.find(Zeros, Fault) == std::string::npos;
+  const std::string Zeros(MinZeroRunBytes, '\0');
+  return Bytes.find_first_not_of('\0', DamagedAt) != std::string::npos &&
+         Bytes.find(Zeros, DamagedAt) == std::string::npos;
 }
 
 } // namespace
@@ -108,12 +110,13 @@
 Expected<Journal::Content> Journal::load() {
   Content Out;
   if (auto Bytes = Files.read(SnapshotName)) {
-    const auto Whole = parse(*Bytes, 0);
-    if (!Whole || Whole->Payload.size() + HeaderBytes != Bytes->size())
+    const auto SnapshotRecord = parse(*Bytes, 0);
+    if (!SnapshotRecord ||
+        SnapshotRecord->Payload.size() + HeaderBytes != Bytes->size())
       return fail(ErrorCode::Corrupt,
                   "the snapshot file fails its checksum; this host can't go "
                   "on from this disk: see Help/task/lost-disk.md");
-    Out.Snapshot = Whole->Payload;
+    Out.Snapshot = SnapshotRecord->Payload;
   } else if (Bytes.error().Code != ErrorCode::NotFound) {
     return tl::unexpected(Bytes.error());
   }
@@ -132,8 +135,8 @@
       Out.Records.push_back(std::move(Next->Payload));
   }
   if (At < Bytes->size()) {
-    // Cutting a damaged middle would forget entries that this host has
-    // voted for, and a committed change could vanish.
+    // Truncating damage in the middle would drop entries that this host has
+    // acknowledged, and a committed change could be lost.
     if (wasSynced(*Bytes, At))
       return fail(ErrorCode::Corrupt,
                   "journal damaged at byte " + std::to_string(At) +
@@ -141,8 +144,8 @@
                       "from this disk: see Help/task/lost-disk.md");
     Out.CutBytes = Bytes->size() - At;
     Out.TailDamaged = looksDamaged(*Bytes, At);
-    // A damaged tail stays until replace(), so that a crash before it can't
-    // make the journal look whole.
+    // A damaged tail stays in the file until replace(), so that the journal
+    // does not appear intact after a crash before that.
     if (Out.TailDamaged)
       return Out;
     if (auto Done = Files.truncate(JournalName, At); !Done)
@@ -163,7 +166,7 @@
     return tl::unexpected(*WriteFailure);
   std::string Bytes;
   for (const std::string &Each : Records)
-    Bytes += record(Each, Size);
+    Bytes += encodeRecord(Each, Size);
   if (auto Done = recordFailure(Files.append(JournalName, Bytes)); !Done)
     return Done;
   if (auto Done = recordFailure(Files.sync(JournalName)); !Done)
@@ -172,9 +175,9 @@
   return {};
 }
 
-// A sync that failed may have left its bytes readable but not on disk. They
-// are cut rather than synced again: whether a second sync covers them isn't
-// known, and nothing was promised on their strength.
+// After a failed sync, bytes may be readable but not on disk. They are
+// truncated instead of synced again, because it is unknown whether a second
+// sync covers them, and no message depends on them.
 Expected<void> Journal::repair() {
   if (!WriteFailure)
     return {};
@@ -191,15 +194,16 @@
   if (WriteFailure)
     return tl::unexpected(*WriteFailure);
   if (auto Done = recordFailure(
-          Files.writeAtomically(SnapshotName, record(Snapshot, 0)));
+          Files.writeAtomically(SnapshotName, encodeRecord(Snapshot, 0)));
       !Done)
     return Done;
-  // The file appears only when all of it is synced, so each record may vouch
-  // for those before it, and an empty one at the end for the last.
+  // The file becomes visible only when all of it is synced. Each record may
+  // therefore mark the records before it as synced, and an empty record at the
+  // end marks the last one.
   std::string Bytes;
   for (const std::string &Each : Records)
-    Bytes += record(Each, Bytes.size());
-  Bytes += record("", Bytes.size());
+    Bytes += encodeRecord(Each, Bytes.size());
+  Bytes += encodeRecord("", Bytes.size());
   if (auto Done = recordFailure(Files.writeAtomically(JournalName, Bytes));
       !Done) {
     IsAmbiguous = true;
