--- a/Source/Http/EventHttpConnector.cpp
+++ b/Source/Http/EventHttpConnector.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Outgoing HTTP through libevent's evhttp.
+/// HTTP client on libevent's evhttp.
 
 #include "Http/EventHttpConnector.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-evhttp_cmd_type command(HttpMethod Method) {
+evhttp_cmd_type commandOf(HttpMethod Method) {
   switch (Method) {
   case HttpMethod::Post:
     return EVHTTP_REQ_POST;
@@ -29,7 +29,7 @@
   return EVHTTP_REQ_GET;
 }
 
-std::string target(const HttpRequest &Request) {
+std::string requestTarget(const HttpRequest &Request) {
   std::string Out = Request.Path;
   char Separator = '?';
   for (const auto &[Name, Value] : Request.Query) {
@@ -42,26 +42,26 @@
 class EventHttpConnection final : public HttpConnection {
 public:
   EventHttpConnection(EventLoop &Loop, const Endpoint &To)
-      : Loop(Loop), To(To), Shared(std::make_shared<Link>()) {
-    Shared->Connection = evhttp_connection_base_new(
-        Loop.base(), nullptr, To.Address.c_str(), To.Port);
-    evhttp_connection_set_max_body_size(Shared->Connection, MaxHttpBodyBytes);
-    evhttp_connection_set_max_headers_size(Shared->Connection,
+      : Loop(Loop), To(To), State(std::make_shared<ConnectionState>()) {
+    State->Connection = evhttp_connection_base_new(Loop.base(), nullptr,
+                                                   To.Address.c_str(), To.Port);
+    evhttp_connection_set_max_body_size(State->Connection, MaxHttpBodyBytes);
+    evhttp_connection_set_max_headers_size(State->Connection,
                                            MaxHttpHeaderBytes);
-    // No retries: a statement that went out twice could run twice.
-    evhttp_connection_set_retries(Shared->Connection, 0);
+    // No retries: a statement that is sent twice could run twice.
+    evhttp_connection_set_retries(State->Connection, 0);
   }
 
   ~EventHttpConnection() override {
-    Shared->OnAnswer = nullptr;
+    State->OnAnswer = nullptr;
     // The connection may be destroyed inside its own callback.
-    Loop.defer([Held = Shared] { evhttp_connection_free(Held->Connection); });
+    Loop.defer([Held = State] { evhttp_connection_free(Held->Connection); });
   }
 
   void request(HttpRequest Request, Millis Timeout, Handler OnAnswer) override {
-    Shared->OnAnswer = std::move(OnAnswer);
+    State->OnAnswer = std::move(OnAnswer);
     evhttp_request *Raw =
-        evhttp_request_new(&EventHttpConnection::finished, Shared.get());
+        evhttp_request_new(&EventHttpConnection::handleCompletion, State.get());
     evkeyvalq *Headers = evhttp_request_get_output_headers(Raw);
     evhttp_add_header(Headers, "Host", To.text().c_str());
     for (const auto &[Name, Value] : Request.Headers)
@@ -70,35 +70,36 @@
                  Request.Body.size());
     constexpr std::int64_t MillisPerSecond = 1000;
     constexpr std::int64_t MicrosPerMilli = 1000;
-    const timeval Limit{Timeout.count() / MillisPerSecond,
-                        (Timeout.count() % MillisPerSecond) * MicrosPerMilli};
-    evhttp_connection_set_timeout_tv(Shared->Connection, &Limit);
-    // On failure libevent has freed the request and calls nobody.
-    if (evhttp_make_request(Shared->Connection, Raw, command(Request.Method),
-                            target(Request).c_str()) != 0)
-      Loop.defer([Held = Shared] {
+    const timeval TimeoutValue{Timeout.count() / MillisPerSecond,
+                               (Timeout.count() % MillisPerSecond) *
+                                   MicrosPerMilli};
+    evhttp_connection_set_timeout_tv(State->Connection, &TimeoutValue);
+    // On failure libevent has freed the request and runs no callback.
+    if (evhttp_make_request(State->Connection, Raw, commandOf(Request.Method),
+                            requestTarget(Request).c_str()) != 0)
+      Loop.defer([Held = State] {
         Held->finish(
             fail(ErrorCode::Unavailable, "the request couldn't be sent"));
       });
   }
 
 private:
-  /// Lives until libevent has let go of the connection.
-  struct Link {
+  /// Outlives the owner until libevent no longer uses the connection.
+  struct ConnectionState {
     evhttp_connection *Connection = nullptr;
     Handler OnAnswer;
 
-    void finish(Expected<HttpResponse> Answer) {
-      if (const Handler Waiting = std::exchange(OnAnswer, nullptr))
-        Waiting(std::move(Answer));
+    void finish(Expected<HttpResponse> Response) {
+      if (const Handler Callback = std::exchange(OnAnswer, nullptr))
+        Callback(std::move(Response));
     }
   };
 
-  static void finished(evhttp_request *Raw, void *Argument) {
-    static_cast<Link *>(Argument)->finish(answerOf(Raw));
+  static void handleCompletion(evhttp_request *Raw, void *Argument) {
+    static_cast<ConnectionState *>(Argument)->finish(responseOf(Raw));
   }
 
-  static Expected<HttpResponse> answerOf(evhttp_request *Raw) {
+  static Expected<HttpResponse> responseOf(evhttp_request *Raw) {
     if (Raw == nullptr || evhttp_request_get_response_code(Raw) == 0)
       return fail(ErrorCode::Unavailable, "no answer");
     HttpResponse Out;
@@ -110,7 +111,7 @@
 
   EventLoop &Loop;
   Endpoint To;
-  std::shared_ptr<Link> Shared;
+  std::shared_ptr<ConnectionState> State;
 };
 
 } // namespace
--- a/Source/Http/EventHttpConnector.h
+++ b/Source/Http/EventHttpConnector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Outgoing HTTP through libevent's evhttp.
+/// HTTP client on libevent's evhttp.
 
 #ifndef CORIANDERDYKE_HTTP_EVENTHTTPCONNECTOR_H
 #define CORIANDERDYKE_HTTP_EVENTHTTPCONNECTOR_H
--- a/Source/Http/EventHttpServer.cpp
+++ b/Source/Http/EventHttpServer.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A listener for HTTP through libevent's evhttp.
+/// HTTP server on libevent's evhttp.
 
 #include "Http/EventHttpServer.h"
 
@@ -60,14 +60,13 @@
   return Out;
 }
 
-/// evhttp stops reading while a request waits for its answer, so it wouldn't
-/// notice that the caller hung up: a statement would be run for nobody and a
-/// transaction would keep its connection until its bound. Reading goes on
-/// here, for the sake of the end alone. Bytes that come meanwhile (the next
-/// request of a caller who doesn't wait) stay in the buffer, which is
-/// bounded; evhttp's own callback isn't made for them and would end the
-/// process.
-void watchForHangUp(evhttp_connection *Connection) {
+/// Keeps reading from the connection while a request waits for its response, to
+/// detect a disconnect. evhttp itself does not read during this time: without
+/// this a statement would run after its caller has disconnected, and a
+/// transaction would keep its connection until its idle timeout. Pipelined
+/// requests stay in the buffer, which is bounded; evhttp's own read callback
+/// does not expect them and would end the process.
+void watchForDisconnect(evhttp_connection *Connection) {
   bufferevent *Raw = evhttp_connection_get_bufferevent(Connection);
   bufferevent_data_cb OnWritten = nullptr;
   bufferevent_event_cb OnEvent = nullptr;
@@ -78,19 +77,20 @@
   bufferevent_enable(Raw, EV_READ);
 }
 
-/// Undone before the answer: evhttp sets its own callbacks with it.
-void endWatch(evhttp_connection *Connection) {
+/// Removes the read limit before the response is sent; evhttp then sets its own
+/// callbacks.
+void stopWatchingForDisconnect(evhttp_connection *Connection) {
   bufferevent_setwatermark(evhttp_connection_get_bufferevent(Connection),
                            EV_READ, 0, 0);
 }
 
 class EventHttpExchange final : public HttpExchange {
 public:
-  EventHttpExchange(evhttp_request *Raw, std::function<bool()> Closes)
-      : Raw(Raw), Closes(std::move(Closes)) {}
+  EventHttpExchange(evhttp_request *Raw, std::function<bool()> ShouldClose)
+      : Raw(Raw), ShouldClose(std::move(ShouldClose)) {}
 
   ~EventHttpExchange() override {
-    // A request that nobody will answer would hold its caller for ever.
+    // Without a response the caller would wait for ever.
     if (Raw != nullptr)
       respond(HttpResponse{500, {}, "dropped without an answer\n"});
   }
@@ -98,39 +98,41 @@
   void respond(HttpResponse Response) override {
     if (Raw == nullptr)
       return;
-    evhttp_request *Answered = std::exchange(Raw, nullptr);
-    evkeyvalq *Headers = evhttp_request_get_output_headers(Answered);
+    evhttp_request *Request = std::exchange(Raw, nullptr);
+    evkeyvalq *Headers = evhttp_request_get_output_headers(Request);
     for (const auto &[Name, Value] : Response.Headers)
       evhttp_add_header(Headers, Name.c_str(), Value.c_str());
-    if (Closes())
+    if (ShouldClose())
       evhttp_add_header(Headers, "Connection", "close");
-    endWatch(evhttp_request_get_connection(Answered));
+    stopWatchingForDisconnect(evhttp_request_get_connection(Request));
     evbuffer *Body = evbuffer_new();
     evbuffer_add(Body, Response.Body.data(), Response.Body.size());
-    evhttp_send_reply(Answered, Response.Status, nullptr, Body);
+    evhttp_send_reply(Request, Response.Status, nullptr, Body);
     evbuffer_free(Body);
   }
 
   void onDisconnect(std::function<void()> Action) override {
-    HangUp = std::move(Action);
+    DisconnectAction = std::move(Action);
   }
 
-  /// The connection is gone. libevent frees the request with it, unless it
-  /// has let go of it because its answer was outstanding.
-  void closed() {
-    evhttp_request *Left = std::exchange(Raw, nullptr);
-    if (Left == nullptr)
+  /// Handles the close of the connection. libevent frees the request with the
+  /// connection, unless it has detached the request because its response was
+  /// outstanding.
+  void handleClose() {
+    evhttp_request *Unanswered = std::exchange(Raw, nullptr);
+    if (Unanswered == nullptr)
       return;
-    if (evhttp_request_get_connection(Left) == nullptr)
-      evhttp_request_free(Left);
-    if (auto Action = std::exchange(HangUp, nullptr))
+    if (evhttp_request_get_connection(Unanswered) == nullptr)
+      evhttp_request_free(Unanswered);
+    if (auto Action = std::exchange(DisconnectAction, nullptr))
       Action();
   }
 
 private:
   evhttp_request *Raw;
-  std::function<bool()> Closes; ///< The server's; it outlives its requests.
-  std::function<void()> HangUp;
+  std::function<bool()> ShouldClose; ///< Refers to the server, which outlives
+                                     ///< its requests.
+  std::function<void()> DisconnectAction;
 };
 
 std::string peerOf(evhttp_connection *Connection) {
@@ -142,7 +144,7 @@
 
 } // namespace
 
-struct EventHttpServer::Session {
+struct EventHttpServer::ConnectionState {
   EventHttpServer *Owner = nullptr;
   evhttp_connection *Connection = nullptr;
   std::string Peer;
@@ -154,75 +156,75 @@
 
 void EventHttpServer::onRequest(evhttp_request *Raw) {
   evhttp_connection *Connection = evhttp_request_get_connection(Raw);
-  std::unique_ptr<Session> &Known = Sessions[Connection];
-  if (!Known) {
-    Known = std::make_unique<Session>();
-    Known->Owner = this;
-    Known->Connection = Connection;
-    Known->Peer = peerOf(Connection);
+  std::unique_ptr<ConnectionState> &Entry = ConnectionStates[Connection];
+  if (!Entry) {
+    Entry = std::make_unique<ConnectionState>();
+    Entry->Owner = this;
+    Entry->Connection = Connection;
+    Entry->Peer = peerOf(Connection);
     evhttp_connection_set_closecb(
         Connection,
         [](evhttp_connection *, void *Argument) {
-          auto *Closed = static_cast<Session *>(Argument);
+          auto *Closed = static_cast<ConnectionState *>(Argument);
           EventHttpServer *Owner = Closed->Owner;
-          const std::unique_ptr<Session> Held =
-              std::move(Owner->Sessions[Closed->Connection]);
-          Owner->Sessions.erase(Held->Connection);
-          if (const auto Exchange = Held->Current.lock())
-            Exchange->closed();
-          Owner->Service.handleDisconnect(Held->Peer);
+          const std::unique_ptr<ConnectionState> Released =
+              std::move(Owner->ConnectionStates[Closed->Connection]);
+          Owner->ConnectionStates.erase(Released->Connection);
+          if (const auto Exchange = Released->Current.lock())
+            Exchange->handleClose();
+          Owner->Service.handleDisconnect(Released->Peer);
         },
-        Known.get());
+        Entry.get());
   }
   HttpRequest Request = requestOf(Raw);
-  Request.Peer = Known->Peer;
+  Request.Peer = Entry->Peer;
   const auto Exchange = std::make_shared<EventHttpExchange>(
-      Raw, [this, Peer = Known->Peer] { return closesAfterAnswer(Peer); });
-  Known->Busy = true;
+      Raw, [this, Peer = Entry->Peer] { return closesAfterResponse(Peer); });
+  Entry->Busy = true;
   evhttp_request_set_on_complete_cb(
       Raw,
       [](evhttp_request *, void *Argument) {
-        static_cast<Session *>(Argument)->Busy = false;
+        static_cast<ConnectionState *>(Argument)->Busy = false;
       },
-      Known.get());
-  Known->Current = Exchange;
-  watchForHangUp(Connection);
+      Entry.get());
+  Entry->Current = Exchange;
+  watchForDisconnect(Connection);
   Service.handle(Request, Exchange);
 }
 
 Expected<std::unique_ptr<EventHttpServer>>
 EventHttpServer::listen(EventLoop &Loop, const Endpoint &At,
                         HttpService &Service, HttpLimits Limits) {
-  std::unique_ptr<EventHttpServer> Made(new EventHttpServer(Service));
-  Made->Http = evhttp_new(Loop.base());
-  evhttp_set_max_body_size(Made->Http, MaxHttpBodyBytes);
-  evhttp_set_max_headers_size(Made->Http, MaxHttpHeaderBytes);
-  const timeval Silence = timevalOf(Limits.IdleTimeout);
-  evhttp_set_timeout_tv(Made->Http, &Silence);
+  std::unique_ptr<EventHttpServer> Server(new EventHttpServer(Service));
+  Server->Http = evhttp_new(Loop.base());
+  evhttp_set_max_body_size(Server->Http, MaxHttpBodyBytes);
+  evhttp_set_max_headers_size(Server->Http, MaxHttpHeaderBytes);
+  const timeval IdleTimeoutValue = timevalOf(Limits.IdleTimeout);
+  evhttp_set_timeout_tv(Server->Http, &IdleTimeoutValue);
   evhttp_set_gencb(
-      Made->Http,
+      Server->Http,
       [](evhttp_request *Raw, void *Argument) {
         static_cast<EventHttpServer *>(Argument)->onRequest(Raw);
       },
-      Made.get());
-  Made->Socket =
-      evhttp_bind_socket_with_handle(Made->Http, At.Address.c_str(), At.Port);
-  if (Made->Socket == nullptr)
+      Server.get());
+  Server->Socket =
+      evhttp_bind_socket_with_handle(Server->Http, At.Address.c_str(), At.Port);
+  if (Server->Socket == nullptr)
     return fail(ErrorCode::System,
                 "can't listen on " + At.text() + ": " + std::strerror(errno));
   sockaddr_in Bound{};
   socklen_t Size = sizeof(Bound);
-  getsockname(evhttp_bound_socket_get_fd(Made->Socket),
+  getsockname(evhttp_bound_socket_get_fd(Server->Socket),
               reinterpret_cast<sockaddr *>(&Bound), &Size);
-  Made->At = Endpoint{At.Address, ntohs(Bound.sin_port)};
-  return Made;
+  Server->At = Endpoint{At.Address, ntohs(Bound.sin_port)};
+  return Server;
 }
 
 EventHttpServer::~EventHttpServer() { evhttp_free(Http); }
 
 std::size_t EventHttpServer::pendingRequests() const {
   return static_cast<std::size_t>(
-      std::count_if(Sessions.begin(), Sessions.end(),
+      std::count_if(ConnectionStates.begin(), ConnectionStates.end(),
                     [](const auto &Each) { return Each.second->Busy; }));
 }
 
--- a/Source/Http/EventHttpServer.h
+++ b/Source/Http/EventHttpServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// A listener for HTTP through libevent's evhttp.
+/// HTTP server on libevent's evhttp.
 
 #ifndef CORIANDERDYKE_HTTP_EVENTHTTPSERVER_H
 #define CORIANDERDYKE_HTTP_EVENTHTTPSERVER_H
@@ -23,15 +23,16 @@
 
 /// Bounds of a listener besides those of EventHttpSupport.h.
 struct HttpLimits {
-  /// A caller that sends or takes nothing for this long is cut. It must be
-  /// longer than the longest deadline: a caller that waits is silent too.
+  /// A connection without traffic for this long is closed. The timeout must be
+  /// longer than the longest deadline, because a connection is also idle while
+  /// its caller waits for a response.
   Millis IdleTimeout = Millis(120000);
 };
 
 class EventHttpServer {
 public:
-  /// Listens on \p At; System where the port can't be had. Port 0 takes a
-  /// free one.
+  /// Listens on \p At; returns System if the port cannot be bound. Port 0
+  /// selects a free port.
   static Expected<std::unique_ptr<EventHttpServer>>
   listen(EventLoop &Loop, const Endpoint &At, HttpService &Service,
          HttpLimits Limits = HttpLimits());
@@ -40,25 +41,25 @@
   EventHttpServer(const EventHttpServer &) = delete;
   EventHttpServer &operator=(const EventHttpServer &) = delete;
 
-  /// The address that it listens on, with the real port.
+  /// The address of the listener, with the port that is bound.
   const Endpoint &endpoint() const { return At; }
 
-  /// Takes no new connections; those that stand go on.
+  /// Accepts no new connections; open connections stay open.
   void stopListening();
 
-  /// From now on each answer asks its caller to close the connection, unless
-  /// something still lives on it.
+  /// Adds "Connection: close" to each later response, unless the service has
+  /// state that is bound to the connection.
   void closeConnectionsAfterResponse() { Closing = true; }
 
-  /// Requests whose answer hasn't wholly left this process yet.
+  /// Requests whose response has not been sent completely.
   std::size_t pendingRequests() const;
 
 private:
-  struct Session;
+  struct ConnectionState;
 
   explicit EventHttpServer(HttpService &Service);
   void onRequest(evhttp_request *Raw);
-  bool closesAfterAnswer(const std::string &Peer) const {
+  bool closesAfterResponse(const std::string &Peer) const {
     return Closing && !Service.isBound(Peer);
   }
 
@@ -67,8 +68,9 @@
   evhttp *Http = nullptr;
   evhttp_bound_socket *Socket = nullptr;
   bool Closing = false;
-  /// Connections over which at least one request came.
-  std::map<evhttp_connection *, std::unique_ptr<Session>> Sessions;
+  /// Connections that have received at least one request.
+  std::map<evhttp_connection *, std::unique_ptr<ConnectionState>>
+      ConnectionStates;
 };
 
 } // namespace corianderdyke
--- a/Source/Http/EventHttpSupport.cpp
+++ b/Source/Http/EventHttpSupport.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Conversions and limits that both sides of evhttp share.
+/// Conversions and limits shared by the HTTP client and server on evhttp.
 
 #include "Http/EventHttpSupport.h"
 
--- a/Source/Http/EventHttpSupport.h
+++ b/Source/Http/EventHttpSupport.h
@@ -1,5 +1,5 @@
 /// \file
-/// Conversions and limits that both sides of evhttp share.
+/// Conversions and limits shared by the HTTP client and server on evhttp.
 
 #ifndef CORIANDERDYKE_HTTP_EVENTHTTPSUPPORT_H
 #define CORIANDERDYKE_HTTP_EVENTHTTPSUPPORT_H
@@ -13,7 +13,7 @@
 
 namespace corianderdyke {
 
-/// The largest body and header block that a listener or client takes.
+/// The largest body and header block that a server or client accepts.
 constexpr std::size_t MaxHttpBodyBytes = 4U << 20U;
 constexpr std::size_t MaxHttpHeaderBytes = 16U << 10U;
 
--- a/Source/Http/HttpClient.h
+++ b/Source/Http/HttpClient.h
@@ -1,5 +1,5 @@
 /// \file
-/// Outgoing HTTP connections, as the slices see them.
+/// Interface of outgoing HTTP connections.
 
 #ifndef CORIANDERDYKE_HTTP_HTTPCLIENT_H
 #define CORIANDERDYKE_HTTP_HTTPCLIENT_H
@@ -14,17 +14,17 @@
 
 namespace corianderdyke {
 
-/// One kept-alive connection, which carries one request at a time. A request
-/// is never sent twice by the connection itself.
+/// A keep-alive connection that carries one request at a time. It never retries
+/// a request.
 class HttpConnection {
 public:
   using Handler = std::function<void(Expected<HttpResponse>)>;
 
   virtual ~HttpConnection() = default;
 
-  /// Sends a request. The handler runs once, later, unless the connection is
-  /// destroyed before. An error says only that no whole answer came: the
-  /// request may have been carried out.
+  /// Sends a request. The handler runs once, after this function has returned,
+  /// unless the connection is destroyed before. An error means only that no
+  /// complete response was received: the request may have been executed.
   virtual void request(HttpRequest Request, Millis Timeout,
                        Handler OnAnswer) = 0;
 };
@@ -33,7 +33,7 @@
 public:
   virtual ~HttpConnector() = default;
 
-  /// Makes a connection; it's opened by its first request.
+  /// Makes a connection, which is opened by its first request.
   virtual std::unique_ptr<HttpConnection> connect(const Endpoint &To) = 0;
 };
 
--- a/Source/Http/HttpMessage.cpp
+++ b/Source/Http/HttpMessage.cpp
@@ -36,12 +36,11 @@
   return valueOrEmpty(Headers, Name);
 }
 
-std::uint64_t numberOr(const std::string &Text, std::uint64_t Otherwise) {
+std::uint64_t numberOr(const std::string &Text, std::uint64_t Default) {
   std::uint64_t Value = 0;
   const char *Last = Text.data() + Text.size();
   const auto [End, Code] = std::from_chars(Text.data(), Last, Value);
-  return Code == std::errc() && End == Last && !Text.empty() ? Value
-                                                             : Otherwise;
+  return Code == std::errc() && End == Last && !Text.empty() ? Value : Default;
 }
 
 } // namespace corianderdyke
--- a/Source/Http/HttpMessage.h
+++ b/Source/Http/HttpMessage.h
@@ -25,14 +25,14 @@
   std::map<std::string, std::string> Query;
   HttpHeaders Headers;
   std::string Body;
-  /// "address:port" of the sender; one connection has one.
+  /// "address:port" of the sender, the same for all requests of a connection.
   std::string Peer;
 
   bool operator==(const HttpRequest &) const = default;
 
-  /// A header's value; empty where it's missing.
+  /// The value of a header; empty if the header is missing.
   const std::string &header(const std::string &Name) const;
-  /// A query parameter's value; empty where it's missing.
+  /// The value of a query parameter; empty if the parameter is missing.
   const std::string &parameter(const std::string &Name) const;
 };
 
@@ -46,8 +46,8 @@
   const std::string &header(const std::string &Name) const;
 };
 
-/// A whole number in \p Text, \p Otherwise where it isn't one.
-std::uint64_t numberOr(const std::string &Text, std::uint64_t Otherwise);
+/// The unsigned integer in \p Text, or \p Default if it is not one.
+std::uint64_t numberOr(const std::string &Text, std::uint64_t Default);
 
 } // namespace corianderdyke
 
--- a/Source/Http/HttpServer.h
+++ b/Source/Http/HttpServer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Incoming HTTP requests, as the slices see them.
+/// Interface of incoming HTTP requests.
 
 #ifndef CORIANDERDYKE_HTTP_HTTPSERVER_H
 #define CORIANDERDYKE_HTTP_HTTPSERVER_H
@@ -11,16 +11,16 @@
 
 namespace corianderdyke {
 
-/// The way back for one request's answer. It may be kept and used later.
+/// Sends the response to one request. It may be kept and used later.
 class HttpExchange {
 public:
   virtual ~HttpExchange() = default;
 
-  /// Sends the answer; a second call does nothing, nor one after the caller
-  /// hung up.
+  /// Sends the response. A second call has no effect, nor has a call after the
+  /// caller has disconnected.
   virtual void respond(HttpResponse Response) = 0;
 
-  /// Runs \p Action if the caller hangs up before the answer.
+  /// Runs \p Action if the caller disconnects before the response.
   virtual void onDisconnect(std::function<void()> Action) = 0;
 };
 
@@ -31,10 +31,11 @@
   virtual void handle(const HttpRequest &Request,
                       std::shared_ptr<HttpExchange> Exchange) = 0;
 
-  /// True while something lives on a connection that would end with it.
+  /// True while the connection from a peer has state that ends with it, such as
+  /// a transaction.
   virtual bool isBound(const std::string & /*Peer*/) const { return false; }
 
-  /// A connection over which requests came has closed.
+  /// Called when a connection that has received requests is closed.
   virtual void handleDisconnect(const std::string & /*Peer*/) {}
 };
 
