--- a/Source/Loop/BlockedSignals.cpp
+++ b/Source/Loop/BlockedSignals.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Signals that wait until the process can handle them.
+/// Blocks signals until the process can handle them.
 
 #include "Loop/BlockedSignals.h"
 
@@ -9,21 +9,21 @@
 
 namespace {
 
-void mask(int How, std::initializer_list<int> Which) {
+void changeSignalMask(int Operation, std::initializer_list<int> Signals) {
   sigset_t Set;
   sigemptyset(&Set);
-  for (const int Each : Which)
+  for (const int Each : Signals)
     sigaddset(&Set, Each);
-  // Fails for an unknown way of masking alone.
-  sigprocmask(How, &Set, nullptr);
+  // Fails only for an invalid operation.
+  sigprocmask(Operation, &Set, nullptr);
 }
 
 } // namespace
 
 void blockSignals(std::initializer_list<int> Signals) {
-  mask(SIG_BLOCK, Signals);
+  changeSignalMask(SIG_BLOCK, Signals);
 }
 
-void unblockSignal(int Signal) { mask(SIG_UNBLOCK, {Signal}); }
+void unblockSignal(int Signal) { changeSignalMask(SIG_UNBLOCK, {Signal}); }
 
 } // namespace corianderdyke
--- a/Source/Loop/BlockedSignals.h
+++ b/Source/Loop/BlockedSignals.h
@@ -1,5 +1,5 @@
 /// \file
-/// Signals that wait until the process can handle them.
+/// Blocks signals until the process can handle them.
 
 #ifndef CORIANDERDYKE_LOOP_BLOCKEDSIGNALS_H
 #define CORIANDERDYKE_LOOP_BLOCKEDSIGNALS_H
@@ -8,11 +8,11 @@
 
 namespace corianderdyke {
 
-/// Signals that come from now on are kept by the kernel, once each, until
-/// unblockSignal() is called for them.
+/// Blocks \p Signals: the kernel keeps each one pending, at most once, until
+/// unblockSignal() is called for it.
 void blockSignals(std::initializer_list<int> Signals);
 
-/// Delivers a signal that was kept, and later ones at once.
+/// Delivers \p Signal if it is pending, and later ones immediately.
 void unblockSignal(int Signal);
 
 } // namespace corianderdyke
--- a/Source/Loop/CoalescingTimer.h
+++ b/Source/Loop/CoalescingTimer.h
@@ -1,5 +1,5 @@
 /// \file
-/// One timer that many ask for, each with its own bound.
+/// A timer that combines requests with different delays.
 
 #ifndef CORIANDERDYKE_LOOP_COALESCINGTIMER_H
 #define CORIANDERDYKE_LOOP_COALESCINGTIMER_H
@@ -11,29 +11,29 @@
 
 namespace corianderdyke {
 
-/// Fires once, at the earliest time that was asked for since it fired last.
-/// Each firing wakes the process, which costs a small host about as much as a
-/// statement does, so nobody asks for more than it needs.
+/// Fires once, at the earliest time requested since it last fired. Each firing
+/// wakes the process, which costs a small host about as much as a statement
+/// does, so callers request the longest delay that they can accept.
 class CoalescingTimer {
 public:
   CoalescingTimer(Clock &Time, Scheduler &Timers, std::function<void()> Action)
       : Time(Time), Timers(Timers), Action(std::move(Action)) {}
   ~CoalescingTimer() {
-    if (Pending != 0)
-      Timers.cancel(Pending);
+    if (PendingId != 0)
+      Timers.cancel(PendingId);
   }
   CoalescingTimer(const CoalescingTimer &) = delete;
   CoalescingTimer &operator=(const CoalescingTimer &) = delete;
 
   void requestWithin(Millis Delay) {
-    const Millis Wanted = Time.now() + Delay;
-    if (Pending != 0 && At <= Wanted)
+    const Millis RequestedAt = Time.now() + Delay;
+    if (PendingId != 0 && DueAt <= RequestedAt)
       return;
-    if (Pending != 0)
-      Timers.cancel(Pending);
-    At = Wanted;
-    Pending = Timers.after(Delay, [this] {
-      Pending = 0;
+    if (PendingId != 0)
+      Timers.cancel(PendingId);
+    DueAt = RequestedAt;
+    PendingId = Timers.after(Delay, [this] {
+      PendingId = 0;
       Action();
     });
   }
@@ -42,8 +42,8 @@
   Clock &Time;
   Scheduler &Timers;
   std::function<void()> Action;
-  Scheduler::TimerId Pending = 0; ///< 0 while none is set.
-  Millis At;                      ///< When it fires.
+  Scheduler::TimerId PendingId = 0; ///< 0 while no timer is set.
+  Millis DueAt;                     ///< When the timer fires.
 };
 
 } // namespace corianderdyke
--- a/Source/Loop/EventLoop.cpp
+++ b/Source/Loop/EventLoop.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The one loop of a process, on libevent.
+/// The event loop of the process, on libevent.
 
 #include "Loop/EventLoop.h"
 
@@ -37,17 +37,18 @@
 };
 
 EventLoop::EventLoop() {
-  // libevent's default clock is coarse, to about 4 ms; a lease check needs
-  // the millisecond.
+  // libevent's default clock has a resolution of about 4 ms; lease checks need
+  // 1 ms.
   event_config *Config = event_config_new();
   event_config_set_flag(Config, EVENT_BASE_FLAG_PRECISE_TIMER);
   Base = event_base_new_with_config(Config);
   event_config_free(Config);
 }
 
-// What is put off may put off more: letting go of a question to a target ends
-// its link, which frees its socket later. That must be over before the base is
-// freed, which sockets still refer to.
+// Deferred actions and timers may defer further actions when they run or are
+// destroyed: dropping a request to a target closes its connection, which defers
+// the release of the socket. All of them must be finished before the base is
+// freed, because sockets refer to it.
 EventLoop::~EventLoop() {
   while (!Deferred.empty() || !Timers.empty()) {
     runDeferred();
@@ -59,50 +60,52 @@
 
 Scheduler::TimerId EventLoop::after(Millis Delay,
                                     std::function<void()> Action) {
-  auto Made = std::make_unique<Timer>();
-  Made->Owner = this;
-  Made->Id = NextId++;
-  Made->DueAt = Time.now() + std::max(Delay, Millis(0));
-  Made->Action = std::move(Action);
-  Made->Event = evtimer_new(
+  auto NewTimer = std::make_unique<Timer>();
+  NewTimer->Owner = this;
+  NewTimer->Id = NextId++;
+  NewTimer->DueAt = Time.now() + std::max(Delay, Millis(0));
+  NewTimer->Action = std::move(Action);
+  NewTimer->Event = evtimer_new(
       Base,
       [](evutil_socket_t, short, void *Argument) {
         auto *Fired = static_cast<Timer *>(Argument);
-        // The action may cancel or add timers: take it out first.
+        // Removed first, because the action may cancel or add timers.
         const auto Held = Fired->Owner->Timers.extract(Fired->Id);
         Fired->Owner->TimerDelays.observe(
             std::max(Fired->Owner->Time.now() - Fired->DueAt, Millis(0)));
         Fired->Action();
       },
-      Made.get());
+      NewTimer.get());
   constexpr std::int64_t MillisPerSecond = 1000;
   constexpr std::int64_t MicrosPerMilli = 1000;
-  const std::int64_t Count = std::max<std::int64_t>(Delay.count(), 0);
-  const timeval Time{Count / MillisPerSecond,
-                     (Count % MillisPerSecond) * MicrosPerMilli};
-  evtimer_add(Made->Event, &Time);
-  const TimerId Id = Made->Id;
-  Timers[Id] = std::move(Made);
+  const std::int64_t DelayMillis = std::max<std::int64_t>(Delay.count(), 0);
+  const timeval Interval{DelayMillis / MillisPerSecond,
+                         (DelayMillis % MillisPerSecond) * MicrosPerMilli};
+  evtimer_add(NewTimer->Event, &Interval);
+  const TimerId Id = NewTimer->Id;
+  Timers[Id] = std::move(NewTimer);
   return Id;
 }
 
-// What the timer holds may begin or cancel others as it's destroyed: that must
-// happen outside the list.
-void EventLoop::cancel(TimerId Id) { const auto Ended = Timers.extract(Id); }
+// Destroying the action may add or cancel other timers, so the timer is removed
+// from the map before it is destroyed.
+void EventLoop::cancel(TimerId Id) {
+  const auto Cancelled = Timers.extract(Id);
+}
 
 void EventLoop::onSignal(int Signal, std::function<void()> Action) {
-  auto Made = std::make_unique<SignalHandler>();
-  Made->Signal = Signal;
-  Made->Action = std::move(Action);
-  Made->Event = evsignal_new(
+  auto Handler = std::make_unique<SignalHandler>();
+  Handler->Signal = Signal;
+  Handler->Action = std::move(Action);
+  Handler->Event = evsignal_new(
       Base, Signal,
       [](evutil_socket_t, short, void *Argument) {
         static_cast<SignalHandler *>(Argument)->Action();
       },
-      Made.get());
-  event_add(Made->Event, nullptr);
+      Handler.get());
+  event_add(Handler->Event, nullptr);
   unblockSignal(Signal);
-  Signals.push_back(std::move(Made));
+  Signals.push_back(std::move(Handler));
 }
 
 void EventLoop::defer(std::function<void()> Action) {
--- a/Source/Loop/EventLoop.h
+++ b/Source/Loop/EventLoop.h
@@ -1,5 +1,5 @@
 /// \file
-/// The one loop of a process, on libevent.
+/// The event loop of the process, on libevent.
 
 #ifndef CORIANDERDYKE_LOOP_EVENTLOOP_H
 #define CORIANDERDYKE_LOOP_EVENTLOOP_H
@@ -28,13 +28,15 @@
   TimerId after(Millis Delay, std::function<void()> Action) override;
   void cancel(TimerId Id) override;
 
-  /// Runs \p Action each time the process gets \p Signal, also for one that was
-  /// held before. Once the loop is destroyed it's held again: by then the
-  /// process ends in any case, and not by the signal.
+  /// Runs \p Action each time the process receives \p Signal, also if the
+  /// signal was pending before. The signal is blocked again when the loop is
+  /// destroyed: the process then ends in any case, and must not end by the
+  /// signal.
   void onSignal(int Signal, std::function<void()> Action);
 
   /// Runs \p Action once the current callback has returned, or at the latest
-  /// when the loop is destroyed. For freeing what is still on the stack.
+  /// when the loop is destroyed. Used to free objects
+  /// that are still in use on the call stack.
   void defer(std::function<void()> Action);
 
   /// Runs until stop().
@@ -42,7 +44,8 @@
   void stop();
 
   event_base *base() const { return Base; }
-  /// How late timers ran: other callbacks, the host, or a suspension.
+  /// How late timers ran, because of other callbacks, the load of the host or
+  /// its suspension.
   const DurationHistogram &timerLatency() const { return TimerDelays; }
 
 private:
--- a/Source/Loop/Scheduler.h
+++ b/Source/Loop/Scheduler.h
@@ -1,5 +1,5 @@
 /// \file
-/// Timers of the one loop.
+/// Interface of the timers of the event loop.
 
 #ifndef CORIANDERDYKE_LOOP_SCHEDULER_H
 #define CORIANDERDYKE_LOOP_SCHEDULER_H
@@ -11,7 +11,7 @@
 
 namespace corianderdyke {
 
-/// Runs functions later, on the thread of the loop.
+/// Runs functions after a delay, on the thread of the event loop.
 class Scheduler {
 public:
   using TimerId = std::uint64_t;
@@ -21,7 +21,7 @@
   /// Runs \p Action once, \p Delay from now. The id is never 0.
   virtual TimerId after(Millis Delay, std::function<void()> Action) = 0;
 
-  /// Takes a timer back; one that ran already is ignored.
+  /// Cancels a timer; has no effect if it has already run.
   virtual void cancel(TimerId Id) = 0;
 };
 
