--- a/Source/Common/BoundedArchive.h
+++ b/Source/Common/BoundedArchive.h
@@ -1,5 +1,5 @@
 /// \file
-/// cereal's portable binary input with a bound on lengths.
+/// Portable binary input of cereal with checked lengths.
 
 #ifndef CORIANDERDYKE_COMMON_BOUNDEDARCHIVE_H
 #define CORIANDERDYKE_COMMON_BOUNDEDARCHIVE_H
@@ -10,40 +10,40 @@
 
 namespace corianderdyke {
 
-/// Reads what cereal's portable binary output wrote. cereal takes the length
-/// of a string or list at its word and asks for that much memory: a few
-/// damaged bytes would end the process for lack of it. Here a length above
-/// the bytes that are left is an error, which is enough because every element
-/// takes a byte at least.
+/// Reads the format of cereal's portable binary output. cereal allocates as
+/// much memory as the length of a string or list states, so that a few corrupt
+/// bytes would end the process for lack of memory. This archive rejects a
+/// length above the number of remaining bytes, which suffices because every
+/// element takes at least one byte.
 class BoundedArchive
     : public cereal::InputArchive<BoundedArchive,
                                   cereal::AllowEmptyClassElision> {
 public:
   BoundedArchive(std::istream &In, std::size_t Size)
-      : InputArchive(this), Inner(In), Left(Size) {}
+      : InputArchive(this), Archive(In), RemainingBytes(Size) {}
 
   template <std::size_t ItemBytes> void read(void *To, std::size_t Size) {
     consume(Size);
-    Inner.template loadBinary<ItemBytes>(To,
-                                         static_cast<std::streamsize>(Size));
+    Archive.template loadBinary<ItemBytes>(To,
+                                           static_cast<std::streamsize>(Size));
   }
 
   void requireLength(std::uint64_t Length) const {
-    if (Length > Left)
+    if (Length > RemainingBytes)
       throw cereal::Exception("a length goes beyond the end");
   }
 
 private:
   void consume(std::size_t Size) {
     requireLength(Size);
-    Left -= Size;
+    RemainingBytes -= Size;
   }
 
-  cereal::PortableBinaryInputArchive Inner;
-  std::size_t Left;
+  cereal::PortableBinaryInputArchive Archive;
+  std::size_t RemainingBytes;
 };
 
-// The names that cereal looks for.
+// cereal requires these names.
 // NOLINTBEGIN(readability-identifier-naming)
 template <class T>
 std::enable_if_t<std::is_arithmetic_v<T> && !std::is_same_v<T, bool>>
@@ -51,7 +51,7 @@
   Ar.read<sizeof(T)>(std::addressof(Value), sizeof(T));
 }
 
-// Any other byte would be a value that the language doesn't know.
+// A bool with any value other than 0 and 1 would be undefined behaviour.
 inline void CEREAL_LOAD_FUNCTION_NAME(BoundedArchive &Ar, bool &Value) {
   std::uint8_t Byte = 0;
   Ar(Byte);
@@ -82,7 +82,7 @@
 
 } // namespace corianderdyke
 
-/// Enumerations are read by the pair of archives that wrote them.
+/// cereal needs the matching output archive to read enumerations.
 template <>
 struct cereal::traits::detail::get_output_from_input<
     corianderdyke::BoundedArchive> {
--- a/Source/Common/Clock.h
+++ b/Source/Common/Clock.h
@@ -1,5 +1,5 @@
 /// \file
-/// The source of time that every slice is given from outside.
+/// Interface of the clock, which is passed to all code that needs the time.
 
 #ifndef CORIANDERDYKE_COMMON_CLOCK_H
 #define CORIANDERDYKE_COMMON_CLOCK_H
@@ -8,16 +8,17 @@
 
 namespace corianderdyke {
 
-/// A clock that never goes back.
+/// A monotonic clock, and the wall clock.
 class Clock {
 public:
   virtual ~Clock() = default;
 
-  /// Milliseconds since an arbitrary origin, the same during a process's life.
+  /// Milliseconds since an arbitrary origin, which is fixed while the process
+  /// runs. Never decreases.
   virtual Millis now() const = 0;
 
-  /// Milliseconds since 1970 in UTC. For people and for idempotency keys
-  /// only: no safety argument rests on it, since it may be set back.
+  /// Milliseconds since 1970 in UTC, for display and idempotency keys only. No
+  /// safety property may depend on it, because it may be set back.
   virtual Millis wallTime() const = 0;
 };
 
--- a/Source/Common/Codec.h
+++ b/Source/Common/Codec.h
@@ -1,5 +1,6 @@
 /// \file
-/// The one place where cereal's exceptions become errors.
+/// Encodes and decodes values with cereal, and converts its exceptions to
+/// errors.
 
 #ifndef CORIANDERDYKE_COMMON_CODEC_H
 #define CORIANDERDYKE_COMMON_CODEC_H
@@ -21,7 +22,7 @@
 
 namespace corianderdyke {
 
-/// Bytes of \p Value in cereal's portable binary form.
+/// \p Value in cereal's portable binary format.
 template <class T> std::string encode(const T &Value) {
   std::ostringstream Out(std::ios::binary);
   {
@@ -31,8 +32,8 @@
   return std::move(Out).str();
 }
 
-/// The value in \p Bytes; Corrupt where they don't hold a whole one or hold
-/// more. The caller bounds the size of \p Bytes first.
+/// The value in \p Bytes; Corrupt if they are incomplete, invalid or followed
+/// by further bytes. The caller must have limited the size of \p Bytes.
 template <class T> Expected<T> decode(const std::string &Bytes) {
   try {
     std::istringstream In(Bytes, std::ios::binary);
@@ -40,7 +41,8 @@
     T Value;
     Archive(Value);
     if (In.peek() != std::istringstream::traits_type::eof())
-      return fail(ErrorCode::Corrupt, "bytes left over after a message");
+      return fail(ErrorCode::Corrupt,
+                  "extra bytes after the end of the message");
     return Value;
   } catch (const std::exception &Problem) {
     return fail(ErrorCode::Corrupt, Problem.what());
--- a/Source/Common/Compression.h
+++ b/Source/Common/Compression.h
@@ -1,5 +1,5 @@
 /// \file
-/// Shrinks long messages between the system's own processes.
+/// Compression of long messages between the processes of the system.
 
 #ifndef CORIANDERDYKE_COMMON_COMPRESSION_H
 #define CORIANDERDYKE_COMMON_COMPRESSION_H
@@ -11,16 +11,18 @@
 
 namespace corianderdyke {
 
-/// A plan with hundreds of routes goes to every proxy and control host; bytes
-/// between failure domains are scarce. Shorter messages aren't worth the time.
+/// Messages shorter than this are not worth the time to compress. Longer ones
+/// are, such as a plan with hundreds of routes, which is sent to every proxy
+/// and control host, because bandwidth between failure domains is scarce.
 constexpr std::size_t MinBytesToCompress = 1024;
 
-/// \p Bytes in a form that says whether they were compressed.
+/// \p Bytes, compressed if that is worthwhile, after a byte that states the
+/// format.
 std::string compressMessage(const std::string &Bytes);
 
-/// What compressMessage() was given; Corrupt where \p Packed isn't a whole
-/// packing of at most \p MaxBytes.
-Expected<std::string> decompressMessage(const std::string &Packed,
+/// The inverse of compressMessage(); Corrupt if \p Compressed is invalid or its
+/// uncompressed length exceeds \p MaxBytes.
+Expected<std::string> decompressMessage(const std::string &Compressed,
                                         std::size_t MaxBytes);
 
 } // namespace corianderdyke
--- a/Source/Common/Cryptography.cpp
+++ b/Source/Common/Cryptography.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Digests, keyed ones and the text form of bytes, through OpenSSL.
+/// Digests, message authentication codes and Base64, through OpenSSL.
 
 #include "Common/Cryptography.h"
 
@@ -76,7 +76,7 @@
                       reinterpret_cast<const unsigned char *>(Padded.data()),
                       static_cast<int>(Padded.size()));
   if (Size < 0 || Padding > 2)
-    return fail(ErrorCode::BadInput, "not base64");
+    return fail(ErrorCode::BadInput, "the text is not valid Base64");
   Out.resize(static_cast<std::size_t>(Size) - Padding);
   return Out;
 }
--- a/Source/Common/Cryptography.h
+++ b/Source/Common/Cryptography.h
@@ -1,5 +1,5 @@
 /// \file
-/// Digests, keyed ones and the text form of bytes, through OpenSSL.
+/// Digests, message authentication codes and Base64, through OpenSSL.
 
 #ifndef CORIANDERDYKE_COMMON_CRYPTOGRAPHY_H
 #define CORIANDERDYKE_COMMON_CRYPTOGRAPHY_H
@@ -10,13 +10,13 @@
 
 namespace corianderdyke {
 
-/// Length in bytes of a keyed digest.
+/// Length of a truncated HMAC in bytes.
 constexpr std::size_t TruncatedHmacBytes = 16;
 
-/// HMAC-SHA-256 of \p Bytes, cut to TruncatedHmacBytes.
+/// HMAC-SHA-256 of \p Bytes, truncated to TruncatedHmacBytes.
 std::string truncatedHmac(const std::string &Key, const std::string &Bytes);
 
-/// Compares two digests in a time that doesn't depend on where they differ.
+/// Compares two digests in a time that does not depend on where they differ.
 bool equalsInConstantTime(const std::string &Left, const std::string &Right);
 
 /// SHA-256 of \p Bytes in hexadecimal.
@@ -24,7 +24,7 @@
 
 /// Base64 with the alphabet for URLs, without padding.
 std::string encodeBase64Url(const std::string &Bytes);
-/// The inverse of encodeBase64Url; BadInput where \p Text isn't of that form.
+/// The inverse of encodeBase64Url(); BadInput if \p Text is invalid.
 Expected<std::string> decodeBase64Url(const std::string &Text);
 
 } // namespace corianderdyke
--- a/Source/Common/DurationHistogram.h
+++ b/Source/Common/DurationHistogram.h
@@ -1,5 +1,5 @@
 /// \file
-/// Counts of spans of time by length.
+/// A histogram of durations.
 
 #ifndef CORIANDERDYKE_COMMON_DURATIONHISTOGRAM_H
 #define CORIANDERDYKE_COMMON_DURATIONHISTOGRAM_H
@@ -11,9 +11,9 @@
 
 namespace corianderdyke {
 
-/// Spans counted in fixed buckets, as metrics want them. The bounds fit
-/// failover gaps: a good one lies below a second, and beyond a minute the
-/// exact length no longer matters.
+/// Counts durations in fixed buckets, for export as a metric. The bounds suit
+/// the write gap of a failover: a normal one is below a second, and beyond a
+/// minute the exact length no longer matters.
 class DurationHistogram {
 public:
   static constexpr std::array<Millis, 12> Bounds = {
@@ -21,16 +21,16 @@
       Millis(750),  Millis(1000),  Millis(1500),  Millis(2500),
       Millis(5000), Millis(10000), Millis(30000), Millis(60000)};
 
-  void observe(Millis Span) {
+  void observe(Millis Duration) {
     std::size_t Index = 0;
-    while (Index < Bounds.size() && Span > Bounds[Index])
+    while (Index < Bounds.size() && Duration > Bounds[Index])
       ++Index;
     ++Counts[Index];
     ++Total;
-    Sum += Span;
+    Sum += Duration;
   }
 
-  /// Spans in a bucket; the last one holds those beyond all bounds.
+  /// Durations in a bucket; the last bucket counts those above all bounds.
   std::uint64_t count(std::size_t Bucket) const { return Counts[Bucket]; }
   std::uint64_t total() const { return Total; }
   Millis sum() const { return Sum; }
--- a/Source/Common/Error.h
+++ b/Source/Common/Error.h
@@ -9,17 +9,17 @@
 
 namespace corianderdyke {
 
-/// What kind of thing went wrong; the text says the rest.
+/// The kind of an error; the message has the details.
 enum class ErrorCode {
-  BadInput,    ///< The caller or operator gave something that can't be used.
-  Conflict,    ///< It clashes with something accepted before.
-  NotFound,    ///< The named thing doesn't exist.
-  Unavailable, ///< It may work later.
-  Corrupt,     ///< Stored or received bytes fail their check.
-  System,      ///< The operating system refused.
+  BadInput,    ///< The input of the caller or operator is invalid.
+  Conflict,    ///< The input conflicts with something accepted before.
+  NotFound,    ///< The named object does not exist.
+  Unavailable, ///< A later attempt may succeed.
+  Corrupt,     ///< Stored or received bytes are invalid.
+  System,      ///< A system call failed.
 };
 
-/// An error with a sentence for a person.
+/// An error with a message for people.
 struct Error {
   ErrorCode Code = ErrorCode::System;
   std::string Message;
@@ -29,7 +29,7 @@
 
 template <class T> using Expected = tl::expected<T, Error>;
 
-/// Makes the error side of an Expected.
+/// Returns the error value of an Expected.
 inline tl::unexpected<Error> fail(ErrorCode Code, std::string Message) {
   return tl::unexpected<Error>(Error{Code, std::move(Message)});
 }
--- a/Source/Common/Finding.cpp
+++ b/Source/Common/Finding.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Text form of findings.
+/// Formats and sorts findings.
 
 #include "Common/Finding.h"
 
--- a/Source/Common/Finding.h
+++ b/Source/Common/Finding.h
@@ -1,5 +1,5 @@
 /// \file
-/// Faults found in a file that a person wrote, each with its place.
+/// Errors in a settings file or manifest, with their positions.
 
 #ifndef CORIANDERDYKE_COMMON_FINDING_H
 #define CORIANDERDYKE_COMMON_FINDING_H
@@ -10,13 +10,13 @@
 
 namespace corianderdyke {
 
-/// One fault in a settings file or manifest.
+/// One error in a settings file or manifest.
 struct Finding {
   std::string File;
-  std::uint32_t Line = 0;   ///< From 1; 0 where the fault has no line.
-  std::uint32_t Column = 0; ///< From 1; 0 where the fault has no column.
+  std::uint32_t Line = 0;   ///< From 1; 0 if the error has no line.
+  std::uint32_t Column = 0; ///< From 1; 0 if the error has no column.
   std::string Message;
-  std::string Suggestion; ///< What to write instead; may be empty.
+  std::string Suggestion; ///< Proposed correction; may be empty.
 
   bool operator==(const Finding &) const = default;
 
@@ -26,10 +26,10 @@
 
 using Findings = std::vector<Finding>;
 
-/// The findings by their place in the file.
+/// The findings in the order of their positions in the file.
 Findings sortByPosition(Findings All);
 
-/// One finding a line.
+/// The findings, one per line.
 std::string refusalText(const Findings &All);
 
 } // namespace corianderdyke
--- a/Source/Common/FrameCompressor.h
+++ b/Source/Common/FrameCompressor.h
@@ -1,5 +1,5 @@
 /// \file
-/// Shrinks short messages of one kind, each on its own.
+/// Compression of short messages with a preset dictionary.
 
 #ifndef CORIANDERDYKE_COMMON_FRAMECOMPRESSOR_H
 #define CORIANDERDYKE_COMMON_FRAMECOMPRESSOR_H
@@ -12,31 +12,32 @@
 
 namespace corianderdyke {
 
-/// Short messages are mostly lengths, empty fields and words that every one of
-/// them has. Alone they hardly shrink; against a sample that both ends know
-/// they do. Each message can be read without those before it, so a lost stream
-/// loses nothing but what was on its way.
+/// Compresses each message separately with a dictionary that both ends share.
+/// Short messages consist mostly of lengths, empty fields and words that all of
+/// them have, and hardly shrink without a dictionary. Each message can be
+/// decompressed without those before it, so a broken connection loses only the
+/// messages in flight.
 class FrameCompressor {
 public:
-  /// \p Dictionary is what messages look like, the most usual part last. Both
-  /// ends must have the same one: what was packed against another can't be told
-  /// from damage.
+  /// \p Dictionary has the typical content of messages, the most frequent last.
+  /// Both ends must use the same one: a message that was compressed with
+  /// another dictionary cannot be distinguished from a corrupt one.
   explicit FrameCompressor(std::string Dictionary);
   ~FrameCompressor();
   FrameCompressor(const FrameCompressor &) = delete;
   FrameCompressor &operator=(const FrameCompressor &) = delete;
 
   std::string compress(const std::string &Bytes);
-  /// What compress() was given; Corrupt where \p Packed isn't a whole packing
-  /// of at most \p MaxBytes.
-  Expected<std::string> decompress(const std::string &Packed,
+  /// The inverse of compress(); Corrupt if \p Compressed is invalid or its
+  /// uncompressed length exceeds \p MaxBytes.
+  Expected<std::string> decompress(const std::string &Compressed,
                                    std::size_t MaxBytes);
 
 private:
   struct Streams;
 
   std::string Dictionary;
-  std::unique_ptr<Streams> Ends;
+  std::unique_ptr<Streams> State;
 };
 
 } // namespace corianderdyke
--- a/Source/Common/Identity.h
+++ b/Source/Common/Identity.h
@@ -12,7 +12,7 @@
 
 namespace corianderdyke {
 
-/// An IP address and a port. Names aren't resolved.
+/// An IP address and a port. Host names are not resolved.
 struct Endpoint {
   std::string Address;
   std::uint16_t Port = 0;
@@ -22,14 +22,14 @@
   /// "address:port".
   std::string text() const { return Address + ":" + std::to_string(Port); }
 
-  /// Parses "address:port"; BadInput where it isn't one.
+  /// Parses "address:port"; BadInput if \p Text is invalid.
   static Expected<Endpoint> parse(const std::string &Text);
 
   template <class Archive> void serialize(Archive &Ar) { Ar(Address, Port); }
 };
 
-/// Where a process or target runs. Region and failure domain travel with
-/// every identity, so that placement by distance needs no new messages.
+/// Where a process or target runs. Every identity includes its region and
+/// failure domain, so that placement by distance needs no new messages.
 struct Locality {
   std::string Region;
   std::string FailureDomain;
@@ -42,9 +42,9 @@
   }
 };
 
-/// One life of one process. A restarted process has the same name and
-/// another incarnation, because leases given to its former life go on
-/// counting until they expire.
+/// One incarnation of a process. A restarted process has the same name and
+/// another incarnation, because leases of its former incarnation remain valid
+/// until they expire.
 struct ProcessId {
   std::string Name;
   std::uint64_t Incarnation = 0;
--- a/Source/Common/Millis.h
+++ b/Source/Common/Millis.h
@@ -1,9 +1,9 @@
 /// \file
-/// The project's one unit of time: whole milliseconds.
+/// The unit of time of the project: whole milliseconds.
 ///
-/// Points in time and spans share the type. A point is counted from an
-/// arbitrary origin of the Clock that gave it, so points of two processes are
-/// never compared with one another.
+/// Points in time and durations have the same type. A point in time counts from
+/// the arbitrary origin of its Clock, so points in time of two processes must
+/// not be compared.
 
 #ifndef CORIANDERDYKE_COMMON_MILLIS_H
 #define CORIANDERDYKE_COMMON_MILLIS_H
@@ -13,7 +13,7 @@
 
 namespace corianderdyke {
 
-/// A span or a point of time in milliseconds.
+/// A duration or a point in time in milliseconds.
 class Millis {
 public:
   constexpr Millis() = default;
--- a/Source/Common/RandomNumber.h
+++ b/Source/Common/RandomNumber.h
@@ -1,5 +1,5 @@
 /// \file
-/// Numbers that no two lives of a process share.
+/// Random numbers that differ between the incarnations of a process.
 
 #ifndef CORIANDERDYKE_COMMON_RANDOMNUMBER_H
 #define CORIANDERDYKE_COMMON_RANDOMNUMBER_H
@@ -9,8 +9,8 @@
 
 namespace corianderdyke {
 
-/// A number from the machine's own source, for incarnations, names of disks
-/// and seeds.
+/// A number from the random device of the host, for incarnations, disk
+/// identifiers and seeds.
 inline std::uint64_t randomNumber() {
   std::random_device Device;
   return (static_cast<std::uint64_t>(Device()) << 32U) | Device();
--- a/Source/Common/SystemClock.cpp
+++ b/Source/Common/SystemClock.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The clock of the machine.
+/// The clocks of the operating system.
 
 #include "Common/SystemClock.h"
 
--- a/Source/Common/SystemClock.h
+++ b/Source/Common/SystemClock.h
@@ -1,5 +1,5 @@
 /// \file
-/// The clock of the machine.
+/// The clocks of the operating system.
 
 #ifndef CORIANDERDYKE_COMMON_SYSTEMCLOCK_H
 #define CORIANDERDYKE_COMMON_SYSTEMCLOCK_H
@@ -8,9 +8,9 @@
 
 namespace corianderdyke {
 
-/// Reads CLOCK_BOOTTIME. A host that was suspended must find its leases
-/// ended when it wakes; CLOCK_MONOTONIC stands still meanwhile and would
-/// let a replaced primary's answer be acknowledged.
+/// Reads CLOCK_BOOTTIME. The leases of a host must expire while it is
+/// suspended: CLOCK_MONOTONIC does not advance during a suspension, so that a
+/// response of a replaced primary could be acknowledged.
 class SystemClock final : public Clock {
 public:
   Millis now() const override;
--- a/Source/Common/TextHash.h
+++ b/Source/Common/TextHash.h
@@ -1,5 +1,5 @@
 /// \file
-/// One hash of a text, the same in all processes.
+/// A hash of a text that is the same in all processes.
 
 #ifndef CORIANDERDYKE_COMMON_TEXTHASH_H
 #define CORIANDERDYKE_COMMON_TEXTHASH_H
