--- a/Source/Logs/LogEvents.cpp
+++ b/Source/Logs/LogEvents.cpp
@@ -19,9 +19,9 @@
 
 bool JsonLines = false;
 
-/// The budgets of the events that have one. Logs are written by the one
-/// thread of the loop.
-LogRateLimiter &budgetOf(const EventDescription &Event) {
+/// The rate limiter of an event with a limit. Not synchronised, because only
+/// the thread of the event loop writes logs.
+LogRateLimiter &rateLimiterOf(const EventDescription &Event) {
   static std::map<EventId, LogRateLimiter> All;
   return All.try_emplace(Event.Id, LogRateLimiter(Event.MaxPerSecond))
       .first->second;
@@ -46,7 +46,7 @@
   return spdlog::level::info;
 }
 
-const char *outcomeHeader(Severity Of) {
+const char *severityName(Severity Of) {
   switch (Of) {
   case Severity::Warning:
     return "warning";
@@ -58,7 +58,7 @@
   return "info";
 }
 
-/// By the wall clock, for people and for joining logs of several hosts.
+/// The wall clock time, for people and for merging the logs of several hosts.
 std::string timeNow() {
   const auto Now = std::chrono::system_clock::now();
   return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
@@ -80,7 +80,7 @@
 
 std::string jsonLine(const EventDescription &Event, const LogFields &Fields) {
   nlohmann::json Out = {{"time", timeNow()},
-                        {"level", outcomeHeader(Event.Level)},
+                        {"level", severityName(Event.Level)},
                         {"event", static_cast<int>(Event.Id)},
                         {"name", Event.Name}};
   for (const auto &[Name, Value] : Fields)
@@ -94,22 +94,23 @@
 const std::vector<EventDescription> &eventCatalogue() {
   static const std::vector<EventDescription> All = {
       {EventId::Started, Severity::Info, "started",
-       "The process has opened its ports and files and begins its work."},
+       "The process has opened its ports and files and is running."},
       {EventId::Stopped, Severity::Info, "stopped",
        "The process ends after a signal."},
       {EventId::StartRefused, Severity::Error, "start-refused",
-       "The settings are good, but a port or the data folder isn't usable."},
+       "The settings are valid, but a port or the data folder cannot be used."},
       {EventId::Stopping, Severity::Info, "stopping",
-       "A graceful stop begins: the process isn't ready and finishes what is "
-       "in flight."},
+       "A graceful stop begins: the process is no longer ready and completes "
+       "the requests in flight."},
       {EventId::StopBoundReached, Severity::Warning, "stop-bound-reached",
-       "The graceful stop reached its bound; requests were cut."},
+       "The graceful stop reached its timeout; requests were aborted."},
       {EventId::SettingsReloaded, Severity::Info, "settings-reloaded",
        "A setting that may change while the process runs took effect."},
       {EventId::SettingsRefused, Severity::Error, "settings-refused",
-       "The settings file has a finding; the process goes on as before."},
+       "The settings file has an error; the process keeps its current "
+       "settings."},
       {EventId::RestartNeeded, Severity::Warning, "restart-needed",
-       "A setting changed in the file that takes effect at the next start."},
+       "A changed setting takes effect only after a restart."},
       {EventId::Crashed, Severity::Error, "crashed",
        "A fatal signal ends the process; the fields are the signal, the "
        "address accessed, the program counter and the calls that led there, "
@@ -117,46 +118,49 @@
       {EventId::StateChanged, Severity::Info, "state-changed",
        "A change was committed; the fields are those of the audit trail."},
       {EventId::LeadershipGained, Severity::Info, "leadership-gained",
-       "This control host leads from now on."},
+       "This control host has become the leader."},
       {EventId::LeadershipLost, Severity::Warning, "leadership-lost",
-       "This control host doesn't lead any more."},
+       "This control host is no longer the leader."},
       {EventId::DiskFailed, Severity::Error, "disk-failed",
-       "The data folder holds what can't be right; the process ends."},
+       "The data folder holds invalid data; the process ends."},
       {EventId::DiskRefuses, Severity::Error, "disk-refuses",
        "A write to the data folder failed. This host neither leads nor votes "
-       "until the disk takes writes again."},
+       "until writes succeed again."},
       {EventId::DiskUsable, Severity::Info, "disk-usable",
-       "The data folder takes writes again; the state was read anew."},
+       "Writes to the data folder succeed again; the state was reloaded."},
       {EventId::GroupStanding, Severity::Info, "group-standing",
        "This control host's role, its term or the voters changed.", 50},
       {EventId::StateRecalled, Severity::Info, "state-recalled",
-       "All that the data folder held at the start is in the state again; the "
-       "changes themselves were told when they were made."},
+       "The state in the data folder was restored at the start; its changes "
+       "were logged when they were made."},
       {EventId::LeaseGained, Severity::Info, "lease-gained",
        "The proxy holds a lease and serves callers."},
       {EventId::LeaseLost, Severity::Warning, "lease-lost",
-       "The proxy's lease ran out; it serves nothing until it has another."},
+       "The proxy's lease expired; it serves no statements until it has a new "
+       "one."},
       {EventId::PlanInForce, Severity::Info, "plan-in-force",
-       "The proxy serves by this version of the plan from now on."},
+       "The proxy now applies this version of the plan."},
       {EventId::ControlLost, Severity::Warning, "control-lost",
-       "No control host answers; callers are served on with what is known."},
+       "No control host answers; the proxy keeps serving callers with its last "
+       "known state."},
       {EventId::ControlFound, Severity::Info, "control-found",
        "The leading control host answers."},
       {EventId::StatementRefused, Severity::Warning, "statement-refused",
-       "A statement got no result; the fields tell the code and its grounds.",
+       "A statement ended without a result; the fields state the code and the "
+       "reason.",
        100},
       {EventId::PromotionStep, Severity::Warning, "promotion-step",
-       "A step of a change of primary, with what decided it."},
+       "A step of a change of primary, with the reason for it."},
       {EventId::StatementMoved, Severity::Info, "statement-moved",
-       "A try of a statement gave no result; it's tried again.", 50},
+       "An attempt at a statement ended without a result; it is retried.", 50},
       {EventId::StatementServed, Severity::Info, "statement-served",
-       "A statement got a target's result: where it ran, by which floor, and "
-       "how long it waited.",
+       "A target returned the result of a statement; the fields state where it "
+       "ran, its floor (the minimum position) and how long it waited.",
        10},
       {EventId::TargetUnusable, Severity::Warning, "target-unusable",
-       "A target couldn't be reached, or gave no answer in time.", 20},
+       "A target could not be reached or did not answer in time.", 20},
       {EventId::ProxiesKnown, Severity::Info, "proxies-known",
-       "The list of proxies changed, and with it who holds targets' "
+       "The list of proxies changed, and with it the assignment of target "
        "connections."},
   };
   return All;
@@ -167,8 +171,8 @@
                     "| --- | --- | --- | --- |\n";
   for (const EventDescription &Each : eventCatalogue())
     Out += "| " + std::to_string(static_cast<int>(Each.Id)) + " | " +
-           Each.Name + " | " + outcomeHeader(Each.Level) + " | " +
-           Each.Meaning + " |\n";
+           Each.Name + " | " + severityName(Each.Level) + " | " + Each.Meaning +
+           " |\n";
   return Out;
 }
 
@@ -186,15 +190,17 @@
 
 bool admitEvent(EventId Id) {
   const EventDescription &Event = describe(Id);
-  return Event.MaxPerSecond == 0 || budgetOf(Event).allow(SystemClock().now());
+  return Event.MaxPerSecond == 0 ||
+         rateLimiterOf(Event).allow(SystemClock().now());
 }
 
 void logEvent(EventId Id, const LogFields &Given) {
   const EventDescription &Event = describe(Id);
   LogFields Fields = Given;
   if (Event.MaxPerSecond != 0)
-    if (const auto LeftOut = budgetOf(Event).takeDroppedCount(); LeftOut > 0)
-      Fields.emplace_back("left_out", std::to_string(LeftOut));
+    if (const auto DroppedCount = rateLimiterOf(Event).takeDroppedCount();
+        DroppedCount > 0)
+      Fields.emplace_back("left_out", std::to_string(DroppedCount));
   spdlog::log(levelOf(Event.Level), "{}",
               JsonLines ? jsonLine(Event, Fields) : humanLine(Event, Fields));
 }
--- a/Source/Logs/LogEvents.h
+++ b/Source/Logs/LogEvents.h
@@ -1,5 +1,5 @@
 /// \file
-/// The catalogue of numbered log events. Help/log-events.md lists the same.
+/// The catalogue of numbered log events, which Help/log-events.md documents.
 
 #ifndef CORIANDERDYKE_LOGS_LOGEVENTS_H
 #define CORIANDERDYKE_LOGS_LOGEVENTS_H
@@ -11,7 +11,7 @@
 
 namespace corianderdyke {
 
-/// A number is never given to another event, so that alerts stay valid.
+/// Numbers are never reused for another event, so that alerts stay valid.
 enum class EventId : std::uint16_t {
   Started = 100,
   Stopped = 101,
@@ -50,29 +50,30 @@
   Severity Level;
   const char *Name;
   const char *Meaning;
-  /// Lines a second that a process writes at most; 0 for no bound.
+  /// Maximum number of lines per second and process; 0 for no limit.
   std::uint32_t MaxPerSecond = 0;
 };
 
 /// All events in the order of their numbers.
 const std::vector<EventDescription> &eventCatalogue();
 
-/// The catalogue as rows of a Markdown table, as the manual has them.
+/// The catalogue as the Markdown table of the manual.
 std::string eventMarkdown();
 
-/// Sends later events of \p MinSeverity severity or more to standard output, as
-/// lines for people or as one JSON object a line.
+/// Writes later events of at least \p MinSeverity to standard output, as lines
+/// for people or as one JSON object per line.
 void configureLogging(bool Json, Severity MinSeverity);
-/// True where lines are JSON objects. May be called inside a signal handler.
+/// True if lines are JSON objects. May be called in a signal handler.
 bool writesJsonLogs();
 
-/// True where an event would be written now; else it's counted as left out.
-/// Saves making the fields of events that come with every statement.
+/// True if the rate limit admits the event now; otherwise counts it as dropped.
+/// Called before the fields of an event are built, which saves that cost for
+/// events that occur with every statement.
 bool admitEvent(EventId Id);
 
 using LogFields = std::vector<std::pair<std::string, std::string>>;
 
-/// Writes an event with its fields; empty fields are left out.
+/// Writes an event with its fields; empty fields are omitted.
 void logEvent(EventId Id, const LogFields &Given);
 
 } // namespace corianderdyke
--- a/Source/Logs/LogRateLimiter.h
+++ b/Source/Logs/LogRateLimiter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Bounds the log lines of one kind of event.
+/// Limits the rate of the log lines of an event.
 
 #ifndef CORIANDERDYKE_LOGS_LOGRATELIMITER_H
 #define CORIANDERDYKE_LOGS_LOGRATELIMITER_H
@@ -11,35 +11,36 @@
 
 namespace corianderdyke {
 
-/// Lets so many lines through in each second and counts the rest. Under load
-/// every statement would else cost a line, and the log more than the service.
+/// Admits a fixed number of lines per second and counts the dropped ones.
+/// Without a limit every statement would write a line under load, and logging
+/// would cost more than the statements.
 class LogRateLimiter {
 public:
   explicit LogRateLimiter(std::uint32_t PerSecond = 0) : PerSecond(PerSecond) {}
 
-  /// True where a line may be written at \p Now; 0 a second means no bound.
+  /// True if a line may be written at \p Now; always true if the limit is 0.
   bool allow(Millis Now) {
     constexpr Millis Second(1000);
-    if (Now - Began >= Second || Now < Began) {
-      Began = Now;
+    if (Now - WindowStart >= Second || Now < WindowStart) {
+      WindowStart = Now;
       Written = 0;
     }
     if (PerSecond != 0 && Written >= PerSecond) {
-      ++LeftOut;
+      ++DroppedCount;
       return false;
     }
     ++Written;
     return true;
   }
 
-  /// Lines left out since the last call.
-  std::uint64_t takeDroppedCount() { return std::exchange(LeftOut, 0); }
+  /// Lines dropped since the last call.
+  std::uint64_t takeDroppedCount() { return std::exchange(DroppedCount, 0); }
 
 private:
   std::uint32_t PerSecond;
   std::uint32_t Written = 0;
-  std::uint64_t LeftOut = 0;
-  Millis Began = Millis(-1000000);
+  std::uint64_t DroppedCount = 0;
+  Millis WindowStart = Millis(-1000000);
 };
 
 } // namespace corianderdyke
--- a/Source/Logs/NonBlockingStdoutSink.h
+++ b/Source/Logs/NonBlockingStdoutSink.h
@@ -1,5 +1,5 @@
 /// \file
-/// Log lines to standard output without ever waiting for its reader.
+/// A log sink for standard output that never blocks.
 
 #ifndef CORIANDERDYKE_LOGS_NONBLOCKINGSTDOUTSINK_H
 #define CORIANDERDYKE_LOGS_NONBLOCKINGSTDOUTSINK_H
@@ -10,15 +10,15 @@
 
 namespace corianderdyke {
 
-/// A reader that stands still costs lines, not service: what doesn't fit at
-/// once is left out and counted.
+/// Drops and counts lines that cannot be written at once, so that a stalled
+/// reader of standard output loses log lines but does not delay the process.
 class NonBlockingStdoutSink final
     : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
 public:
   explicit NonBlockingStdoutSink(int Descriptor) : Descriptor(Descriptor) {}
 
-  /// Lines left out since the last call.
-  std::uint64_t takeDroppedCount() { return std::exchange(LeftOut, 0); }
+  /// Lines dropped since the last call.
+  std::uint64_t takeDroppedCount() { return std::exchange(DroppedCount, 0); }
 
 protected:
   void sink_it_(const spdlog::details::log_msg &Message) override;
@@ -26,7 +26,7 @@
 
 private:
   int Descriptor;
-  std::uint64_t LeftOut = 0;
+  std::uint64_t DroppedCount = 0;
 };
 
 } // namespace corianderdyke
