--- a/Source/Manifest/Manifest.cpp
+++ b/Source/Manifest/Manifest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Lookups in a manifest, and its digest.
+/// Lookups in a manifest and its digest.
 
 #include "Manifest/Manifest.h"
 
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// The lists are sorted by name.
+/// Finds an item by binary search: the lists are sorted by name.
 template <class T>
-const T *byName(const std::vector<T> &All, const std::string &Name) {
+const T *findByName(const std::vector<T> &All, const std::string &Name) {
   const auto Found = std::lower_bound(
       All.begin(), All.end(), Name,
       [](const T &Each, const std::string &Key) { return Each.Name < Key; });
@@ -25,15 +25,15 @@
 
 const OrganisationPolicy *
 Manifest::organisation(const std::string &Name) const {
-  return byName(Organisations, Name);
+  return findByName(Organisations, Name);
 }
 
 const DatabasePolicy *Manifest::database(const std::string &Name) const {
-  return byName(Databases, Name);
+  return findByName(Databases, Name);
 }
 
 const RequestKindPolicy *Manifest::kind(const std::string &Name) const {
-  return byName(Kinds, Name);
+  return findByName(Kinds, Name);
 }
 
 std::string Manifest::digest() const { return sha256Hex(encode(*this)); }
--- a/Source/Manifest/Manifest.h
+++ b/Source/Manifest/Manifest.h
@@ -1,6 +1,6 @@
 /// \file
-/// What operators declare: organisations, databases, kinds of request,
-/// limits and failover policy.
+/// The configuration that operators declare: organisations, databases, kinds of
+/// request, limits and failover policy.
 
 #ifndef CORIANDERDYKE_MANIFEST_MANIFEST_H
 #define CORIANDERDYKE_MANIFEST_MANIFEST_H
@@ -14,29 +14,30 @@
 
 namespace corianderdyke {
 
-/// A customer, and its part of what is scarce.
+/// An organisation and its share of scarce resources.
 struct OrganisationPolicy {
   std::string Name;
-  std::uint32_t Weight = 1; ///< Weight against the other organisations.
+  std::uint32_t Weight = 1; ///< Relative to the other organisations.
 
   auto operator<=>(const OrganisationPolicy &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(Name, Weight); }
 };
 
-/// What happens when too few targets are left to prove that nothing
-/// acknowledged is lost.
+/// What a failover does if too few targets are left to prove that no
+/// acknowledged write is lost.
 enum class InsufficientTargetsPolicy : std::uint8_t {
-  Wait,           ///< Writes stand still until enough targets are back.
-  PromoteWithLoss ///< The best one left takes over; the audit trail says so.
+  Wait, ///< Writes are suspended until enough targets are available again.
+  PromoteWithLoss ///< Promotes the best remaining target; the audit trail
+                  ///< records it.
 };
 
 struct DatabasePolicy {
   std::string Name;
-  std::uint32_t Targets = 3;               ///< Targets that the group has.
-  std::uint32_t AcknowledgedCopies = 2;    ///< Targets that hold a write
-                                           ///< before it's acknowledged.
-  std::uint32_t ConnectionsPerTarget = 16; ///< The server's own limit.
-  std::uint32_t SlotsPerTarget = 2;        ///< Statements run at a time.
+  std::uint32_t Targets = 3;               ///< Number of targets in the group.
+  std::uint32_t AcknowledgedCopies = 2;    ///< Targets that must hold a write
+                                           ///< before it is acknowledged.
+  std::uint32_t ConnectionsPerTarget = 16; ///< Connection limit of the server.
+  std::uint32_t SlotsPerTarget = 2;        ///< Concurrent statements.
   InsufficientTargetsPolicy InsufficientTargets =
       InsufficientTargetsPolicy::Wait;
 
@@ -49,14 +50,15 @@
 
 enum class Access : std::uint8_t { Read, Write };
 
-/// A kind of request, named by the caller in a header.
+/// A kind of request, which the caller names in a header.
 struct RequestKindPolicy {
   std::string Name;
   Access Mode = Access::Read;
-  bool Idempotent = true; ///< False: runs at most once; needs a key.
-  Millis MaxStaleness;    ///< Reads: how old the data may be.
+  bool Idempotent = true; ///< If false, a request runs at most once and
+                          ///< needs an idempotency key.
+  Millis MaxStaleness;    ///< Reads only: maximum age of the data.
   Millis Deadline = Millis(5000);
-  std::uint32_t Weight = 1; ///< Against the organisation's other kinds.
+  std::uint32_t Weight = 1; ///< Relative to the organisation's other kinds.
 
   auto operator<=>(const RequestKindPolicy &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
@@ -76,11 +78,12 @@
 };
 
 struct FailoverPolicy {
-  /// A target that answers nothing for this long is taken for failed.
+  /// A target from which nothing is received for this long is considered
+  /// failed.
   Millis SuspectAfter = Millis(400);
-  /// How long a proxy may acknowledge after its last lease request.
+  /// How long a proxy may acknowledge statements after its last lease request.
   Millis LeaseDuration = Millis(600);
-  /// The most that one host's clock runs fast or slow, in parts a million.
+  /// Maximum drift of the clock of a host, in parts per million.
   std::uint32_t ClockDriftPpm = 1000;
 
   auto operator<=>(const FailoverPolicy &) const = default;
@@ -89,8 +92,8 @@
   }
 };
 
-/// The whole of it. The lists are sorted by name, so that two files which
-/// say the same in another order are the same manifest.
+/// A complete manifest. The lists are sorted by name, so that files with the
+/// same content in a different order yield equal manifests.
 struct Manifest {
   std::uint64_t Version = 0;
   std::vector<OrganisationPolicy> Organisations;
--- a/Source/Manifest/ManifestDelta.cpp
+++ b/Source/Manifest/ManifestDelta.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What changed from one manifest to a later one.
+/// The difference between a manifest and a later one.
 
 #include "Manifest/ManifestDelta.h"
 
@@ -10,7 +10,7 @@
 namespace {
 
 template <class T>
-std::map<std::string, T> byName(const std::vector<T> &Items) {
+std::map<std::string, T> indexByName(const std::vector<T> &Items) {
   std::map<std::string, T> Out;
   for (const T &Each : Items)
     Out.emplace(Each.Name, Each);
@@ -18,26 +18,28 @@
 }
 
 template <class T>
-ItemChanges<T> compare(const std::vector<T> &From, const std::vector<T> &To) {
+ItemChanges<T> diffItems(const std::vector<T> &From, const std::vector<T> &To) {
   ItemChanges<T> Out;
-  std::map<std::string, T> Former = byName(From);
+  std::map<std::string, T> OldItems = indexByName(From);
   for (const T &Each : To) {
-    const auto Before = Former.extract(Each.Name);
-    if (Before.empty() || Before.mapped() != Each)
+    const auto OldItem = OldItems.extract(Each.Name);
+    if (OldItem.empty() || OldItem.mapped() != Each)
       Out.Changed.push_back(Each);
   }
-  for (const auto &[Name, Each] : Former)
+  for (const auto &[Name, Each] : OldItems)
     Out.Removed.push_back(Name);
   return Out;
 }
 
-/// The result is sorted by name, as every manifest's lists are.
+/// Applies \p Changes to \p Base. The result is sorted by name, as all lists of
+/// a manifest are.
 template <class T>
-std::vector<T> change(const std::vector<T> &Base, const ItemChanges<T> &By) {
-  std::map<std::string, T> Items = byName(Base);
-  for (const T &Each : By.Changed)
+std::vector<T> applyChanges(const std::vector<T> &Base,
+                            const ItemChanges<T> &Changes) {
+  std::map<std::string, T> Items = indexByName(Base);
+  for (const T &Each : Changes.Changed)
     Items.insert_or_assign(Each.Name, Each);
-  for (const std::string &Name : By.Removed)
+  for (const std::string &Name : Changes.Removed)
     Items.erase(Name);
   std::vector<T> Out;
   Out.reserve(Items.size());
@@ -51,9 +53,9 @@
 ManifestDelta computeDelta(const Manifest &From, const Manifest &To) {
   return {To.Version,
           To.digest(),
-          compare(From.Organisations, To.Organisations),
-          compare(From.Databases, To.Databases),
-          compare(From.Kinds, To.Kinds),
+          diffItems(From.Organisations, To.Organisations),
+          diffItems(From.Databases, To.Databases),
+          diffItems(From.Kinds, To.Kinds),
           To.Limits,
           To.Failover};
 }
@@ -61,14 +63,16 @@
 Expected<Manifest> applyDelta(const Manifest &Base,
                               const ManifestDelta &Delta) {
   Manifest Out{Delta.Version,
-               change(Base.Organisations, Delta.Organisations),
-               change(Base.Databases, Delta.Databases),
-               change(Base.Kinds, Delta.Kinds),
+               applyChanges(Base.Organisations, Delta.Organisations),
+               applyChanges(Base.Databases, Delta.Databases),
+               applyChanges(Base.Kinds, Delta.Kinds),
                Delta.Limits,
                Delta.Failover};
   if (Out.digest() != Delta.Digest)
-    return fail(ErrorCode::Conflict,
-                "the manifest that a delta makes has another digest");
+    return fail(
+        ErrorCode::Conflict,
+        "applying the delta yields a manifest whose digest differs from "
+        "that of the delta");
   return Out;
 }
 
--- a/Source/Manifest/ManifestDelta.h
+++ b/Source/Manifest/ManifestDelta.h
@@ -1,5 +1,5 @@
 /// \file
-/// What changed from one manifest to a later one.
+/// The difference between a manifest and a later one.
 
 #ifndef CORIANDERDYKE_MANIFEST_MANIFESTDELTA_H
 #define CORIANDERDYKE_MANIFEST_MANIFESTDELTA_H
@@ -9,22 +9,22 @@
 
 namespace corianderdyke {
 
-/// The changed items of one of a manifest's lists.
+/// The changes of one list of a manifest.
 template <class T> struct ItemChanges {
-  std::vector<T> Changed; ///< New or with other content.
+  std::vector<T> Changed; ///< Items that are new or have changed content.
   std::vector<std::string> Removed;
 
   bool operator==(const ItemChanges &) const = default;
   template <class Archive> void serialize(Archive &Ar) { Ar(Changed, Removed); }
 };
 
-/// A change of one item costs a message of its size. At thousands of
-/// databases whole manifests alone would use up most of what control may send
-/// to a node.
+/// The changes between two manifests. The size of the message is that of the
+/// changed items: with thousands of databases, complete manifests would use
+/// most of the bandwidth that control may use to each node.
 struct ManifestDelta {
   std::uint64_t Version = 0;
-  /// Digest of the manifest that comes out. A proxy must never run one that
-  /// nobody accepted, put together from a delta and the wrong base.
+  /// Digest of the resulting manifest. It ensures that a proxy never uses a
+  /// manifest that was not accepted, the result of a delta on a wrong base.
   std::string Digest;
   ItemChanges<OrganisationPolicy> Organisations;
   ItemChanges<DatabasePolicy> Databases;
@@ -41,7 +41,7 @@
 /// The delta that turns \p From into \p To.
 ManifestDelta computeDelta(const Manifest &From, const Manifest &To);
 
-/// The manifest after a delta; Conflict where it isn't the one meant.
+/// The manifest after a delta; Conflict if its digest is not that of the delta.
 Expected<Manifest> applyDelta(const Manifest &Base, const ManifestDelta &Delta);
 
 } // namespace corianderdyke
--- a/Source/Manifest/ManifestFile.cpp
+++ b/Source/Manifest/ManifestFile.cpp
@@ -22,34 +22,35 @@
        .Type = Type::Number,
        .Min = 1,
        .Max = std::numeric_limits<std::int64_t>::max(),
-       .Meaning = "Rises with every change; one version has one content."},
+       .Meaning =
+           "Increases with every change; a version has exactly one content."},
       {.Table = "[[organisation]]",
        .Key = "name",
-       .Meaning = "Name, as callers give it."},
+       .Meaning = "Name that callers send."},
       {.Table = "[[organisation]]",
        .Key = "share",
        .Type = Type::Number,
        .Min = 1,
        .Max = 10000,
        .Default = "1",
-       .Meaning = "Weight against the other organisations when full."},
+       .Meaning = "Weight relative to the other organisations under overload."},
       {.Table = "[[database]]",
        .Key = "name",
-       .Meaning = "Name of a database group, as callers and targets give it."},
+       .Meaning = "Name of a database group that callers and targets send."},
       {.Table = "[[database]]",
        .Key = "targets",
        .Type = Type::Number,
        .Min = 1,
        .Max = 9,
        .Default = "3",
-       .Meaning = "Targets that the group has."},
+       .Meaning = "Number of targets in the group."},
       {.Table = "[[database]]",
        .Key = "copies",
        .Type = Type::Number,
        .Min = 1,
        .Max = 9,
        .Default = "targets / 2 + 1",
-       .Meaning = "Targets that hold a write before it's acknowledged."},
+       .Meaning = "Targets that must hold a write before it is acknowledged."},
       {.Table = "[[database]]",
        .Key = "connections_per_target",
        .Type = Type::Number,
@@ -57,7 +58,7 @@
        .Min = 1,
        .Max = 10000,
        .Default = "16",
-       .Meaning = "The server's own limit."},
+       .Meaning = "Connection limit of the server."},
       {.Table = "[[database]]",
        .Key = "slots_per_target",
        .Type = Type::Number,
@@ -65,28 +66,29 @@
        .Min = 1,
        .Max = 10000,
        .Default = "2",
-       .Meaning = "Statements that a server runs at a time."},
+       .Meaning = "Statements that a server runs concurrently."},
       {.Table = "[[database]]",
        .Key = "too_few_targets",
        .Type = Type::Choice,
        .Choices = {"wait", "promote-with-loss"},
        .Default = "wait",
-       .Meaning = "What happens when too few targets are left to prove that "
-                  "nothing acknowledged is lost."},
+       .Meaning = "What a failover does if too few targets are left to prove "
+                  "that no acknowledged write is lost."},
       {.Table = "[[kind]]",
        .Key = "name",
-       .Meaning = "Name of a kind of request, as callers give it."},
+       .Meaning = "Name of a kind of request that callers send."},
       {.Table = "[[kind]]",
        .Key = "access",
        .Type = Type::Choice,
        .Choices = {"read", "write"},
        .Default = "read",
-       .Meaning = "Whether it changes anything."},
+       .Meaning = "Whether requests of the kind read or write data."},
       {.Table = "[[kind]]",
        .Key = "repeatable",
        .Type = Type::Boolean,
        .Default = "true",
-       .Meaning = "False: runs at most once and needs an idempotency key."},
+       .Meaning = "If false, a request runs at most once and needs an "
+                  "idempotency key."},
       {.Table = "[[kind]]",
        .Key = "accepted_age_ms",
        .Type = Type::Number,
@@ -94,7 +96,7 @@
        .Min = 0,
        .Max = Week,
        .Default = "0",
-       .Meaning = "Reads: how old the data may be."},
+       .Meaning = "Reads only: maximum age of the data."},
       {.Table = "[[kind]]",
        .Key = "deadline_ms",
        .Type = Type::Number,
@@ -102,14 +104,16 @@
        .Min = 1,
        .Max = Minute,
        .Default = "5000",
-       .Meaning = "Longest time to an answer; a caller may ask for less."},
+       .Meaning =
+           "Maximum time to a response; a caller may request a shorter one."},
       {.Table = "[[kind]]",
        .Key = "weight",
        .Type = Type::Number,
        .Min = 1,
        .Max = 10000,
        .Default = "1",
-       .Meaning = "Against the organisation's other kinds when full."},
+       .Meaning =
+           "Weight relative to the organisation's other kinds under overload."},
       {.Table = "[limits]",
        .Key = "queue_per_database",
        .Type = Type::Number,
@@ -117,7 +121,8 @@
        .Min = 0,
        .Max = 100000,
        .Default = "200",
-       .Meaning = "Requests that wait at one proxy before more are refused."},
+       .Meaning = "Maximum number of requests that wait at one proxy; further "
+                  "ones are refused."},
       {.Table = "[limits]",
        .Key = "transaction_idle_ms",
        .Type = Type::Number,
@@ -125,7 +130,7 @@
        .Min = 10,
        .Max = 10 * Minute,
        .Default = "5000",
-       .Meaning = "How long a transaction may hold a connection idle."},
+       .Meaning = "How long an idle transaction may keep its connection."},
       {.Table = "[limits]",
        .Key = "key_retention_ms",
        .Type = Type::Number,
@@ -133,7 +138,7 @@
        .Min = Minute,
        .Max = Week,
        .Default = "86400000",
-       .Meaning = "How long targets remember idempotency keys."},
+       .Meaning = "How long targets keep idempotency keys."},
       {.Table = "[failover]",
        .Key = "suspect_after_ms",
        .Type = Type::Number,
@@ -141,7 +146,8 @@
        .Min = 50,
        .Max = Minute,
        .Default = "400",
-       .Meaning = "A target that is silent for this long counts as failed."},
+       .Meaning = "A target from which nothing is received for this long is "
+                  "considered failed."},
       {.Table = "[failover]",
        .Key = "lease_duration_ms",
        .Type = Type::Number,
@@ -149,8 +155,7 @@
        .Min = 100,
        .Max = Minute,
        .Default = "600",
-       .Meaning = "How long a proxy may serve after its last request to "
-                  "control."},
+       .Meaning = "How long a proxy may serve after its last lease request."},
       {.Table = "[failover]",
        .Key = "clock_drift_ppm",
        .Type = Type::Number,
@@ -158,7 +163,7 @@
        .Min = 0,
        .Max = 100000,
        .Default = "1000",
-       .Meaning = "The most that a host's clock runs fast or slow."},
+       .Meaning = "Maximum drift of the clock of a host."},
   };
 }
 
@@ -220,21 +225,23 @@
   return Out;
 }
 
-/// Reads the tables "[[Key]]", sorted by name, each name once.
+/// Reads the tables "[[Key]]" and sorts them by name. Duplicate names are
+/// findings.
 template <class T>
 std::vector<T> readNamed(TomlReader &Root, const std::string &Key,
                          T (*ReadOne)(TomlReader &)) {
   std::vector<T> Out;
   Root.tables(Key, [&](TomlReader &Each) {
-    T New = ReadOne(Each);
-    const bool Known =
-        std::any_of(Out.begin(), Out.end(),
-                    [&New](const T &Other) { return Other.Name == New.Name; });
-    if (Known && !New.Name.empty())
+    T Item = ReadOne(Each);
+    const bool IsDuplicate =
+        std::any_of(Out.begin(), Out.end(), [&Item](const T &Other) {
+          return Other.Name == Item.Name;
+        });
+    if (IsDuplicate && !Item.Name.empty())
       Each.addFinding("name",
-                      "a second [[" + Key + "]] is named '" + New.Name + "'",
+                      "a second [[" + Key + "]] is named '" + Item.Name + "'",
                       "names are given once");
-    Out.push_back(std::move(New));
+    Out.push_back(std::move(Item));
   });
   std::sort(Out.begin(), Out.end());
   return Out;
--- a/Source/Manifest/ManifestFile.h
+++ b/Source/Manifest/ManifestFile.h
@@ -12,14 +12,14 @@
 
 namespace corianderdyke {
 
-/// The keys of a manifest; Help/manifest.md lists the same.
+/// The keys of a manifest, which Help/manifest.md documents.
 const KeySchema &manifestKeys();
 
-/// What two good manifests don't share, defaults included.
+/// The values in which two valid manifests differ, including defaults.
 std::vector<ItemDifference> diffManifests(const std::string &Before,
                                           const std::string &After);
 
-/// The manifest in \p Text, or all its faults. \p File names it in findings.
+/// The manifest in \p Text, or all its errors. Findings name it \p File.
 tl::expected<Manifest, Findings> parseManifest(const std::string &File,
                                                const std::string &Text);
 
