--- a/Source/Settings/KeySchema.cpp
+++ b/Source/Settings/KeySchema.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The keys that a kind of file knows, as data.
+/// Schema of the keys of a settings file or manifest.
 
 #include "Settings/KeySchema.h"
 
@@ -11,14 +11,14 @@
 
 namespace {
 
-std::string joined(const std::vector<std::string> &Words) {
+std::string joinWithCommas(const std::vector<std::string> &Texts) {
   std::string Out;
-  for (const std::string &Each : Words)
+  for (const std::string &Each : Texts)
     Out += (Out.empty() ? "" : ", ") + Each;
   return Out;
 }
 
-std::string typeWord(KeyType Of) {
+std::string typeName(KeyType Of) {
   switch (Of) {
   case KeyType::String:
     return "string";
@@ -36,15 +36,15 @@
   return "address:port";
 }
 
-std::string range(const KeyDescription &Of) {
+std::string rangeText(const KeyDescription &Of) {
   if (Of.Type == KeyType::Choice || Of.Type == KeyType::StringList)
-    return joined(Of.Choices);
+    return joinWithCommas(Of.Choices);
   if (Of.Type != KeyType::Number)
     return "";
   return std::to_string(Of.Min) + " to " + std::to_string(Of.Max);
 }
 
-std::string print(const toml::node &Of) {
+std::string textOf(const toml::node &Of) {
   std::ostringstream Out;
   Of.visit([&Out](const auto &Value) { Out << Value; });
   std::string Text = Out.str();
@@ -54,21 +54,21 @@
   return Text;
 }
 
-std::string prefix(const std::string &Table, const toml::table &Instance) {
+std::string itemPrefix(const std::string &Table, const toml::table &Instance) {
   if (Table.empty())
     return "";
   std::string Out = stripTableBrackets(Table);
   if (Table.rfind("[[", 0) == 0)
     if (const toml::node *Name = Instance.get("name"))
-      Out += " " + print(*Name);
+      Out += " " + textOf(*Name);
   return Out + ".";
 }
 
 void flattenKey(const KeyDescription &Key, const toml::table &Instance,
                 std::map<std::string, std::string> &Out) {
   const toml::node *Value = Instance.get(Key.Key);
-  Out[prefix(Key.Table, Instance) + Key.Key] =
-      Value == nullptr ? Key.Default : print(*Value);
+  Out[itemPrefix(Key.Table, Instance) + Key.Key] =
+      Value == nullptr ? Key.Default : textOf(*Value);
 }
 
 } // namespace
@@ -89,21 +89,21 @@
 }
 
 std::string KeySchema::markdown() const {
-  const bool AnyReloads =
+  const bool HasReloadableKeys =
       std::any_of(Keys.begin(), Keys.end(),
                   [](const KeyDescription &Each) { return Each.IsReloadable; });
   std::string Out = std::string("| table | key | type | unit | range | "
                                 "default | ") +
-                    (AnyReloads ? "reload | " : "") + "meaning |\n" +
+                    (HasReloadableKeys ? "reload | " : "") + "meaning |\n" +
                     "| --- | --- | --- | --- | --- | --- | " +
-                    (AnyReloads ? "--- | " : "") + "--- |\n";
+                    (HasReloadableKeys ? "--- | " : "") + "--- |\n";
   for (const KeyDescription &Each : Keys)
     Out += "| " + (Each.Table.empty() ? "top level" : "`" + Each.Table + "`") +
-           " | `" + Each.Key + "` | " + typeWord(Each.Type) + " | " +
-           Each.Unit + " | " + range(Each) + " | " +
+           " | `" + Each.Key + "` | " + typeName(Each.Type) + " | " +
+           Each.Unit + " | " + rangeText(Each) + " | " +
            (Each.Default.empty() ? "required" : "`" + Each.Default + "`") +
            " | " +
-           (AnyReloads ? (Each.IsReloadable ? "yes | " : "no | ") : "") +
+           (HasReloadableKeys ? (Each.IsReloadable ? "yes | " : "no | ") : "") +
            Each.Meaning + " |\n";
   return Out;
 }
@@ -116,14 +116,15 @@
   static const toml::table Empty;
   const toml::table Root = toml::parse(Text);
   for (const KeyDescription &Each : Keys) {
-    const toml::node *At = Root.get(stripTableBrackets(Each.Table));
+    const toml::node *Node = Root.get(stripTableBrackets(Each.Table));
     if (Each.Table.empty())
       flattenKey(Each, Root, Out);
-    else if (const toml::array *All = At == nullptr ? nullptr : At->as_array())
+    else if (const toml::array *All =
+                 Node == nullptr ? nullptr : Node->as_array())
       for (const toml::node &Item : *All)
         flattenKey(Each, *Item.as_table(), Out);
     else if (Each.Table.rfind("[[", 0) != 0)
-      flattenKey(Each, At == nullptr ? Empty : *At->as_table(), Out);
+      flattenKey(Each, Node == nullptr ? Empty : *Node->as_table(), Out);
   }
   return Out;
 }
--- a/Source/Settings/KeySchema.h
+++ b/Source/Settings/KeySchema.h
@@ -1,6 +1,6 @@
 /// \file
-/// The keys that a kind of file knows, as data: the reader takes types,
-/// ranges and defaults from it, and the manual shows the same rows.
+/// Schema of the keys of a settings file or manifest. TomlReader uses its
+/// types, ranges and defaults, and the manual has the same table.
 
 #ifndef CORIANDERDYKE_SETTINGS_KEYSCHEMA_H
 #define CORIANDERDYKE_SETTINGS_KEYSCHEMA_H
@@ -29,13 +29,13 @@
   std::string Unit = {};
   std::int64_t Min = 0;
   std::int64_t Max = 0;
-  std::vector<std::string> Choices = {}; ///< Of a Word key.
-  std::string Default = {};              ///< Empty where the key is required.
+  std::vector<std::string> Choices = {}; ///< Of a Choice or StringList.
+  std::string Default = {};              ///< Empty if the key is required.
   std::string Meaning = {};
   bool IsReloadable = false; ///< Takes effect on SIGHUP.
 };
 
-/// "[[kind]]" and "[kind]" without their brackets.
+/// "[[kind]]" or "[kind]" without the brackets.
 std::string stripTableBrackets(const std::string &Table);
 
 class KeySchema {
@@ -45,22 +45,22 @@
 
   const std::vector<KeyDescription> &keys() const { return Keys; }
 
-  /// The key of a table; null where the file doesn't know it.
+  /// The description of a key; null if the schema does not have it.
   const KeyDescription *find(const std::string &Table,
                              const std::string &Key) const;
 
-  /// Rows of a Markdown table, as the manual has them.
+  /// The schema as the Markdown table of the manual.
   std::string markdown() const;
 
-  /// Every value of a good file by "table instance.key", with the defaults
-  /// of keys that it leaves out. Two files that say the same are equal here.
+  /// All values of a valid file by "table instance.key", including defaults of
+  /// omitted keys. Files with the same content yield equal maps.
   std::map<std::string, std::string> flatten(const std::string &Text) const;
 
 private:
   std::vector<KeyDescription> Keys;
 };
 
-/// One value that two files don't share; empty where a file hasn't the item.
+/// A value in which two files differ; empty for a file without the item.
 struct ItemDifference {
   std::string Item;
   std::string From;
--- a/Source/Settings/Settings.cpp
+++ b/Source/Settings/Settings.cpp
@@ -34,17 +34,17 @@
        .Key = "roles",
        .Type = Type::StringList,
        .Choices = {"proxy", "control"},
-       .Meaning = "What the process does; one or both."},
+       .Meaning = "Roles of the process; one or both."},
       {.Table = "[process]",
        .Key = "data_folder",
        .Default = "none",
-       .Meaning = "Folder of the control state; control hosts need it."},
+       .Meaning = "Folder of the control state; required for control hosts."},
       {.Table = "[process]",
        .Key = "log_format",
        .Type = Type::Choice,
        .Choices = {"human", "json"},
        .Default = "human",
-       .Meaning = "Lines for people, or one JSON object a line.",
+       .Meaning = "Lines for people, or one JSON object per line.",
        .IsReloadable = true},
       {.Table = "[process]",
        .Key = "log_level",
@@ -60,8 +60,8 @@
        .Min = 0,
        .Max = 600000,
        .Default = "2000",
-       .Meaning = "How long a stopping proxy still takes callers, so that "
-                  "the balancer can see that it isn't ready."},
+       .Meaning = "How long a stopping proxy still accepts callers, so that "
+                  "the load balancer can detect that it is not ready."},
       {.Table = "[process]",
        .Key = "stop_bound_ms",
        .Type = Type::Number,
@@ -69,48 +69,50 @@
        .Min = 0,
        .Max = 600000,
        .Default = "30000",
-       .Meaning = "How long a graceful stop may wait for what is in flight."},
+       .Meaning = "How long a graceful stop may wait for requests in flight."},
       {.Table = "[process]",
        .Key = "stop_within",
        .Default = "none",
-       .Meaning = "Bound of a whole graceful stop, like \"6s\" or "
-                  "\"4500ms\"; goes before stop_bound_ms."},
+       .Meaning = "Timeout of a graceful stop, like \"6s\" or \"4500ms\"; "
+                  "overrides stop_bound_ms."},
       {.Table = "[process]",
        .Key = "leadership",
        .Type = Type::Choice,
        .Choices = {"leases", "targets"},
        .Default = "leases",
-       .Meaning = "What keeps a replaced primary from acknowledging anything: "
-                  "leases of the proxies, or the targets themselves."},
+       .Meaning =
+           "What prevents a replaced primary from acknowledging statements: "
+           "leases of the proxies, or the targets themselves."},
       {.Table = "[listen]",
        .Key = "sessions",
        .Type = Type::Address,
        .Default = "none",
-       .Meaning = "Callers' sessions; proxies need it where leadership is "
+       .Meaning = "Sessions of callers; required for proxies if leadership is "
                   "\"targets\"."},
       {.Table = "[listen]",
        .Key = "readiness",
        .Type = Type::Address,
        .Default = "none",
-       .Meaning = "The balancer's check; proxies need it where leadership is "
-                  "\"targets\"."},
+       .Meaning = "Readiness check of the load balancer; required for proxies "
+                  "if leadership is \"targets\"."},
       {.Table = "[listen]",
        .Key = "relay",
        .Type = Type::Address,
        .Default = "none",
-       .Meaning = "Statements of other proxies, where they share targets' "
-                  "connections; needs leadership \"targets\"."},
+       .Meaning = "Statements of other proxies, which share connections to "
+                  "targets; only if leadership is \"targets\"."},
       {.Table = "[listen]",
        .Key = "directory",
        .Type = Type::Address,
        .Default = "none",
-       .Meaning = "Heartbeats of targets and calls of operators; control "
-                  "hosts need it where leadership is \"targets\"."},
+       .Meaning = "Heartbeats of targets and requests of operators; required "
+                  "for control hosts if leadership is \"targets\"."},
       {.Table = "[listen]",
        .Key = "callers",
        .Type = Type::Address,
        .Default = "none",
-       .Meaning = "HTTP for callers and targets; proxies need it."},
+       .Meaning = "HTTP for callers and targets; required for proxies if "
+                  "leadership is \"leases\"."},
       {.Table = "[listen]",
        .Key = "operators",
        .Type = Type::Address,
@@ -118,68 +120,69 @@
       {.Table = "[listen]",
        .Key = "peers",
        .Type = Type::Address,
-       .Meaning = "UDP and TCP among the system's own processes."},
+       .Meaning = "UDP and TCP between the processes of the system."},
       {.Table = "[keys]",
        .Key = "peers",
-       .Meaning = "Seals messages among the processes; the same everywhere."},
+       .Meaning =
+           "Authenticates messages between processes; the same on all hosts."},
       {.Table = "[keys]",
        .Key = "sessions",
-       .Meaning = "Seals session tokens; the same everywhere."},
+       .Meaning = "Authenticates session tokens; the same on all hosts."},
       {.Table = "[keys]",
        .Key = "targets",
-       .Meaning = "Shown by targets that announce themselves."},
+       .Meaning = "Sent by targets with their announcements."},
       {.Table = "[keys]",
        .Key = "operators",
-       .Meaning = "Shown by operators who change something."},
+       .Meaning = "Sent by operators with changes."},
       {.Table = "[group]",
        .Key = "seeds",
        .Type = Type::StringList,
        .Default = "none",
-       .Meaning = "Addresses of control hosts to start from, where leadership "
+       .Meaning = "Addresses of control hosts to contact first, if leadership "
                   "is \"targets\". The group needs no other list."},
       {.Table = "[group]",
        .Key = "may_found",
        .Type = Type::Boolean,
        .Default = "false",
-       .Meaning = "The whole system starts for the first time, so that the "
-                  "seeds may found a group."},
+       .Meaning = "Whether the seeds may form a new group, because the whole "
+                  "system starts for the first time."},
       {.Table = "[group]",
        .Key = "lost_disks_borne",
        .Type = Type::Number,
        .Min = 0,
        .Max = 100,
        .Default = "1",
-       .Meaning = "Disks that may be lost at once; an acknowledged change is "
-                  "on one more."},
+       .Meaning = "Number of disks that may fail simultaneously; an "
+                  "acknowledged change is stored on one more."},
       {.Table = "[group]",
        .Key = "promotions",
        .Type = Type::Address,
        .Default = "none",
-       .Meaning = "Who carries out changes of primary; control hosts need it "
-                  "where leadership is \"targets\"."},
+       .Meaning = "The service that executes changes of primary; control hosts "
+                  "need it if leadership is \"targets\"."},
       {.Table = "[group]",
        .Key = "quota_overage",
        .Default = "none",
-       .Meaning = "Part by which organisations may pass their quotas, like "
-                  "\"0.1\", where leadership is \"targets\". Permits use it "
-                  "where their former count is lost."},
+       .Meaning = "Part by which organisations may exceed their quotas, like "
+                  "\"0.1\", if leadership is \"targets\". It is used for "
+                  "permits whose previous count was lost."},
       {.Table = "[group]",
        .Key = "quota_slack",
        .Default = "none",
-       .Meaning = "Operations by which an organisation may pass its quota in "
-                  "any window, beside quota_overage."},
+       .Meaning = "Operations by which an organisation may exceed its quota in "
+                  "any window, in addition to quota_overage."},
       {.Table = "[group]",
        .Key = "quota_window",
        .Default = "none",
-       .Meaning = "The window of quota_overage and quota_slack, like \"5s\"; "
-                  "5 s where it's left out."},
+       .Meaning = "The window of quota_overage and quota_slack, like \"5s\"; 5 "
+                  "s if omitted."},
       {.Table = "[[control]]",
        .Key = "name",
-       .Meaning = "Name of a control host; one table for each."},
+       .Meaning = "Name of a control host; one table per host."},
       {.Table = "[[control]]",
        .Key = "peers",
        .Type = Type::Address,
-       .Meaning = "Its peers' address."},
+       .Meaning = "Address of its peers listener."},
   };
 }
 
@@ -220,8 +223,8 @@
   In.reportUnknownKeys();
 }
 
-/// The listeners and the group where targets enforce their leadership.
-void readSteering(TomlReader Listen, TomlReader Group, Settings &Out) {
+/// Reads the listeners and the group for FencingMode::Targets.
+void readTargetFencingMode(TomlReader Listen, TomlReader Group, Settings &Out) {
   Out.SessionEndpoint = Listen.endpoint("sessions");
   Out.ReadinessEndpoint = Listen.endpoint("readiness");
   Out.RelayEndpoint = Listen.endpoint("relay");
@@ -229,14 +232,15 @@
   Out.PeerEndpoint = Listen.endpoint("peers");
   if (Listen.has("operators"))
     Out.OperatorEndpoint = Listen.endpoint("operators");
-  const auto Need = [](TomlReader &In, const char *Key, bool IsMissing) {
+  const auto Require = [](TomlReader &In, const char *Key, bool IsMissing) {
     if (IsMissing)
       In.addFinding(Key, std::string("'") + Key + "' is missing",
                     "this role needs it where leadership is \"targets\"");
   };
-  Need(Listen, "sessions", Out.IsProxy && Out.SessionEndpoint.Port == 0);
-  Need(Listen, "readiness", Out.IsProxy && Out.ReadinessEndpoint.Port == 0);
-  Need(Listen, "directory", Out.IsControl && Out.DirectoryEndpoint.Port == 0);
+  Require(Listen, "sessions", Out.IsProxy && Out.SessionEndpoint.Port == 0);
+  Require(Listen, "readiness", Out.IsProxy && Out.ReadinessEndpoint.Port == 0);
+  Require(Listen, "directory",
+          Out.IsControl && Out.DirectoryEndpoint.Port == 0);
   for (const std::string &Each : Group.stringList("seeds")) {
     const auto Parsed = Endpoint::parse(Each);
     if (Parsed)
@@ -244,7 +248,7 @@
     else
       Group.addFinding("seeds", Parsed.error().Message);
   }
-  Need(Group, "seeds", Out.Seeds.empty());
+  Require(Group, "seeds", Out.Seeds.empty());
   Out.MayBootstrap = Group.flag("may_found");
   Out.ToleratedDiskLosses = Group.count("lost_disks_borne");
   Out.PromotionEndpoint = Group.endpoint("promotions");
@@ -291,8 +295,8 @@
   Out.SessionKey = readKey(In, "sessions");
   Out.TargetKey = readKey(In, "targets");
   Out.OperatorKey = readKey(In, "operators");
-  // Each key is known to others: targets know one, operators another. With
-  // the peers' key anyone can speak as a control host.
+  // Targets and operators know their keys, so neither may equal the peer or
+  // session key: with the peer key they could send messages as a control host.
   for (const std::string *Other : {&Out.TargetKey, &Out.OperatorKey})
     if (!Other->empty() &&
         (*Other == Out.PeerKey || *Other == Out.SessionKey)) {
@@ -349,7 +353,7 @@
   Settings Out;
   readProcess(In.table("process"), Out);
   if (Out.Fencing == FencingMode::Targets) {
-    readSteering(In.table("listen"), In.table("group"), Out);
+    readTargetFencingMode(In.table("listen"), In.table("group"), Out);
     TomlReader Keys = In.table("keys");
     Out.PeerKey = readKey(Keys, "peers");
     Keys.reportUnknownKeys();
--- a/Source/Settings/Settings.h
+++ b/Source/Settings/Settings.h
@@ -13,7 +13,7 @@
 
 namespace corianderdyke {
 
-/// A control host as every process knows it from its settings.
+/// A control host as listed in the settings.
 struct ControlHost {
   std::string Name;
   Endpoint PeerEndpoint;
@@ -24,11 +24,11 @@
 /// The least severe log events that are written.
 enum class LogLevel : std::uint8_t { Info, Warning, Error };
 
-/// What keeps a replaced primary from acknowledging anything.
+/// What prevents a replaced primary from acknowledging statements.
 enum class FencingMode : std::uint8_t {
-  Leases,  ///< Proxies hold leases from control and serve nothing without.
-  Targets, ///< Targets enforce their terms themselves; proxies serve on
-           ///< while control is away.
+  Leases,  ///< Proxies hold leases from control and serve nothing without one.
+  Targets, ///< Targets enforce their terms themselves; proxies keep serving
+           ///< while control is unavailable.
 };
 
 struct Settings {
@@ -38,42 +38,46 @@
   bool IsProxy = false;
   bool IsControl = false;
   std::string DataFolder;    ///< Control only.
-  Endpoint CallerEndpoint;   ///< Proxy only: where callers and targets connect.
+  Endpoint CallerEndpoint;   ///< Proxy only: HTTP for callers and targets.
   Endpoint OperatorEndpoint; ///< Status, metrics and the manifest.
-  Endpoint PeerEndpoint;     ///< UDP and TCP among the system's own processes.
-  Endpoint RelayEndpoint; ///< Statements of other proxies; without a port none.
+  Endpoint PeerEndpoint;  ///< UDP and TCP between the processes of the system.
+  Endpoint RelayEndpoint; ///< Statements of other proxies; disabled if the port
+                          ///< is 0.
   std::vector<ControlHost> ControlHosts;
-  std::string PeerKey;     ///< Seals messages between the processes.
-  std::string SessionKey;  ///< Seals session tokens.
-  std::string TargetKey;   ///< Given by targets that announce themselves.
-  std::string OperatorKey; ///< Given by operators who change something.
-  // Only where targets enforce their leadership.
-  Endpoint SessionEndpoint;    ///< Proxy: where callers open sessions.
-  Endpoint ReadinessEndpoint;  ///< Proxy: where the balancer asks.
-  Endpoint DirectoryEndpoint;  ///< Control: for targets and operators.
-  Endpoint PromotionEndpoint;  ///< Control: who carries out changes of primary.
-  std::vector<Endpoint> Seeds; ///< Control hosts to start from.
-  bool MayBootstrap = false;   ///< Control: the system starts anew.
-  std::size_t ToleratedDiskLosses = 1; ///< Control: at once, without any loss.
-  double QuotaOverageRatio = 0; ///< Proxy: part of a quota that may be passed.
-  double QuotaOverageOperations =
-      0; ///< Proxy: operations that may be passed by.
-  Millis QuotaWindow = Millis(5000); ///< Proxy: in which both are meant.
+  std::string PeerKey;     ///< Authenticates messages between processes.
+  std::string SessionKey;  ///< Authenticates session tokens.
+  std::string TargetKey;   ///< Sent by targets with their announcements.
+  std::string OperatorKey; ///< Sent by operators with changes.
+  // Only for FencingMode::Targets.
+  Endpoint SessionEndpoint;   ///< Proxy: sessions of callers.
+  Endpoint ReadinessEndpoint; ///< Proxy: readiness check of the load balancer.
+  Endpoint DirectoryEndpoint; ///< Control: for targets and operators.
+  Endpoint PromotionEndpoint; ///< Control: the service that executes changes of
+                              ///< primary.
+  std::vector<Endpoint> Seeds; ///< Control hosts to contact first.
+  bool MayBootstrap = false; ///< Control: the system starts for the first time.
+  /// Control: simultaneous disk failures without data loss.
+  std::size_t ToleratedDiskLosses = 1;
+  /// Proxy: part by which a quota may be exceeded.
+  double QuotaOverageRatio = 0;
+  /// Proxy: operations by which a quota may be exceeded.
+  double QuotaOverageOperations = 0;
+  Millis QuotaWindow = Millis(5000); ///< Proxy: window of both overages.
   bool JsonLogs = false;
   LogLevel Level = LogLevel::Info;
-  /// How long a stopping proxy still takes new callers, so that the balancer
-  /// can see that it isn't ready.
+  /// How long a stopping proxy still accepts new callers, so that the load
+  /// balancer can detect that it is not ready.
   Millis DrainDelay = Millis(2000);
-  /// How long a graceful stop may wait for what is in flight.
+  /// How long a graceful stop may wait for requests in flight.
   Millis StopTimeout = Millis(30000);
 
   bool operator==(const Settings &) const = default;
 };
 
-/// The keys of a settings file; Help/settings.md lists the same.
+/// The keys of a settings file, which Help/settings.md documents.
 const KeySchema &settingKeys();
 
-/// The settings in \p Text, or all their faults.
+/// The settings in \p Text, or all their errors.
 tl::expected<Settings, Findings> parseSettings(const std::string &File,
                                                const std::string &Text);
 
--- a/Source/Settings/TomlReader.cpp
+++ b/Source/Settings/TomlReader.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads TOML tables field by field and collects every fault with its place.
+/// Reads TOML tables key by key and collects all errors with their positions.
 
 #include "Settings/TomlReader.h"
 
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Edits that turn one word into the other.
-std::size_t distance(const std::string &Left, const std::string &Right) {
+/// Levenshtein distance of two words.
+std::size_t editDistance(const std::string &Left, const std::string &Right) {
   std::vector<std::size_t> Row(Right.size() + 1);
   std::iota(Row.begin(), Row.end(), 0);
   for (std::size_t I = 1; I <= Left.size(); ++I) {
@@ -33,12 +33,12 @@
   return Row.back();
 }
 
-std::string nearest(const std::string &Word,
-                    const std::vector<std::string> &Known) {
+std::string closestMatch(const std::string &Word,
+                         const std::vector<std::string> &Known) {
   std::string Best;
   std::size_t BestDistance = Word.size() / 2 + 1;
   for (const std::string &Each : Known) {
-    const std::size_t Edits = distance(Word, Each);
+    const std::size_t Edits = editDistance(Word, Each);
     if (Edits < BestDistance) {
       BestDistance = Edits;
       Best = Each;
@@ -47,9 +47,9 @@
   return Best;
 }
 
-std::string joined(const std::vector<std::string> &Words) {
+std::string joinWithCommas(const std::vector<std::string> &Texts) {
   std::string Out;
-  for (const std::string &Each : Words)
+  for (const std::string &Each : Texts)
     Out += (Out.empty() ? "" : ", ") + Each;
   return Out;
 }
@@ -62,7 +62,8 @@
          static_cast<unsigned char>(FirstNonAscii);
 }
 
-/// Where a quoted text ends in a line; its size where it doesn't.
+/// Position of the quote that closes a string; the size of the line if the
+/// string is not closed there.
 std::size_t closingQuote(std::string_view Line, std::size_t Opening) {
   const char Quote = Line[Opening];
   for (std::size_t At = Opening + 1; At < Line.size(); ++At) {
@@ -74,10 +75,10 @@
   return Line.size();
 }
 
-/// True for a quote that begins a text. Right behind a bare word it's a part of
-/// that word to the library, and so is what follows: in 7."0 the letters behind
-/// the quote are still those of a broken number.
-bool opensText(std::string_view Line, std::size_t At) {
+/// True for a quote that opens a string. toml++ treats a quote directly after a
+/// bare word, and the text behind the quote, as part of that word: in 7."0 the
+/// characters after the quote still belong to an invalid number.
+bool opensString(std::string_view Line, std::size_t At) {
   if (Line[At] != '"' && Line[At] != '\'')
     return false;
   if (At == 0)
@@ -87,32 +88,33 @@
          std::string_view("._-+").find(Before) == std::string_view::npos;
 }
 
-/// The first byte of a line that isn't ASCII and stands outside quotes and
-/// comments; the line's size where there's none.
-std::size_t bareNonAscii(std::string_view Line) {
+/// Position of the first byte of a line that is not ASCII and not inside quotes
+/// or a comment; the size of the line if there is none.
+std::size_t firstUnquotedNonAscii(std::string_view Line) {
   for (std::size_t At = 0; At < Line.size(); ++At) {
     if (Line[At] == '#')
       return Line.size();
     if (!isAscii(Line[At]))
       return At;
-    if (opensText(Line, At))
+    if (opensString(Line, At))
       At = closingQuote(Line, At);
   }
   return Line.size();
 }
 
-/// The library's behaviour is undefined for some letters outside quotes: an
-/// operator who writes a bare key in Latvian could end the process, or see
-/// the letter taken for a space. No key of ours has such letters, so they are
-/// findings before the library sees them.
-Findings bareLetters(const std::string &File, std::string_view Text) {
+/// Findings for all characters outside quotes that are not ASCII. The behaviour
+/// of toml++ is undefined for some of them: a bare key with Latvian letters
+/// could end the process, or a letter could be read as a space. No key of the
+/// schemas has such letters, so they are rejected before toml++ parses the
+/// text.
+Findings findUnquotedNonAscii(const std::string &File, std::string_view Text) {
   Findings Found;
   if (Text.substr(0, ByteOrderMark.size()) == ByteOrderMark)
     Text.remove_prefix(ByteOrderMark.size());
   for (std::uint32_t Number = 1; !Text.empty(); ++Number) {
     const std::string_view Line = Text.substr(0, Text.find('\n'));
     Text.remove_prefix(std::min(Text.size(), Line.size() + 1));
-    const std::size_t At = bareNonAscii(Line);
+    const std::size_t At = firstUnquotedNonAscii(Line);
     if (At < Line.size())
       Found.push_back({File, Number, static_cast<std::uint32_t>(At + 1),
                        "a character outside quotes that isn't ASCII",
@@ -133,44 +135,45 @@
       Found(Outer.Found) {}
 
 const KeyDescription &TomlReader::describe(const std::string &Key) const {
-  const KeyDescription *Known = Keys.find(Name, Key);
-  if (Known == nullptr)
-    throw std::logic_error("no description of key '" + Key + "'");
-  return *Known;
+  const KeyDescription *Description = Keys.find(Name, Key);
+  if (Description == nullptr)
+    throw std::logic_error("the schema has no key '" + Key + "'");
+  return *Description;
 }
 
 const toml::node *TomlReader::node(const std::string &Key) {
-  const toml::node *At = Table == nullptr ? nullptr : Table->get(Key);
-  if (At == nullptr && describe(Key).Default.empty())
+  const toml::node *Node = Table == nullptr ? nullptr : Table->get(Key);
+  if (Node == nullptr && describe(Key).Default.empty())
     addFinding(Key, "'" + Key + "' is missing" +
                         (Name.empty() ? "" : " in " + Name));
-  return At;
+  return Node;
 }
 
 void TomlReader::addFinding(const std::string &Key, std::string Message,
                             std::string Suggestion) {
-  const toml::node *At = Table == nullptr ? nullptr : Table->get(Key);
-  if (At == nullptr)
-    At = Table;
-  Finding New{File, 0, 0, std::move(Message), std::move(Suggestion)};
-  if (At != nullptr) {
-    New.Line = At->source().begin.line;
-    New.Column = At->source().begin.column;
+  const toml::node *Node = Table == nullptr ? nullptr : Table->get(Key);
+  if (Node == nullptr)
+    Node = Table;
+  Finding NewFinding{File, 0, 0, std::move(Message), std::move(Suggestion)};
+  if (Node != nullptr) {
+    NewFinding.Line = Node->source().begin.line;
+    NewFinding.Column = Node->source().begin.column;
   }
-  Found.push_back(std::move(New));
+  Found.push_back(std::move(NewFinding));
 }
 
-void TomlReader::reportType(const std::string &Key, const std::string &Wanted) {
+void TomlReader::reportType(const std::string &Key,
+                            const std::string &TypeText) {
   addFinding(Key, "'" + Key + "'" + (Name.empty() ? "" : " in " + Name) +
-                      " must be " + Wanted);
+                      " must be " + TypeText);
 }
 
 std::string TomlReader::string(const std::string &Key,
                                const std::string &Default) {
-  const toml::node *At = node(Key);
-  if (At == nullptr)
+  const toml::node *Node = node(Key);
+  if (Node == nullptr)
     return Default;
-  const auto Value = At->value_exact<std::string>();
+  const auto Value = Node->value_exact<std::string>();
   if (!Value)
     reportType(Key, "a string");
   else if (Value->empty())
@@ -182,24 +185,23 @@
   return number(Key, std::atoll(describe(Key).Default.c_str()));
 }
 
-std::int64_t TomlReader::number(const std::string &Key,
-                                std::int64_t Otherwise) {
-  const KeyDescription &Known = describe(Key);
-  const toml::node *At = node(Key);
-  if (At == nullptr)
-    return Otherwise;
-  const auto Value = At->value_exact<std::int64_t>();
+std::int64_t TomlReader::number(const std::string &Key, std::int64_t Default) {
+  const KeyDescription &Description = describe(Key);
+  const toml::node *Node = node(Key);
+  if (Node == nullptr)
+    return Default;
+  const auto Value = Node->value_exact<std::int64_t>();
   if (!Value) {
     reportType(Key, "a whole number");
-    return Otherwise;
+    return Default;
   }
-  if (*Value < Known.Min || *Value > Known.Max) {
+  if (*Value < Description.Min || *Value > Description.Max) {
     addFinding(Key,
                "'" + Key + "'" + (Name.empty() ? "" : " in " + Name) + " is " +
                    std::to_string(*Value),
-               "it may be " + std::to_string(Known.Min) + " to " +
-                   std::to_string(Known.Max));
-    return Otherwise;
+               "it may be " + std::to_string(Description.Min) + " to " +
+                   std::to_string(Description.Max));
+    return Default;
   }
   return *Value;
 }
@@ -211,14 +213,15 @@
   constexpr double MillisPerSecond = 1000;
   char *Unit = nullptr;
   const double Count = std::strtod(Text.c_str(), &Unit);
-  const std::string Word(Unit);
-  if (Count < 0 || Unit == Text.c_str() || (Word != "s" && Word != "ms")) {
-    addFinding(Key, "'" + Key + "' is no span of time",
+  const std::string UnitText(Unit);
+  if (Count < 0 || Unit == Text.c_str() ||
+      (UnitText != "s" && UnitText != "ms")) {
+    addFinding(Key, "'" + Key + "' is not a duration",
                "write it like 6s or 4500ms");
     return Millis();
   }
-  return Millis(
-      static_cast<std::int64_t>(Word == "s" ? Count * MillisPerSecond : Count));
+  return Millis(static_cast<std::int64_t>(
+      UnitText == "s" ? Count * MillisPerSecond : Count));
 }
 
 double TomlReader::decimal(const std::string &Key) {
@@ -227,26 +230,27 @@
   const double Value = std::strtod(Text.c_str(), &End);
   if (Text.empty() || (*End == 0 && Value >= 0 && std::isfinite(Value)))
     return Value;
-  addFinding(Key, "'" + Key + "' is no number from 0 on", "write it like 0.1");
+  addFinding(Key, "'" + Key + "' is not a number of 0 or more",
+             "write it like 0.1");
   return 0;
 }
 
 bool TomlReader::flag(const std::string &Key) {
-  const bool Otherwise = describe(Key).Default == "true";
-  const toml::node *At = node(Key);
-  if (At == nullptr)
-    return Otherwise;
-  const auto Value = At->value_exact<bool>();
+  const bool Default = describe(Key).Default == "true";
+  const toml::node *Node = node(Key);
+  if (Node == nullptr)
+    return Default;
+  const auto Value = Node->value_exact<bool>();
   if (!Value)
     reportType(Key, "true or false");
-  return Value.value_or(Otherwise);
+  return Value.value_or(Default);
 }
 
 std::vector<std::string> TomlReader::stringList(const std::string &Key) {
   std::vector<std::string> Out;
-  const toml::node *At = node(Key);
-  const toml::array *Array = At == nullptr ? nullptr : At->as_array();
-  if (At != nullptr && Array == nullptr)
+  const toml::node *Node = node(Key);
+  const toml::array *Array = Node == nullptr ? nullptr : Node->as_array();
+  if (Node != nullptr && Array == nullptr)
     reportType(Key, "an array of strings");
   if (Array == nullptr)
     return Out;
@@ -272,40 +276,42 @@
 }
 
 std::size_t TomlReader::choiceIndex(const std::string &Key) {
-  const KeyDescription &Known = describe(Key);
-  const auto IndexOf = [&Known](const std::string &Word) {
-    return static_cast<std::size_t>(
-        std::find(Known.Choices.begin(), Known.Choices.end(), Word) -
-        Known.Choices.begin());
+  const KeyDescription &Description = describe(Key);
+  const auto IndexOf = [&Description](const std::string &Word) {
+    return static_cast<std::size_t>(std::find(Description.Choices.begin(),
+                                              Description.Choices.end(), Word) -
+                                    Description.Choices.begin());
   };
-  const toml::node *At = node(Key);
-  if (At == nullptr)
-    return IndexOf(Known.Default);
-  const auto Value = At->value_exact<std::string>();
-  const std::size_t Index = Value ? IndexOf(*Value) : Known.Choices.size();
-  if (Index < Known.Choices.size())
+  const toml::node *Node = node(Key);
+  if (Node == nullptr)
+    return IndexOf(Description.Default);
+  const auto Value = Node->value_exact<std::string>();
+  const std::size_t Index =
+      Value ? IndexOf(*Value) : Description.Choices.size();
+  if (Index < Description.Choices.size())
     return Index;
-  const std::string Near = Value ? nearest(*Value, Known.Choices) : "";
+  const std::string Closest =
+      Value ? closestMatch(*Value, Description.Choices) : "";
   addFinding(Key,
              "'" + Key + "'" + (Name.empty() ? "" : " in " + Name) +
-                 " must be one of " + joined(Known.Choices),
-             Near.empty() ? "" : "did you mean '" + Near + "'?");
-  return IndexOf(Known.Default);
+                 " must be one of " + joinWithCommas(Description.Choices),
+             Closest.empty() ? "" : "did you mean '" + Closest + "'?");
+  return IndexOf(Description.Default);
 }
 
 TomlReader TomlReader::table(const std::string &Key) {
-  const toml::node *At = Table == nullptr ? nullptr : Table->get(Key);
-  if (At != nullptr && At->as_table() == nullptr)
+  const toml::node *Node = Table == nullptr ? nullptr : Table->get(Key);
+  if (Node != nullptr && Node->as_table() == nullptr)
     reportType(Key, "a table");
-  return {*this, "[" + Key + "]", At == nullptr ? nullptr : At->as_table()};
+  return {*this, "[" + Key + "]", Node == nullptr ? nullptr : Node->as_table()};
 }
 
 void TomlReader::tables(const std::string &Key,
                         const std::function<void(TomlReader &)> &Each) {
-  const toml::node *At = Table == nullptr ? nullptr : Table->get(Key);
-  if (At == nullptr)
+  const toml::node *Node = Table == nullptr ? nullptr : Table->get(Key);
+  if (Node == nullptr)
     return;
-  const toml::array *Array = At->as_array();
+  const toml::array *Array = Node->as_array();
   if (Array == nullptr) {
     reportType(Key, "an array of tables");
     return;
@@ -321,7 +327,7 @@
   }
 }
 
-std::vector<std::string> TomlReader::knownWords() const {
+std::vector<std::string> TomlReader::knownKeys() const {
   std::vector<std::string> Out;
   for (const KeyDescription &Each : Keys.keys()) {
     if (Each.Table == Name)
@@ -335,32 +341,32 @@
 void TomlReader::reportUnknownKeys() {
   if (Table == nullptr)
     return;
-  const std::vector<std::string> Known = knownWords();
+  const std::vector<std::string> Known = knownKeys();
   for (const auto &[Key, Value] : *Table) {
-    const std::string Word(Key.str());
-    if (std::find(Known.begin(), Known.end(), Word) != Known.end())
+    const std::string KeyName(Key.str());
+    if (std::find(Known.begin(), Known.end(), KeyName) != Known.end())
       continue;
-    const std::string Near = nearest(Word, Known);
+    const std::string Closest = closestMatch(KeyName, Known);
     Found.push_back(
         {File, Key.source().begin.line, Key.source().begin.column,
-         "unknown key '" + Word + "'" + (Name.empty() ? "" : " in " + Name),
-         Near.empty() ? "" : "did you mean '" + Near + "'?"});
+         "unknown key '" + KeyName + "'" + (Name.empty() ? "" : " in " + Name),
+         Closest.empty() ? "" : "did you mean '" + Closest + "'?"});
   }
 }
 
 toml::table parseToml(const std::string &File, const std::string &Text,
                       Findings &Found) {
-  const Findings Letters = bareLetters(File, Text);
-  if (!Letters.empty()) {
-    Found.insert(Found.end(), Letters.begin(), Letters.end());
+  const Findings Unquoted = findUnquotedNonAscii(File, Text);
+  if (!Unquoted.empty()) {
+    Found.insert(Found.end(), Unquoted.begin(), Unquoted.end());
     return {};
   }
   try {
     return toml::parse(Text, File);
-  } catch (const toml::parse_error &Problem) {
-    Found.push_back({File, Problem.source().begin.line,
-                     Problem.source().begin.column,
-                     std::string(Problem.description()), ""});
+  } catch (const toml::parse_error &Exception) {
+    Found.push_back({File, Exception.source().begin.line,
+                     Exception.source().begin.column,
+                     std::string(Exception.description()), ""});
     return {};
   }
 }
