--- a/Tests/Unit/BrokerLinkTest.cpp
+++ b/Tests/Unit/BrokerLinkTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Links to a gateway's broker that send while answers are due.
+/// Links to the broker of a gateway that send while answers are pending.
 
 #include "FakeGroup.h"
 #include "Relay/TargetBroker.h"
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr const char *GroupName = "ledger";
-/// So many gateways that this one may have one statement at work.
+/// With this many gateways, this one may execute one statement at a time.
 constexpr std::size_t ManyGateways = 6;
 constexpr std::size_t Connections = 4;
 
@@ -23,14 +23,14 @@
   return Out;
 }
 
-/// A broker before three targets of which "a" leads, and links to "a".
+/// A broker for three targets, of which "a" is the primary, and links to "a".
 struct Setup {
   Setup() {
     Broker.setShare(GroupName, Connections, ManyGateways);
     Broker.update(Group.directory());
   }
 
-  /// \p IsClosed is set once no answer will come any more.
+  /// Opens a link. \p IsClosed is set once no further answers will arrive.
   std::unique_ptr<TargetLink> open(std::vector<StatementAnswer> &Answers,
                                    bool &IsClosed) {
     return Broker.open(
@@ -50,39 +50,39 @@
 
 } // namespace
 
-TEST_CASE("A statement that waits behind the end of its transaction is refused",
+TEST_CASE("A statement queued behind the end of its transaction is refused",
           "[relay]") {
-  // Guards against a link that waits for its turn without a connection.
-  Setup On;
+  // Guards against a link that stays queued without a connection.
+  Setup Fixture;
   std::vector<StatementAnswer> Answers;
   std::vector<StatementAnswer> Others;
   bool IsClosed = false;
-  const auto Link = On.open(Answers, IsClosed);
-  const auto Other = On.open(Others, IsClosed);
+  const auto Link = Fixture.open(Answers, IsClosed);
+  const auto Other = Fixture.open(Others, IsClosed);
   Link->send(
       {{.Operation = TargetCommand::Kind::Begin, .MaxQueueTime = Millis(100)}});
-  On.Loop.runFor(Millis(50));
+  Fixture.Loop.runFor(Millis(50));
   REQUIRE(Answers.size() == 1);
   Link->send({run("end", "COMMIT")});
   Link->send({run("next", "STORE x 1")});
-  On.Loop.runFor(Millis(50));
+  Fixture.Loop.runFor(Millis(50));
   REQUIRE(Answers.size() == 3);
   CHECK_FALSE(Answers[1].Refusal);
   CHECK(Answers[2].Refusal);
-  CHECK(On.Group.run("next") == nullptr);
+  CHECK(Fixture.Group.run("next") == nullptr);
   Other->send({run("other", "STORE x 1")});
-  On.Loop.runFor(Millis(50));
+  Fixture.Loop.runFor(Millis(50));
   REQUIRE(Others.size() == 1);
   CHECK_FALSE(Others[0].Refusal);
 }
 
-TEST_CASE("Links that send in any order are answered once a command",
+TEST_CASE("Links that send in any order get one answer per command",
           "[relay][stress]") {
-  // Guards against links that wait, are answered or end in an order that a
-  // proxy with one statement a session doesn't cause.
+  // Guards against faults when links wait, are answered or end in an order that
+  // does not occur in a proxy with one statement per session.
   const auto Seed = GENERATE(range(1, 41));
   std::mt19937_64 Random(static_cast<std::uint64_t>(Seed));
-  Setup On;
+  Setup Fixture;
   struct User {
     std::vector<StatementAnswer> Answers;
     std::size_t Sent = 0;
@@ -90,12 +90,12 @@
     std::unique_ptr<TargetLink> Link;
   };
   std::vector<User> Users(8);
-  const auto Reopen = [&On](User &Each) {
+  const auto Reopen = [&Fixture](User &Each) {
     Each.Link.reset();
     Each.Answers.clear();
     Each.Sent = 0;
     Each.IsClosed = false;
-    Each.Link = On.open(Each.Answers, Each.IsClosed);
+    Each.Link = Fixture.open(Each.Answers, Each.IsClosed);
   };
   for (User &Each : Users)
     Reopen(Each);
@@ -106,32 +106,32 @@
       Reopen(Each);
     std::vector<TargetCommand> Commands;
     for (std::uint64_t Count = 1 + Random() % 3; Count > 0; --Count) {
-      TargetCommand Made;
+      TargetCommand Command;
       switch (Random() % 7) {
       case 0:
-        Made.Operation = TargetCommand::Kind::Begin;
+        Command.Operation = TargetCommand::Kind::Begin;
         break;
       case 1:
-        Made.Operation = TargetCommand::Kind::Rollback;
+        Command.Operation = TargetCommand::Kind::Rollback;
         break;
       case 2:
-        Made.Operation = TargetCommand::Kind::SetValue;
-        Made.Name = "tenant";
-        Made.Text = std::to_string(Random() % 3);
+        Command.Operation = TargetCommand::Kind::SetValue;
+        Command.Name = "tenant";
+        Command.Text = std::to_string(Random() % 3);
         break;
       case 3:
-        Made = run("s" + std::to_string(NextId++), "COMMIT");
+        Command = run("s" + std::to_string(NextId++), "COMMIT");
         break;
       default:
-        Made = run("s" + std::to_string(NextId++), "STORE x 1");
+        Command = run("s" + std::to_string(NextId++), "STORE x 1");
       }
-      Made.MaxQueueTime = Millis(static_cast<std::int64_t>(Random() % 60));
-      Made.NeedsPrevious = !Commands.empty() && Random() % 2 == 0;
-      Commands.push_back(Made);
+      Command.MaxQueueTime = Millis(static_cast<std::int64_t>(Random() % 60));
+      Command.NeedsPrevious = !Commands.empty() && Random() % 2 == 0;
+      Commands.push_back(Command);
     }
     Each.Sent += Commands.size();
     Each.Link->send(Commands);
-    FakeGroup::Server &Target = On.Group.Servers["a"];
+    FakeGroup::Server &Target = Fixture.Group.Servers["a"];
     if (Random() % 25 == 0)
       Target.AnswersToCut = 1;
     if (Random() % 25 == 0)
@@ -140,18 +140,18 @@
       Target.IsUp = !Target.IsUp;
     if (Random() % 100 == 0) {
       ++Target.BornAt;
-      On.Broker.update(On.Group.directory());
+      Fixture.Broker.update(Fixture.Group.directory());
     }
-    On.Loop.runFor(Millis(static_cast<std::int64_t>(Random() % 8)));
+    Fixture.Loop.runFor(Millis(static_cast<std::int64_t>(Random() % 8)));
   }
-  On.Group.Servers["a"].IsUp = true;
+  Fixture.Group.Servers["a"].IsUp = true;
   for (User &Each : Users)
     if (!Each.IsClosed)
       Each.Link->send({run("last", "STORE x 1")});
-  On.Loop.runFor(Millis(1000));
+  Fixture.Loop.runFor(Millis(1000));
   for (const User &Each : Users)
     if (!Each.IsClosed)
       CHECK(Each.Answers.size() == Each.Sent + 1);
   Users.clear();
-  On.Loop.clear();
+  Fixture.Loop.clear();
 }
--- a/Tests/Unit/ControlTrafficTest.cpp
+++ b/Tests/Unit/ControlTrafficTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What control costs the network as proxies and targets become more.
+/// Network traffic of control as the numbers of proxies and targets grow.
 
 #include "FakeFleet.h"
 
@@ -7,37 +7,38 @@
 
 namespace {
 
-/// Bytes of all messages between the processes so far.
-std::uint64_t bytesSent(const FakeFleet &On) {
+/// Returns the bytes of all messages sent between the processes so far.
+std::uint64_t bytesSent(const FakeFleet &Fleet) {
   std::uint64_t Out = 0;
-  for (const auto &[Kind, Seen] : On.Net.Traffic)
+  for (const auto &[Kind, Seen] : Fleet.Net.Traffic)
     Out += Seen.second;
   return Out;
 }
 
 struct ChangeTraffic {
-  std::uint64_t ByTarget = 0; ///< One target says that it leaves.
-  std::uint64_t ByProxy = 0;  ///< One proxy comes.
+  std::uint64_t ByTarget = 0; ///< One target starts to leave.
+  std::uint64_t ByProxy = 0;  ///< One proxy joins.
 };
 
-/// Bytes that a second with one change costs more than one without.
+/// Returns how many more bytes are sent in a second with one change than in a
+/// second without.
 ChangeTraffic changeTraffic(std::size_t Proxies, std::size_t Targets) {
-  FakeFleet On(7, Proxies);
+  FakeFleet Fleet(7, Proxies);
   for (std::size_t Each = 0; Each < Targets; ++Each)
-    On.Targets.Targets["t" + std::to_string(Each)].BornAt = 2000 + Each;
-  REQUIRE(On.awaitLeader());
-  REQUIRE(On.acceptPlan(1));
-  On.runWithHeartbeats(Millis(5000));
-  REQUIRE(On.allProxiesHave(1));
-  const auto Second = [&On] {
-    const std::uint64_t Before = bytesSent(On);
-    On.runWithHeartbeats(Millis(1000));
-    return bytesSent(On) - Before;
+    Fleet.Targets.Targets["t" + std::to_string(Each)].BornAt = 2000 + Each;
+  REQUIRE(Fleet.awaitLeader());
+  REQUIRE(Fleet.acceptPlan(1));
+  Fleet.runWithHeartbeats(Millis(5000));
+  REQUIRE(Fleet.allProxiesHave(1));
+  const auto Second = [&Fleet] {
+    const std::uint64_t Before = bytesSent(Fleet);
+    Fleet.runWithHeartbeats(Millis(1000));
+    return bytesSent(Fleet) - Before;
   };
   const std::uint64_t Quiet = Second();
-  On.Leaving.insert("t0");
+  Fleet.Leaving.insert("t0");
   const std::uint64_t AfterTarget = Second();
-  On.startProxy("10.0.2.1");
+  Fleet.startProxy("10.0.2.1");
   const std::uint64_t AfterProxy = Second();
   return {AfterTarget - std::min(AfterTarget, Quiet),
           AfterProxy - std::min(AfterProxy, Quiet)};
@@ -45,9 +46,11 @@
 
 } // namespace
 
-TEST_CASE("A change of one target costs the same among few and many",
-          "[steering]") {
-  // Guards against the whole list of targets to every proxy at each change.
+TEST_CASE(
+    "A change of one target costs similar traffic with few and many targets",
+    "[steering]") {
+  // Guards against sending the whole list of targets to every proxy at each
+  // change.
   const ChangeTraffic Few = changeTraffic(100, 30);
   const ChangeTraffic Many = changeTraffic(100, 1200);
   CAPTURE(Few.ByTarget, Many.ByTarget);
@@ -55,10 +58,11 @@
   CHECK(Many.ByTarget <= Few.ByTarget * 2);
 }
 
-TEST_CASE("A proxy that comes costs the others a few bytes each",
+TEST_CASE("A proxy that joins costs each other proxy a few bytes",
           "[steering]") {
-  // Guards against the whole list of proxies to every proxy at each change:
-  // what a newcomer costs grows with the proxies, not with their square.
+  // Guards against sending the whole list of proxies to every proxy at each
+  // change. The traffic for a new proxy must grow linearly with the number of
+  // proxies, not quadratically.
   const ChangeTraffic Few = changeTraffic(30, 30);
   const ChangeTraffic Many = changeTraffic(300, 30);
   CAPTURE(Few.ByProxy, Many.ByProxy);
--- a/Tests/Unit/DecoderTest.cpp
+++ b/Tests/Unit/DecoderTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Inputs that fuzzing found: each decoder answers with a clear error.
+/// Malformed inputs found by fuzzing. Each decoder must return a clear error.
 
 #include "Common/Codec.h"
 #include "Common/Compression.h"
@@ -11,9 +11,9 @@
 
 using namespace corianderdyke;
 
-TEST_CASE("A hostile length is an error", "[decoder]") {
-  // A few damaged bytes say that a list of thousands of millions follows.
-  // Memory for it would end the process; the sender gets an error instead.
+TEST_CASE("An excessive list length is an error", "[decoder]") {
+  // A few damaged bytes declare a list of billions of elements. Allocating
+  // memory for it would end the process, so the decoder returns an error.
   std::string Bytes = encode(std::string("text"));
   for (std::size_t At = 1; At <= 8; ++At)
     Bytes[At] = '\x14';
@@ -29,14 +29,15 @@
   CHECK_FALSE(decode<bool>(Bytes));
 }
 
-TEST_CASE("Letters outside quotes are findings with their place", "[decoder]") {
-  // An operator writes a key in Latvian. The TOML library's behaviour is
-  // undefined for some of these letters, so it never sees them; in quotes
-  // and comments they are welcome.
+TEST_CASE("Non-ASCII characters outside quotes are reported as findings",
+          "[decoder]") {
+  // The behaviour of the TOML library is undefined for some non-ASCII
+  // characters, such as Latvian letters in a key. They are rejected before
+  // parsing, except in quotes and comments.
   const std::string Line =
       GENERATE("version = 1 \xd1\xab\n", "\xd1\xab\n#\n",
                "version = 1 # \xc4\x81\n\xc4\x81tri = 1\n",
-               // A quote inside a broken number opens no text.
+               // A quote inside a malformed number does not open a string.
                "version = 7.\"0.210.\xcf\xbf\"\n");
   const auto Read = parseManifest("manifest.toml", Line);
   REQUIRE_FALSE(Read);
@@ -50,9 +51,10 @@
       CHECK(Each.Message != "a character outside quotes that isn't ASCII");
 }
 
-TEST_CASE("A deadline beyond all bounds is the kind's own", "[decoder]") {
-  // A caller that would wait for ever sends a span that no signed number
-  // holds. It mustn't be refused as if its deadline had passed.
+TEST_CASE("A deadline that is out of range becomes the deadline of the kind",
+          "[decoder]") {
+  // A caller without a time limit sends a duration that overflows a signed
+  // integer. It must not be refused as if its deadline had passed.
   const Manifest Current =
       *parseManifest("manifest.toml", FakeCluster::BaseManifest);
   HttpRequest Request;
@@ -66,20 +68,20 @@
   CHECK(Read->Timeout == Current.kind("lookup")->Deadline);
 }
 
-TEST_CASE("Long messages are packed, and a false length is an error",
+TEST_CASE("Long messages are compressed, and a wrong length is an error",
           "[decoder]") {
   std::string Long;
   for (int Each = 0; Each < 500; ++Each)
     Long += "route " + std::to_string(Each) + " of the same group\n";
-  const std::string Packed = compressMessage(Long);
-  CHECK(Packed.size() < Long.size() / 3);
-  CHECK(decompressMessage(Packed, Long.size()) == Long);
+  const std::string Compressed = compressMessage(Long);
+  CHECK(Compressed.size() < Long.size() / 3);
+  CHECK(decompressMessage(Compressed, Long.size()) == Long);
   CHECK(decompressMessage(compressMessage("short"), 100) ==
         std::string("short"));
-  // A length that would fill the memory, one that isn't the content's, and
-  // bytes that are no packing at all.
-  CHECK_FALSE(decompressMessage(Packed, Long.size() - 1));
-  std::string Other = Packed;
+  // A length above the limit, one that differs from the length of the content,
+  // and bytes that are not compressed data.
+  CHECK_FALSE(decompressMessage(Compressed, Long.size() - 1));
+  std::string Other = Compressed;
   Other[1] = static_cast<char>(Other[1] + 1);
   CHECK_FALSE(decompressMessage(Other, Long.size() * 2));
   CHECK_FALSE(decompressMessage("", 100));
--- a/Tests/Unit/LineProtocolTest.cpp
+++ b/Tests/Unit/LineProtocolTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The adapter's codecs: what callers and targets send in lines, and the
-/// operators' documents.
+/// The codecs of the platform adapter: the line protocol of callers and
+/// targets, and the plan documents of operators.
 
 #include "LineProtocol.h"
 #include "Plan/PlanIndex.h"
@@ -30,7 +30,8 @@
   return std::get<Statement>(*Message);
 }
 
-/// The answers that some bytes of a target hold, fed in pieces of one size.
+/// Returns the answers in \p Bytes of a target, parsed \p Piece bytes at a
+/// time.
 std::vector<StatementAnswer> answersOf(const std::string &Bytes,
                                        std::size_t Piece) {
   BufferPtr In(evbuffer_new(), evbuffer_free);
@@ -70,10 +71,9 @@
 
 } // namespace
 
-TEST_CASE("An answer that lost its outcome on the way is none",
-          "[line-protocol]") {
-  // The target ran the statement; of its answer only the state arrived. It
-  // must not pass for a success without rows.
+TEST_CASE("An answer without an outcome is an error", "[line-protocol]") {
+  // The target executed the statement, but only the state of its answer
+  // arrived. It must not count as a success without rows.
   AnswerParser Reader;
   const auto Opened = Reader.feed("READY I 1.1");
   REQUIRE(Opened);
@@ -81,7 +81,8 @@
   CHECK_FALSE(Reader.feed("READY I 1.1"));
 }
 
-TEST_CASE("Callers' statements are told apart", "[platform]") {
+TEST_CASE("The kinds of statements of callers are distinguished",
+          "[platform]") {
   CHECK(statement("QUERY 1f FETCH 1a4").Kind == StatementKind::Read);
   CHECK(statement("QUERY 1f STORE 1a4 some data").Kind == StatementKind::Write);
   CHECK(statement("QUERY 1f STORE 1a4 some data").Text ==
@@ -105,7 +106,7 @@
   CHECK(statement("QUERY 1f DEALLOC s1").Kind == StatementKind::Deallocate);
 }
 
-TEST_CASE("A statement that can't be read keeps its session", "[platform]") {
+TEST_CASE("A malformed statement does not end its session", "[platform]") {
   for (const char *Line :
        {"QUERY 1f DROP x", "QUERY 1f BEGIN STORE", "QUERY 1f EXECUTE",
         "QUERY 1f", "QUERY 1f FETCH", "QUERY 1f STATUS"}) {
@@ -114,7 +115,7 @@
   }
 }
 
-TEST_CASE("A line that is no message is an error", "[platform]") {
+TEST_CASE("A line that is not a message is an error", "[platform]") {
   for (const char *Line : {"", "HELLO", "STARTUP", "QUERY", "GET / HTTP/1.1"}) {
     CAPTURE(Line);
     CHECK_FALSE(parseCallerLine(Line));
@@ -126,7 +127,7 @@
   CHECK(std::holds_alternative<SessionEnd>(*parseCallerLine("TERMINATE")));
 }
 
-TEST_CASE("Answers are whole however they are split", "[platform]") {
+TEST_CASE("Answers are complete however they are split", "[platform]") {
   const std::string Bytes = "ROW one two\r\nROW three\r\nCOMPLETE 7.1f3\r\n"
                             "READY I 3.1209\r\n"
                             "ERROR READONLY i-7f\r\nREADY E 3.1210\r\n"
@@ -143,14 +144,15 @@
   CHECK_FALSE(Answers[2].Position);
 }
 
-TEST_CASE("An answer that lacks its end is none", "[platform]") {
+TEST_CASE("An incomplete answer is not returned", "[platform]") {
   CHECK(answersOf("ROW one\r\nCOMPLETE 7.1\r\n", 5).empty());
   AnswerParser Reader;
   CHECK(Reader.feed("COMPLETE 7.1"));
   CHECK_FALSE(Reader.feed("ROW late"));
 }
 
-TEST_CASE("A refusal code that isn't known promises nothing", "[platform]") {
+TEST_CASE("An unrecognised refusal code leaves the outcome unknown",
+          "[platform]") {
   const auto Answers = answersOf("ERROR SURPRISE x\r\nREADY I -\r\n", 100);
   REQUIRE(Answers.size() == 1);
   CHECK(Answers[0].Refusal->Code == RefusalCode::Unknown);
@@ -164,7 +166,7 @@
   CHECK_FALSE(*extractLine(Short.get()));
 }
 
-TEST_CASE("Commands to targets keep the caller's words", "[platform]") {
+TEST_CASE("Commands to targets keep the text of the caller", "[platform]") {
   using Kind = TargetCommand::Kind;
   CHECK(encodeCommand({.Operation = Kind::Run,
                        .Id = "1f",
@@ -184,7 +186,7 @@
         "STARTUP huvo mills i-7f\r\n");
 }
 
-TEST_CASE("Answers to callers are as the protocol has them", "[platform]") {
+TEST_CASE("Answers to callers follow the protocol", "[platform]") {
   StatementAnswer Answer;
   Answer.Rows = {"one"};
   Answer.Signature = "7.1f3";
@@ -196,7 +198,7 @@
   CHECK(encodeAnswer(Refused) == "ERROR BUSY full\r\nREADY E -\r\n");
 }
 
-TEST_CASE("A status tells role, term and position", "[platform]") {
+TEST_CASE("A status contains role, term and position", "[platform]") {
   StatementAnswer Answer;
   Answer.Rows = {"replica 3 3.1209 0 12 2 17"};
   CHECK(*parseStatus(Answer) == TargetStatus{false, 3, {3, 1209}});
@@ -206,21 +208,22 @@
   CHECK(parseStatus(Answer).error().Code == ErrorCode::Conflict);
 }
 
-TEST_CASE("A plan is read in full and kept as it was sent", "[platform]") {
+TEST_CASE("A plan is parsed completely and its document is kept unchanged",
+          "[platform]") {
   const auto Plan = parsePlan(PlanText);
   REQUIRE(Plan);
   CHECK(Plan->Version == 7);
   CHECK(Plan->Document == PlanText);
   CHECK(Plan->TransactionIdleTimeout == Millis(4000));
-  PlanIndex Found;
-  Found.set(*Plan);
-  REQUIRE(Found.route("lepu") != nullptr);
-  CHECK(Found.route("lepu")->Reads == Freshness::ReadYourWrites);
-  CHECK(Found.route("lepu")->MaxStaleness == Millis(2500));
-  CHECK(Found.group("huvo")->SyncReplicas == 1);
+  PlanIndex Index;
+  Index.set(*Plan);
+  REQUIRE(Index.route("lepu") != nullptr);
+  CHECK(Index.route("lepu")->Reads == Freshness::ReadYourWrites);
+  CHECK(Index.route("lepu")->MaxStaleness == Millis(2500));
+  CHECK(Index.group("huvo")->SyncReplicas == 1);
 }
 
-TEST_CASE("A plan that can't be in force is refused", "[platform]") {
+TEST_CASE("An invalid plan is rejected", "[platform]") {
   const std::string Route = PlanText.substr(
       PlanText.find("{\"name\":\"r1\""),
       PlanText.find("],\"services\"") - PlanText.find("{\"name\":\"r1\""));
--- a/Tests/Unit/LoadPatternTest.cpp
+++ b/Tests/Unit/LoadPatternTest.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// What decides under load: statements under way at a target, waits that are
-/// foreseen, openings before the first plan, and leaders
-/// that nobody told of. Each test names the load that it answers.
+/// Decisions under load: the limit of statements in flight at a target, the
+/// prediction of waits, sessions opened before the first plan, and primaries
+/// not yet announced by control. Each test describes its load.
 
 #include "FakeGroup.h"
 #include "Pipeline/StatementWindow.h"
@@ -15,30 +15,30 @@
 
 using Kind = StatementKind;
 
-/// A target with some slots and a queue before them, and proxies that each
-/// keep as many statements there as their windows allow.
-struct CrowdModel {
-  /// Runs for \p Span with \p Proxies that always have another statement; the
-  /// mean time from sending to answer over the second half.
+/// A target with a fixed number of slots and a queue, and proxies that each
+/// keep as many statements in flight as their windows allow.
+struct ContentionModel {
+  /// Runs for \p Span with \p Proxies that always have another statement.
+  /// Returns the mean time from sending to answer over the second half.
   double run(std::size_t Proxies, Millis Span, bool UsesWindow) {
     std::vector<StatementWindow> Windows(Proxies);
-    std::vector<std::size_t> UnderWay(Proxies, 0);
+    std::vector<std::size_t> InFlight(Proxies, 0);
     std::mt19937_64 Random(7);
     std::lognormal_distribution<double> Work(std::log(20), 0.6);
     std::vector<Millis> SlotFree(Slots);
     std::multimap<Millis, std::pair<std::size_t, Millis>> Answers;
     double Sum = 0;
     std::size_t Count = 0;
-    // Quiet at first: one statement at a time tells what the work takes.
+    // Without load at first, the answer times are the execution times.
     for (int Each = 0; Each < 200; ++Each)
-      for (StatementWindow &One : Windows)
-        One.recordAnswerTime(Millis(static_cast<std::int64_t>(Work(Random))),
-                             Millis(0));
+      for (StatementWindow &Window : Windows)
+        Window.recordAnswerTime(Millis(static_cast<std::int64_t>(Work(Random))),
+                                Millis(0));
     for (Millis Now = Millis(0); Now < Span; Now = Now + Millis(1)) {
       while (!Answers.empty() && Answers.begin()->first <= Now) {
         const auto [Proxy, SentAt] = Answers.begin()->second;
         Answers.erase(Answers.begin());
-        --UnderWay[Proxy];
+        --InFlight[Proxy];
         Windows[Proxy].recordAnswerTime(Now - SentAt, Now);
         if (Now > Span / 2) {
           Sum += static_cast<double>((Now - SentAt).count());
@@ -46,13 +46,13 @@
         }
       }
       for (std::size_t Proxy = 0; Proxy < Proxies; ++Proxy)
-        while (UnderWay[Proxy] < Connections &&
-               (!UsesWindow || Windows[Proxy].mayBegin(UnderWay[Proxy]))) {
+        while (InFlight[Proxy] < Connections &&
+               (!UsesWindow || Windows[Proxy].mayBegin(InFlight[Proxy]))) {
           const auto Slot = std::min_element(SlotFree.begin(), SlotFree.end());
           *Slot = std::max(*Slot, Now) +
                   Millis(static_cast<std::int64_t>(Work(Random)) + 1);
           Answers.insert({*Slot, {Proxy, Now}});
-          ++UnderWay[Proxy];
+          ++InFlight[Proxy];
         }
     }
     Served = Count;
@@ -64,7 +64,7 @@
   std::size_t Served = 0;
 };
 
-/// A proxy's pipeline as it starts, without a plan.
+/// The pipeline of a proxy that has just started, without a plan.
 struct StartedProxy {
   FakeLoop Loop;
   FakeGroup Group{Loop, {"a", "b", "c"}};
@@ -76,12 +76,14 @@
 
 } // namespace
 
-TEST_CASE("Under lasting load statements wait at the proxies, not inside",
-          "[load]") {
-  // Nine proxies always have more for a target with three slots. Without the
-  // window 36 stand inside, and each answer takes twelve times the work; with
-  // it few do, and the target serves as many.
-  CrowdModel Model;
+TEST_CASE(
+    "Under lasting load statements wait at the proxies, not at the target",
+    "[load]") {
+  // Nine proxies always have more statements for a target with three slots.
+  // Without the window, 36 are at the target, and each answer takes twelve
+  // times its execution time. With it, few are, and the throughput stays the
+  // same.
+  ContentionModel Model;
   const double Without = Model.run(9, Millis(20000), false);
   const std::size_t ServedWithout = Model.Served;
   const double With = Model.run(9, Millis(20000), true);
@@ -89,10 +91,10 @@
   CHECK(Model.Served * 100 >= ServedWithout * 97);
 }
 
-TEST_CASE("A target that is well isn't held back", "[load]") {
-  // One proxy alone before a target: its window must not cost it a slot,
-  // however different its statements are.
-  CrowdModel Model;
+TEST_CASE("The window does not limit an uncongested target", "[load]") {
+  // A single proxy uses a target. Its window must not leave a slot unused, even
+  // if execution times vary widely.
+  ContentionModel Model;
   Model.Connections = 3;
   Model.run(1, Millis(20000), false);
   const std::size_t ServedWithout = Model.Served;
@@ -100,7 +102,7 @@
   CHECK(Model.Served * 100 >= ServedWithout * 99);
 }
 
-TEST_CASE("A window opens again when the crowd has gone", "[load]") {
+TEST_CASE("A window grows again when the congestion ends", "[load]") {
   StatementWindow Window;
   for (int Each = 0; Each < 100; ++Each)
     Window.recordAnswerTime(Millis(20), Millis(20) * Each);
@@ -114,9 +116,10 @@
   CHECK(Window.mayBegin(3));
 }
 
-TEST_CASE("A wait is foreseen by the pace of the queue", "[load]") {
-  // A statement leaves every 10 ms while others wait. Behind ten of them it's
-  // 100 ms; a target that has stopped isn't taken for a fast one.
+TEST_CASE("The expected wait follows the departure rate of the queue",
+          "[load]") {
+  // A statement leaves every 10 ms while others wait, so the wait behind ten of
+  // them is 100 ms. A target that has stopped must not count as a fast one.
   WaitForecast Forecast;
   for (int Each = 0; Each < 100; ++Each)
     Forecast.recordDeparture(5, Millis(10) * Each);
@@ -125,16 +128,17 @@
   CHECK(Forecast.expectedWait(10, Now) >= Millis(90));
   CHECK(Forecast.expectedWait(10, Now) <= Millis(110));
   CHECK(Forecast.expectedWait(10, Now + Millis(2000)) >= Millis(1500));
-  // A pause without anybody waiting says nothing of the pace.
+  // A pause with an empty queue does not affect the rate.
   Forecast.recordDeparture(0, Now);
   Forecast.recordDeparture(3, Now + Millis(60000));
   CHECK(Forecast.expectedWait(10, Now + Millis(60000)) <= Millis(110));
 }
 
-TEST_CASE("Who can't be served in time is told so at once", "[load]") {
-  // The only target works on one statement at a time and forty callers come
-  // together. Those far behind are refused when they come, with when to come
-  // back; nobody who is refused had run, and the first are served.
+TEST_CASE("Statements that cannot be served in time are refused at once",
+          "[load]") {
+  // The only target executes one statement at a time, and forty callers send at
+  // the same time. Statements far back in the queue are refused on arrival with
+  // a retry delay. No refused statement is executed, and the first are served.
   FakeLoop Loop;
   FakeGroup Group(Loop, {"a"});
   Group.ExecutionTime = Millis(20);
@@ -146,9 +150,9 @@
   for (int Each = 0; Each < 40; ++Each)
     Callers.push_back(Proxy.connect("primary"));
   std::size_t Served = 0;
-  std::size_t Told = 0;
+  std::size_t RefusedEarly = 0;
   for (int Round = 0; Round < 3; ++Round) {
-    const Millis Began = Loop.now();
+    const Millis Start = Loop.now();
     for (std::size_t Each = 0; Each < Callers.size(); ++Each)
       Proxy.send(Callers[Each], Kind::Write,
                  "w" + std::to_string(Round) + "." + std::to_string(Each),
@@ -167,76 +171,78 @@
       CHECK(Answer.Refusal->Reason.find("come back after") !=
             std::string::npos);
       if (Answer.Refusal->Reason.find("too many wait") == 0)
-        ++Told;
+        ++RefusedEarly;
     }
-    CHECK(Loop.now() - Began <= Millis(400));
+    CHECK(Loop.now() - Start <= Millis(400));
   }
   CHECK(Served > 0);
-  CHECK(Told > 40);
+  CHECK(RefusedEarly > 40);
 }
 
-TEST_CASE("Who comes back after everything was down may wait longer",
-          "[load]") {
-  // All callers come back at the same moment, to proxies that have just got
-  // their plan and to targets without connections. The queue empties by itself
-  // within an objective. Refused after a quarter of that, as under lasting
-  // load, callers use up their three tries before there is anything to be had.
-  StartedProxy On;
-  On.Group.ExecutionTime = Millis(10);
+TEST_CASE("Callers that return after a full outage may wait longer", "[load]") {
+  // All callers return at the same time to proxies that have just received
+  // their plan and have no connections to targets. The queue drains within an
+  // objective. If statements were refused after a quarter of it, as under
+  // lasting load, callers would use up their three attempts before the system
+  // recovers.
+  StartedProxy Fixture;
+  Fixture.Group.ExecutionTime = Millis(10);
   std::vector<std::shared_ptr<FakeCaller>> Callers;
-  On.Pipeline.adopt(planOfThreeRoutes());
-  On.Pipeline.updateTargets(On.Group.directory());
+  Fixture.Pipeline.adopt(planOfThreeRoutes());
+  Fixture.Pipeline.updateTargets(Fixture.Group.directory());
   for (int Each = 0; Each < 40; ++Each) {
     Callers.push_back(std::make_shared<FakeCaller>());
-    Statement What;
-    What.Kind = Kind::Write;
-    What.Id = "w" + std::to_string(Each);
-    What.Text = "STORE x 1";
-    On.Pipeline.receive(On.Pipeline.open("primary", "", Callers.back()), What);
+    Statement Write;
+    Write.Kind = Kind::Write;
+    Write.Id = "w" + std::to_string(Each);
+    Write.Text = "STORE x 1";
+    Fixture.Pipeline.receive(
+        Fixture.Pipeline.open("primary", "", Callers.back()), Write);
   }
-  On.Loop.runFor(Millis(400));
+  Fixture.Loop.runFor(Millis(400));
   std::size_t Served = 0;
   for (const auto &Each : Callers) {
     REQUIRE(Each->Answers.size() == 1);
     Served += Each->last().Refusal ? 0 : 1;
   }
-  // Four connections, opened one after the other in 38 ms, 12 ms a statement
-  // and an objective of 100 ms: 26 can be. Three quarters of them must.
+  // With four connections opened one after the other in 38 ms, 12 ms a
+  // statement and an objective of 100 ms, 26 can be served. Three quarters of
+  // them must be.
   CHECK(Served >= 20);
 }
 
-TEST_CASE("Openings wait for the first plan of a process", "[load]") {
-  // All processes were down and callers come back ahead of the plan. Refused,
-  // each would have used up one of its few tries; held, they're served as
-  // soon as the plan is there. Where none comes they're told in time.
-  StartedProxy On;
+TEST_CASE("Sessions opened before the first plan wait for it", "[load]") {
+  // All processes were down, and callers return before the plan arrives. A
+  // refusal would use up one of their few attempts. Held sessions are served as
+  // soon as the plan arrives, and refused in time if none does.
+  StartedProxy Fixture;
   const auto Early = std::make_shared<FakeCaller>();
   const auto Unknown = std::make_shared<FakeCaller>();
-  On.Pipeline.open("primary", "", Early);
-  On.Pipeline.open("nothing", "", Unknown);
-  On.Loop.runFor(Millis(300));
+  Fixture.Pipeline.open("primary", "", Early);
+  Fixture.Pipeline.open("nothing", "", Unknown);
+  Fixture.Loop.runFor(Millis(300));
   CHECK_FALSE(Early->IsOpen);
   CHECK_FALSE(Early->Rejected);
-  On.Pipeline.adopt(planOfThreeRoutes());
+  Fixture.Pipeline.adopt(planOfThreeRoutes());
   CHECK(Early->IsOpen);
   REQUIRE(Unknown->Rejected);
   CHECK(Unknown->Rejected->Code == RefusalCode::NoDatabase);
 }
 
-TEST_CASE("An opening is refused in time where no plan comes", "[load]") {
-  StartedProxy On;
+TEST_CASE("Opening a session is refused in time if no plan arrives", "[load]") {
+  StartedProxy Fixture;
   const auto Caller = std::make_shared<FakeCaller>();
-  On.Pipeline.open("primary", "", Caller);
-  On.Loop.runFor(Millis(1200));
+  Fixture.Pipeline.open("primary", "", Caller);
+  Fixture.Loop.runFor(Millis(1200));
   REQUIRE(Caller->Rejected);
   CHECK(Caller->Rejected->Code == RefusalCode::Busy);
   CHECK(Caller->Rejected->Reason.find("come back after") != std::string::npos);
-  CHECK(On.Pipeline.sessions() == 0);
+  CHECK(Fixture.Pipeline.sessions() == 0);
 }
 
-TEST_CASE("Reads leave a crowded primary to writes", "[load]") {
-  // A burst of reads with two replicas and a primary whose answers take many
-  // times their work. Reads that replicas can serve go there.
+TEST_CASE("Reads avoid a congested primary", "[load]") {
+  // A burst of reads meets two replicas and a primary whose answers take many
+  // times their execution time. Reads that replicas can serve are sent there.
   FakeLoop Loop;
   FakeGroup Group(Loop, {"a", "b", "c"});
   FakePipeline Proxy(Loop, Group);
@@ -272,19 +278,20 @@
   CHECK(AtReplicas > 10);
 }
 
-TEST_CASE("Reads leave the primary beside them to writes", "[load]") {
-  // Steady load, nothing is crowded: the primary stands in the proxies' failure
-  // domain and the replicas elsewhere. Reads that went the shorter way would
-  // stand before writes, which can run nowhere else.
+TEST_CASE("Reads avoid a primary in the failure domain of the proxy",
+          "[load]") {
+  // Under steady load without congestion, the primary is in the failure domain
+  // of the proxies and the replicas are elsewhere. Reads sent to the nearest
+  // target would delay writes, which can only run at the primary.
   FakeLoop Loop;
   FakeGroup Group(Loop, {"a", "b", "c"});
   FakePipeline Proxy(Loop, Group);
   std::vector<TargetRecord> All = Group.directory().all();
   for (TargetRecord &Each : All)
     Each.FailureDomain = Each.IsPrimary ? "here" : "elsewhere";
-  TargetDirectory Known;
-  Known.merge(All, Loop.now());
-  Proxy.Pipeline.updateTargets(Known);
+  TargetDirectory Directory;
+  Directory.merge(All, Loop.now());
+  Proxy.Pipeline.updateTargets(Directory);
   const auto Writer = Proxy.connect("primary");
   REQUIRE_FALSE(Proxy.ask(Writer, Kind::Write, "w", "STORE x 1").Refusal);
   Loop.runFor(Millis(50));
@@ -297,10 +304,10 @@
     CHECK((Each.IsWrite || Each.Target != "a"));
 }
 
-TEST_CASE("A proxy that control can't reach finds the new primary", "[load]") {
-  // The primary is replaced, and no word of it comes. A transaction and a
-  // write that are sent meanwhile reach the new primary or get a promise; a
-  // moment later all of them reach it.
+TEST_CASE("A proxy that control cannot reach finds the new primary", "[load]") {
+  // The primary is replaced without a directory update. A write sent meanwhile
+  // either reaches the new primary or is refused as not executed. After 200 ms,
+  // writes reach the new primary.
   FakeLoop Loop;
   FakeGroup Group(Loop, {"a", "b", "c"});
   FakePipeline Proxy(Loop, Group);
--- a/Tests/Unit/LoopbackNetworkTest.cpp
+++ b/Tests/Unit/LoopbackNetworkTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Soaks that run at the same time, on one machine or in one CI run.
+/// Address ranges of soak tests that run at the same time on one machine.
 
 #include "LoopbackNetwork.h"
 
@@ -9,10 +9,10 @@
 
 using namespace corianderdyke;
 
-// Two soaks of one run, or of two, prefer the same addresses where their
-// process ids are alike modulo the number of ranges. The later one couldn't
-// listen and ended at once: a failed check without a fault of the product.
-TEST_CASE("Soaks that prefer the same addresses get different ones") {
+// Two soak tests prefer the same address range if their process ids are equal
+// modulo the number of ranges. Guards against the later one failing to listen,
+// which reports a failure without a fault in the product.
+TEST_CASE("Soak tests that prefer the same addresses get different ones") {
   const auto Preferred = static_cast<unsigned>(getpid());
   std::optional<LoopbackNetwork> First = LoopbackNetwork::claim(Preferred);
   const LoopbackNetwork Second =
--- a/Tests/Unit/OpenGroupTest.cpp
+++ b/Tests/Unit/OpenGroupTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A control group that forms from some seed addresses, replaces its members
-/// without an operator, and outlives full disks.
+/// A control group that forms from seed addresses, replaces its members without
+/// an operator, and survives full disks.
 
 #include "FakeControlGroup.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Of five.
+/// The number of disks, out of five, that may be lost.
 constexpr std::size_t LostDisks = 2;
 
 FakeControlGroup openGroup(int Seed, std::size_t Hosts = 5) {
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("A group forms from its seeds and takes the others in",
+TEST_CASE("A group forms from its seeds and adds the other hosts",
           "[open-group]") {
   const auto Hosts = GENERATE(1, 3, 5, 7);
   CAPTURE(Hosts);
@@ -44,15 +44,16 @@
 }
 
 TEST_CASE("A host with an emptied disk never founds a group", "[open-group]") {
-  // All seeds lose their disks and start again while the others are cut off.
-  // A second group would accept changes that the first never hears of.
+  // All seeds lose their disks and restart while they are partitioned from the
+  // other hosts. A second group would accept changes that the first group never
+  // receives.
   auto Group = openGroup(2);
   REQUIRE(Group.runUntil([&] { return hasVoters(Group, 5); }));
   for (const char *Seed : {"control-1", "control-2", "control-3"}) {
     Group.crash(Seed);
     Group.loseDisk(Seed);
   }
-  // What the former leader had sent them is gone too.
+  // Messages in flight to them arrive while they are stopped and are lost.
   Group.run(Millis(50));
   for (const char *Seed : {"control-1", "control-2", "control-3"}) {
     Group.start(Seed);
@@ -67,10 +68,10 @@
     CHECK(Group.host(Seed)->voters().empty());
 }
 
-TEST_CASE("A host that's gone for good is replaced by another",
+TEST_CASE("A host that is lost permanently is replaced by another",
           "[open-group]") {
-  // Each host in turn is replaced by an empty one of another name, until none
-  // of the first is left.
+  // Each host in turn is replaced by an empty one with another name, until none
+  // of the original hosts is left.
   auto Group = openGroup(3);
   REQUIRE(Group.runUntil([&] { return hasVoters(Group, 5); }));
   const auto First = Group.proposeDurably("kept", LostDisks);
@@ -84,7 +85,7 @@
   CHECK(isHeld(Group, First, "kept"));
 }
 
-TEST_CASE("A voter that is only cut off keeps its seat", "[open-group]") {
+TEST_CASE("A voter that is only partitioned remains a voter", "[open-group]") {
   auto Group = openGroup(4);
   REQUIRE(Group.runUntil([&] { return hasVoters(Group, 5); }));
   for (const std::string &Other : Group.Names) {
@@ -97,10 +98,10 @@
   CHECK(Group.runUntil([&] { return Group.isSettled(); }));
 }
 
-TEST_CASE("An acknowledged change outlives the disks that may be lost",
+TEST_CASE("An acknowledged change survives the loss of the tolerated disks",
           "[open-group]") {
-  // Right after the acknowledgement, at any moment of the group's forming,
-  // two hosts lose their disks, and all others lose power or don't.
+  // Immediately after the acknowledgement, at any point while the group forms,
+  // two hosts lose their disks. The others either keep running or all crash.
   const auto Seed = GENERATE(range(1, 31));
   const bool OthersToo = GENERATE(true, false);
   CAPTURE(Seed, OthersToo);
@@ -125,11 +126,11 @@
   CHECK(isHeld(Group, Index, "kept"));
 }
 
-TEST_CASE("After a loss of all power the group is led within moments",
+TEST_CASE("After a power loss of all hosts a leader is elected within 600 ms",
           "[open-group]") {
-  // Two of five disks are lost and everything starts again together. Every
-  // vote is needed; candidates that begin at one time would each lack the
-  // other's and lose most of a second, again and again.
+  // Two of five disks are lost and all hosts restart at the same time. Every
+  // vote is needed, so candidates that start simultaneously would split the
+  // vote repeatedly and lose most of a second each time.
   const auto Seed = GENERATE(range(1, 41));
   CAPTURE(Seed);
   auto Group = openGroup(Seed);
@@ -139,31 +140,32 @@
     Group.crash(Name);
   Group.loseDisk("control-2");
   Group.loseDisk("control-4");
-  // What the former leader had sent is gone too by then.
+  // Messages in flight arrive while the hosts are stopped and are lost.
   Group.run(Millis(50));
   for (const std::string &Name : Group.Names)
     Group.start(Name);
-  const Millis Began = Group.Now;
+  const Millis Start = Group.Now;
   REQUIRE(Group.runUntil([&] { return Group.leader() != nullptr; }));
-  const std::int64_t Took = (Group.Now - Began).count();
-  CHECK(Took < 600);
+  const std::int64_t ElapsedMs = (Group.Now - Start).count();
+  CHECK(ElapsedMs < 600);
 }
 
-TEST_CASE("A full disk costs no process and no promise", "[open-group]") {
-  // Disks refuse syncs for a while, at the leader and at followers, while
-  // changes go on. The group checks that nothing is promised and taken back;
-  // once there's room again every host takes part as before.
+TEST_CASE("A full disk stops no process and loses no acknowledged change",
+          "[open-group]") {
+  // Syncs fail for a while at the leader and at followers while changes are
+  // proposed. The group checks that no acknowledged change is lost. Once the
+  // disks have space again, every host takes part as before.
   const auto Seed = GENERATE(range(1, 21));
   CAPTURE(Seed);
   auto Group = openGroup(Seed);
   REQUIRE(Group.runUntil([&] { return hasVoters(Group, 5); }));
-  std::vector<std::pair<std::uint64_t, std::string>> Kept;
+  std::vector<std::pair<std::uint64_t, std::string>> Acknowledged;
   for (int Round = 0; Round < 12; ++Round) {
     const std::string &Name = Group.Names[Group.Random() % 5];
     Group.Disks[Name]->FailSyncs = true;
     const std::string Text = "change " + std::to_string(Round);
     if (const auto Index = Group.proposeDurably(Text, LostDisks))
-      Kept.emplace_back(Index, Text);
+      Acknowledged.emplace_back(Index, Text);
     Group.run(Millis(static_cast<std::int64_t>(Group.Random() % 1500)));
     Group.Disks[Name]->FailSyncs = false;
     Group.checkLogs();
@@ -171,14 +173,15 @@
   REQUIRE(Group.runUntil([&] { return Group.isSettled(); }));
   for (const std::string &Name : Group.Names)
     CHECK_FALSE(Group.host(Name)->failure());
-  CHECK(Kept.size() >= 5);
-  for (const auto &[Index, Text] : Kept)
+  CHECK(Acknowledged.size() >= 5);
+  for (const auto &[Index, Text] : Acknowledged)
     CHECK(isHeld(Group, Index, Text));
 }
 
-TEST_CASE("Random faults break no promise of an open group", "[open-group]") {
-  // Kills, lost disks, full disks, cuts and replaced hosts come one after the
-  // other and overlap; the group itself checks after every step.
+TEST_CASE("Random faults lose no acknowledged change of an open group",
+          "[open-group]") {
+  // Crashes, lost disks, full disks, partitions and replaced hosts follow one
+  // another and overlap. The group checks its invariants after every step.
   const auto Seed = GENERATE(range(1, 61));
   CAPTURE(Seed);
   auto Group = openGroup(Seed);
--- a/Tests/Unit/OrganisationTest.cpp
+++ b/Tests/Unit/OrganisationTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// For whom statements run, where the plan declares organisations and targets
-/// enforce their leadership.
+/// Isolation of organisations that the plan declares, for targets that enforce
+/// their leadership themselves.
 
 #include "Common/Codec.h"
 #include "FakeRelay.h"
@@ -14,7 +14,7 @@
 
 using Kind = StatementKind;
 
-/// One proxy before a group, under a plan of some organisations.
+/// One proxy for a group, with a plan that declares \p Names as organisations.
 struct Setup {
   explicit Setup(std::vector<std::string> Names = {"mills", "clerks"}) {
     adopt(planOfOrganisations(2, Names));
@@ -30,7 +30,7 @@
   FakePipeline Proxy{Loop, Group};
 };
 
-/// Two organisations whose keys are exchanged by the later of two plans.
+/// Returns a later plan that swaps the keys of two organisations.
 RoutePlan swappedKeys() {
   RoutePlan Out = planOfOrganisations(3, {"mills", "clerks"});
   std::swap(Out.Organisations[0].Keys, Out.Organisations[1].Keys);
@@ -46,54 +46,56 @@
 
 } // namespace
 
-TEST_CASE("A session's statements run for its key's organisation alone",
+TEST_CASE("Statements run only for the organisation of the session key",
           "[organisations]") {
-  // Guards against a connection that one organisation's session leaves to
-  // another's.
-  Setup On;
+  // Guards against reusing the connection of one organisation's session for a
+  // session of another organisation.
+  Setup Fixture;
   for (int Round = 0; Round < 20; ++Round)
     for (const char *Name : {"mills", "clerks"}) {
-      const auto Session = On.Proxy.connect("own", std::string(Name) + "-key");
+      const auto Session =
+          Fixture.Proxy.connect("own", std::string(Name) + "-key");
       const std::string Id = Name + std::to_string(Round);
       REQUIRE_FALSE(
-          On.Proxy.ask(Session, Kind::Write, Id, "STORE x 1").Refusal);
-      CHECK(On.Group.run(Id)->Organisation == Name);
+          Fixture.Proxy.ask(Session, Kind::Write, Id, "STORE x 1").Refusal);
+      CHECK(Fixture.Group.run(Id)->Organisation == Name);
       REQUIRE_FALSE(
-          On.Proxy.ask(Session, Kind::Read, Id + "r", "FETCH x").Refusal);
-      CHECK(On.Group.run(Id + "r")->Organisation == Name);
-      On.Proxy.Pipeline.handleDisconnect(Session.Id);
+          Fixture.Proxy.ask(Session, Kind::Read, Id + "r", "FETCH x").Refusal);
+      CHECK(Fixture.Group.run(Id + "r")->Organisation == Name);
+      Fixture.Proxy.Pipeline.handleDisconnect(Session.Id);
     }
 }
 
-TEST_CASE("Gateways give no organisation another one's connection",
+TEST_CASE("Gateways do not mix connections of organisations",
           "[organisations][relay]") {
-  // Guards against mixed organisations where far more of them than connections
-  // come through many proxies, with transactions that callers leave.
-  RelaySetup On(12, 10);
+  // Guards against mixing organisations when far more of them than connections
+  // use many proxies, with transactions that callers abandon.
+  RelaySetup Fixture(12, 10);
   const std::vector<std::string> All = names(30);
-  On.System.applyPlan(planOfOrganisations(2, All));
+  Fixture.System.applyPlan(planOfOrganisations(2, All));
   std::vector<FakeRelaySystem::Session> Sessions;
-  std::map<std::string, std::string> Expected; // Organisation by id.
+  std::map<std::string, std::string> Expected; // Organisation by statement id.
   for (std::size_t Each = 0; Each < 90; ++Each) {
     const std::string &Name = All[Each * 7 % All.size()];
-    const auto Session = On.System.connect(Each % 12, "own", Name + "-key");
+    const auto Session =
+        Fixture.System.connect(Each % 12, "own", Name + "-key");
     const std::string Id = "s" + std::to_string(Each);
     Expected[Id] = Name;
     if (Each % 3 == 0)
-      On.System.send(Session, Kind::Begin);
-    On.System.send(Session, Each % 2 == 0 ? Kind::Write : Kind::Read, Id,
-                   Each % 2 == 0 ? "STORE x 1" : "FETCH x");
+      Fixture.System.send(Session, Kind::Begin);
+    Fixture.System.send(Session, Each % 2 == 0 ? Kind::Write : Kind::Read, Id,
+                        Each % 2 == 0 ? "STORE x 1" : "FETCH x");
     Sessions.push_back(Session);
-    On.Loop.runFor(Millis(5));
+    Fixture.Loop.runFor(Millis(5));
     if (Each % 6 == 0)
       Session.At->Pipeline.handleDisconnect(Session.Id);
     else if (Each % 3 == 0)
-      On.System.send(Session, Kind::Commit, Id + "c");
+      Fixture.System.send(Session, Kind::Commit, Id + "c");
     Expected[Id + "c"] = Name;
   }
-  On.Loop.runFor(Millis(2000));
-  REQUIRE(On.Group.Runs.size() > 60);
-  for (const FakeExecution &Each : On.Group.Runs) {
+  Fixture.Loop.runFor(Millis(2000));
+  REQUIRE(Fixture.Group.Runs.size() > 60);
+  for (const FakeExecution &Each : Fixture.Group.Runs) {
     CAPTURE(Each.Id);
     CHECK(Each.Organisation == Expected.at(Each.Id));
   }
@@ -101,16 +103,16 @@
 
 TEST_CASE("More organisations than connections are all served",
           "[organisations][relay]") {
-  // Guards against idle connections of some organisations that keep others
-  // from ever having one.
-  RelaySetup On(12, 10);
+  // Guards against idle connections of some organisations that prevent others
+  // from getting one.
+  RelaySetup Fixture(12, 10);
   const std::vector<std::string> All = names(60);
-  On.System.applyPlan(planOfOrganisations(2, All));
+  Fixture.System.applyPlan(planOfOrganisations(2, All));
   std::size_t Served = 0;
   for (std::size_t Each = 0; Each < All.size(); ++Each) {
     const auto Session =
-        On.System.connect(Each % 12, "primary", All[Each] + "-key");
-    Served += On.System
+        Fixture.System.connect(Each % 12, "primary", All[Each] + "-key");
+    Served += Fixture.System
                       .ask(Session, Kind::Write, "w" + std::to_string(Each),
                            "STORE x 1")
                       .Refusal
@@ -120,10 +122,10 @@
   CHECK(Served == All.size());
 }
 
-TEST_CASE("An unknown key is refused, and only by who is sure",
+TEST_CASE("An unknown key is refused only by a proxy with a current plan",
           "[organisations]") {
-  // Guards against a valid key that is refused for good by a proxy whose plan
-  // is older than the key.
+  // Guards against a proxy that refuses a valid key permanently because its
+  // plan is older than the key.
   FakeLoop Loop;
   FakeGroup Group{Loop, {"a"}};
   FakeHost Host(Loop, "proxy");
@@ -145,17 +147,17 @@
 
   IsCurrent = false;
   CHECK(Open("mills-key")->IsOpen);
-  const auto Unsure = Open("clerks-key");
-  const auto Never = Open("other");
+  const auto Pending = Open("clerks-key");
+  const auto Unknown = Open("other");
   Loop.runFor(Millis(300));
-  CHECK_FALSE(Unsure->IsOpen);
-  CHECK_FALSE(Unsure->Rejected);
+  CHECK_FALSE(Pending->IsOpen);
+  CHECK_FALSE(Pending->Rejected);
   Pipeline.adopt(
       replaceKeysByDigests(planOfOrganisations(2, {"mills", "clerks"}), ""));
-  CHECK(Unsure->IsOpen);
+  CHECK(Pending->IsOpen);
   Loop.runFor(Millis(2000));
-  REQUIRE(Never->Rejected);
-  CHECK(Never->Rejected->Code == RefusalCode::Busy);
+  REQUIRE(Unknown->Rejected);
+  CHECK(Unknown->Rejected->Code == RefusalCode::Busy);
 
   const auto Late = Open("other");
   Loop.runFor(Millis(100));
@@ -165,96 +167,99 @@
   CHECK(Late->Rejected->Code == RefusalCode::Unauthorised);
 }
 
-TEST_CASE("A key that is taken away ends its sessions, in order",
-          "[organisations]") {
-  // Guards against statements that run for a key which no plan holds any more,
-  // and against cut answers of those under way.
-  Setup On;
-  const auto Idle = On.Proxy.connect("primary", "mills-key");
-  const auto Busy = On.Proxy.connect("primary", "mills-key");
-  const auto Inside = On.Proxy.connect("primary", "mills-key");
-  const auto Resting = On.Proxy.connect("primary", "mills-key");
-  const auto Other = On.Proxy.connect("primary", "clerks-key");
-  for (const auto &Each : {Inside, Resting}) {
-    On.Proxy.ask(Each, Kind::Begin);
+TEST_CASE("Removing a key ends its sessions gracefully", "[organisations]") {
+  // Guards against executing statements for a key that was removed from the
+  // plan, and against losing the answers of statements in flight.
+  Setup Fixture;
+  const auto Idle = Fixture.Proxy.connect("primary", "mills-key");
+  const auto Busy = Fixture.Proxy.connect("primary", "mills-key");
+  const auto InTransaction = Fixture.Proxy.connect("primary", "mills-key");
+  const auto IdleInTransaction = Fixture.Proxy.connect("primary", "mills-key");
+  const auto Other = Fixture.Proxy.connect("primary", "clerks-key");
+  for (const auto &Each : {InTransaction, IdleInTransaction}) {
+    Fixture.Proxy.ask(Each, Kind::Begin);
     REQUIRE_FALSE(
-        On.Proxy
+        Fixture.Proxy
             .ask(Each, Kind::Write, "t" + std::to_string(Each.Id), "STORE x 1")
             .Refusal);
   }
-  On.Proxy.send(Busy, Kind::Write, "busy", "STORE x 1");
-  On.Loop.runFor(Millis(2));
-  On.adopt(planOfOrganisations(3, {"clerks"}));
+  Fixture.Proxy.send(Busy, Kind::Write, "busy", "STORE x 1");
+  Fixture.Loop.runFor(Millis(2));
+  Fixture.adopt(planOfOrganisations(3, {"clerks"}));
 
   CHECK(Idle.Caller->IsClosed);
   CHECK_FALSE(Busy.Caller->IsClosed);
   CHECK_FALSE(Other.Caller->IsClosed);
-  On.Loop.runFor(Millis(200));
+  Fixture.Loop.runFor(Millis(200));
   REQUIRE(Busy.Caller->Answers.size() == 1);
   CHECK_FALSE(Busy.Caller->last().Refusal);
   CHECK(Busy.Caller->IsClosed);
-  // A transaction may end, and its session ends with it.
-  CHECK_FALSE(On.Proxy.ask(Inside, Kind::Commit, "commit").Refusal);
-  CHECK(Inside.Caller->IsClosed);
-  // One that rests for longer is ended.
-  On.Loop.runFor(Millis(1500));
+  // An open transaction may commit, and its session ends with it.
+  CHECK_FALSE(Fixture.Proxy.ask(InTransaction, Kind::Commit, "commit").Refusal);
+  CHECK(InTransaction.Caller->IsClosed);
+  // A transaction that stays idle is ended.
+  Fixture.Loop.runFor(Millis(1500));
   const StatementAnswer Late =
-      On.Proxy.ask(Resting, Kind::Write, "late", "STORE x 1");
+      Fixture.Proxy.ask(IdleInTransaction, Kind::Write, "late", "STORE x 1");
   REQUIRE(Late.Refusal);
   CHECK(Late.Refusal->Code == RefusalCode::Aborted);
-  CHECK(On.Group.runs("late") == 0);
-  On.Proxy.send(Resting, Kind::Rollback);
-  CHECK(Resting.Caller->IsClosed);
-  CHECK_FALSE(On.Proxy.ask(Other, Kind::Write, "other", "STORE x 1").Refusal);
+  CHECK(Fixture.Group.runs("late") == 0);
+  Fixture.Proxy.send(IdleInTransaction, Kind::Rollback);
+  CHECK(IdleInTransaction.Caller->IsClosed);
+  CHECK_FALSE(
+      Fixture.Proxy.ask(Other, Kind::Write, "other", "STORE x 1").Refusal);
 }
 
-TEST_CASE("Statements sent ahead don't run once the key is gone",
+TEST_CASE("Queued statements do not run once the key is removed",
           "[organisations]") {
-  // Guards against a queue of statements that outlives its session's key.
-  Setup On;
-  const auto Session = On.Proxy.connect("primary", "mills-key");
+  // Guards against executing queued statements of a session without a key.
+  Setup Fixture;
+  const auto Session = Fixture.Proxy.connect("primary", "mills-key");
   for (int Each = 0; Each < 5; ++Each)
-    On.Proxy.send(Session, Kind::Write, "w" + std::to_string(Each),
-                  "STORE x 1");
-  On.Loop.runFor(Millis(2));
-  On.adopt(planOfOrganisations(3, {"clerks"}));
-  On.Loop.runFor(Millis(500));
-  CHECK(On.Group.runs("w1") == 0);
+    Fixture.Proxy.send(Session, Kind::Write, "w" + std::to_string(Each),
+                       "STORE x 1");
+  Fixture.Loop.runFor(Millis(2));
+  Fixture.adopt(planOfOrganisations(3, {"clerks"}));
+  Fixture.Loop.runFor(Millis(500));
+  CHECK(Fixture.Group.runs("w1") == 0);
   REQUIRE(Session.Caller->Rejected);
   CHECK(Session.Caller->Rejected->Code == RefusalCode::Unauthorised);
 }
 
-TEST_CASE("A key that moves to another organisation takes its callers along",
+TEST_CASE("A key that moves to another organisation ends its sessions",
           "[organisations]") {
-  // Guards against a session that runs on for the former holder of its key.
-  Setup On;
-  const auto Before = On.Proxy.connect("primary", "mills-key");
+  // Guards against a session that continues for the former owner of its key.
+  Setup Fixture;
+  const auto Before = Fixture.Proxy.connect("primary", "mills-key");
   REQUIRE_FALSE(
-      On.Proxy.ask(Before, Kind::Write, "before", "STORE x 1").Refusal);
-  On.adopt(swappedKeys());
+      Fixture.Proxy.ask(Before, Kind::Write, "before", "STORE x 1").Refusal);
+  Fixture.adopt(swappedKeys());
   CHECK(Before.Caller->IsClosed);
-  const auto After = On.Proxy.connect("primary", "mills-key");
-  REQUIRE_FALSE(On.Proxy.ask(After, Kind::Write, "after", "STORE x 1").Refusal);
-  CHECK(On.Group.run("before")->Organisation == "mills");
-  CHECK(On.Group.run("after")->Organisation == "clerks");
+  const auto After = Fixture.Proxy.connect("primary", "mills-key");
+  REQUIRE_FALSE(
+      Fixture.Proxy.ask(After, Kind::Write, "after", "STORE x 1").Refusal);
+  CHECK(Fixture.Group.run("before")->Organisation == "mills");
+  CHECK(Fixture.Group.run("after")->Organisation == "clerks");
 }
 
-TEST_CASE("A public route needs no key and runs for nobody's organisation",
+TEST_CASE("A public route needs no key and uses the public organisation",
           "[organisations]") {
-  // Guards against callers without a key on some organisation's connection.
-  RelaySetup On(12, 10);
+  // Guards against callers without a key on the connection of an organisation.
+  RelaySetup Fixture(12, 10);
   RoutePlan Plan = planOfOrganisations(2, {"mills"});
   Plan.Routes.front().IsPublic = true;
-  On.System.applyPlan(Plan);
-  const auto Known = On.System.connect(0, "own", "mills-key");
-  REQUIRE_FALSE(On.System.ask(Known, Kind::Write, "w", "STORE x 1").Refusal);
-  const auto Anyone = On.System.connect(0, "primary");
-  REQUIRE_FALSE(On.System.ask(Anyone, Kind::Write, "p", "STORE x 1").Refusal);
-  CHECK(On.Group.run("w")->Organisation == "mills");
-  CHECK(On.Group.run("p")->Organisation == PublicOrganisation);
+  Fixture.System.applyPlan(Plan);
+  const auto Known = Fixture.System.connect(0, "own", "mills-key");
+  REQUIRE_FALSE(
+      Fixture.System.ask(Known, Kind::Write, "w", "STORE x 1").Refusal);
+  const auto Anyone = Fixture.System.connect(0, "primary");
+  REQUIRE_FALSE(
+      Fixture.System.ask(Anyone, Kind::Write, "p", "STORE x 1").Refusal);
+  CHECK(Fixture.Group.run("w")->Organisation == "mills");
+  CHECK(Fixture.Group.run("p")->Organisation == PublicOrganisation);
 }
 
-TEST_CASE("Proxies are told no key", "[organisations]") {
+TEST_CASE("Proxies receive no keys", "[organisations]") {
   // Guards against keys in frames between processes.
   RoutePlan Plan = planOfOrganisations(1, {"mills"});
   Plan.Document = R"({"api_keys": ["mills-key"]})";
@@ -263,7 +268,7 @@
         std::string::npos);
 }
 
-TEST_CASE("Organisations of a plan are checked together", "[organisations]") {
+TEST_CASE("Organisations of a plan are validated together", "[organisations]") {
   RoutePlan Plan = planOfOrganisations(1, {"mills", "mills", "clerks", ""});
   Plan.Organisations[2].Keys = {"mills-key", "two words"};
   Plan.Organisations[2].Limit = Quota{-1, 5};
@@ -274,7 +279,7 @@
   CHECK(validationErrors(planOfOrganisations(1, {"mills", "clerks"})).empty());
 }
 
-TEST_CASE("The operators' document names organisations and their quotas",
+TEST_CASE("The plan document declares organisations and their quotas",
           "[platform][organisations]") {
   const auto Plan = platform::parsePlan(R"({"version": 3, "routes": [],
     "services": [], "tenants": [
--- a/Tests/Unit/PassingTimeTest.cpp
+++ b/Tests/Unit/PassingTimeTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Decisions of a process that loses the processor while it makes them.
+/// Decisions of a process that is descheduled while it makes them.
 
 #include "FakeFleet.h"
 #include "FakeGroup.h"
@@ -12,11 +12,12 @@
 
 using Kind = StatementKind;
 
-/// Longer than what was seen of a replica's position is believed.
+/// Longer than the time for which an observed replica position is valid.
 constexpr int LongestAge = 160;
 
-/// Sends a read \p Age after the replica "c" refused one for its lag, while the
-/// other replica is at work, and lets time pass at each reading of the clock.
+/// Sends a read \p Age after the replica "c" refused one because it lagged,
+/// while the other replica is busy, and lets time pass at each clock read.
+/// Returns the number of answers that the session received.
 std::size_t answersToReadAfterLag(Millis Age) {
   FakeLoop Loop;
   FakeGroup Group(Loop, {"a", "b", "c"});
@@ -27,7 +28,7 @@
   Group.Servers["c"].IsReplicating = false;
   Proxy.ask(Writer, Kind::Write, "w1", "STORE x 1");
   Proxy.ask(Writer, Kind::Write, "w2", "STORE x 2");
-  // One at each replica; "c" refuses its own.
+  // Each replica gets one read, and "c" refuses its read.
   Proxy.send(First, Kind::Read, "r1", "FETCH x");
   Proxy.send(Second, Kind::Read, "r2", "FETCH x");
   Loop.runFor(Age);
@@ -44,40 +45,39 @@
 
 } // namespace
 
-TEST_CASE("Targets are ranked by one moment though time passes meanwhile",
-          "[pipeline][time]") {
-  // Guards against an order that changes while it's sorted: the sort then reads
+TEST_CASE("Targets are ranked by a single clock reading", "[pipeline][time]") {
+  // Guards against an ordering that changes during the sort, which then reads
   // before the first target.
   for (int Age = 1; Age < LongestAge; ++Age)
     CHECK(answersToReadAfterLag(Millis(Age)) == 2);
 }
 
-TEST_CASE("Control hosts and proxies lose the processor and agree all the same",
+TEST_CASE("Control hosts and proxies agree although they are descheduled",
           "[steering][time]") {
-  // Guards against decisions of control, and of proxies on what control says,
-  // that read the clock more than once.
+  // Guards against decisions that read the clock more than once, in control
+  // hosts and in proxies that apply updates from control.
   const auto Seed = GENERATE(range(1, 9));
   CAPTURE(Seed);
   ReadyFleet Setup(static_cast<std::uint64_t>(Seed));
-  FakeFleet &On = Setup.Fleet;
-  const auto AtReading = randomPauses(static_cast<std::uint64_t>(Seed), 400);
-  for (auto &[Name, Each] : On.Controls)
-    Each.Host->OnClockRead = AtReading;
-  for (auto &[Name, Each] : On.Proxies)
-    Each.Host->OnClockRead = AtReading;
-  On.runWithHeartbeats(Millis(1000));
-  REQUIRE(On.awaitLeader());
-  REQUIRE(On.acceptPlan(2));
-  On.Targets.Targets["a"].IsUp = false;
+  FakeFleet &Fleet = Setup.Fleet;
+  const auto OnRead = randomPauses(static_cast<std::uint64_t>(Seed), 400);
+  for (auto &[Name, Each] : Fleet.Controls)
+    Each.Host->OnClockRead = OnRead;
+  for (auto &[Name, Each] : Fleet.Proxies)
+    Each.Host->OnClockRead = OnRead;
+  Fleet.runWithHeartbeats(Millis(1000));
+  REQUIRE(Fleet.awaitLeader());
+  REQUIRE(Fleet.acceptPlan(2));
+  Fleet.Targets.Targets["a"].IsUp = false;
   for (int Round = 0; Round < 10; ++Round) {
-    On.reportFailure("a", On.Proxies.size());
-    On.runWithHeartbeats(Millis(400));
+    Fleet.reportFailure("a", Fleet.Proxies.size());
+    Fleet.runWithHeartbeats(Millis(400));
   }
-  CHECK_FALSE(On.Targets.Targets["a"].IsPrimary);
-  On.killControl(On.leader()->leader());
-  CHECK(On.Loop.runUntilTrue([&] { return On.leader() != nullptr; },
-                             Millis(10000)));
-  REQUIRE(On.acceptPlan(3));
-  On.runWithHeartbeats(Millis(2000));
-  CHECK(On.allProxiesHave(3));
+  CHECK_FALSE(Fleet.Targets.Targets["a"].IsPrimary);
+  Fleet.killControl(Fleet.leader()->leader());
+  CHECK(Fleet.Loop.runUntilTrue([&] { return Fleet.leader() != nullptr; },
+                                Millis(10000)));
+  REQUIRE(Fleet.acceptPlan(3));
+  Fleet.runWithHeartbeats(Millis(2000));
+  CHECK(Fleet.allProxiesHave(3));
 }
--- a/Tests/Unit/PlatformSocketTest.cpp
+++ b/Tests/Unit/PlatformSocketTest.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// The adapter on real sockets on loopback: callers' sessions through the
-/// pipeline to stand-ins of the platform's targets, heartbeats and plans over
-/// HTTP. Each test waits for a condition; the bound only ends a hopeless one.
+/// The platform adapter on loopback sockets: sessions of callers through the
+/// pipeline to simulated targets, heartbeats and plans over HTTP. Each test
+/// waits for a condition, with a timeout that only ends a failed test.
 
 #include "Common/SystemClock.h"
 #include "DirectoryService.h"
@@ -31,11 +31,11 @@
 
 namespace {
 
-constexpr Millis Hopeless(10000);
+constexpr Millis ConditionTimeout(10000);
 
 bool runUntil(EventLoop &Loop, const std::function<bool()> &Condition) {
   const SystemClock Time;
-  const Millis Last = Time.now() + Hopeless;
+  const Millis Last = Time.now() + ConditionTimeout;
   while (!Condition() && Time.now() < Last) {
     Loop.after(Millis(1), [&Loop] { Loop.stop(); });
     Loop.run();
@@ -43,7 +43,7 @@
   return Condition();
 }
 
-/// A port that nothing listens on at the moment.
+/// Returns an endpoint on which no process listens at the moment.
 Endpoint freePort() {
   const int Socket = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in At = socketAddress({"127.0.0.1", 0});
@@ -54,7 +54,7 @@
   return {"127.0.0.1", ntohs(At.sin_port)};
 }
 
-/// A caller that sends bytes as it likes.
+/// A caller that sends arbitrary bytes.
 class RawCaller {
 public:
   RawCaller(EventLoop &Loop, const Endpoint &To) : Loop(Loop) {
@@ -79,7 +79,7 @@
     bufferevent_write(Buffer, Bytes.data(), Bytes.size());
   }
 
-  /// What came so far once it ends with \p End.
+  /// Waits until the received bytes end with \p End and returns them.
   std::string receive(const std::string &End) {
     std::string Out;
     runUntil(Loop, [&] {
@@ -102,7 +102,7 @@
   bufferevent *Buffer;
 };
 
-/// A proxy's edge before two stand-ins.
+/// The listener and pipeline of a proxy with two simulated targets.
 struct SocketSetup {
   SocketSetup()
       : First(Loop, "ledger", "i-1", true),
@@ -113,20 +113,21 @@
     REQUIRE(Opened);
     Listener = std::move(*Opened);
     Pipeline.adopt(planOfThreeRoutes());
-    learn(First, "i-1", true);
-    learn(Second, "i-2", false);
+    updateTarget(First, "i-1", true);
+    updateTarget(Second, "i-2", false);
   }
 
-  void learn(const LineTarget &Of, const std::string &Id, bool IsPrimary) {
-    TargetRecord Said;
-    Said.Id = Id;
-    Said.Group = "ledger";
-    Said.Address = Of.endpoint();
-    Said.FailureDomain = "here";
-    Said.Sequence = ++Sequence;
-    Said.IsPrimary = IsPrimary;
-    Known.applyHeartbeat(Said, Time.now());
-    Pipeline.updateTargets(Known);
+  void updateTarget(const LineTarget &Server, const std::string &Id,
+                    bool IsPrimary) {
+    TargetRecord Record;
+    Record.Id = Id;
+    Record.Group = "ledger";
+    Record.Address = Server.endpoint();
+    Record.FailureDomain = "here";
+    Record.Sequence = ++Sequence;
+    Record.IsPrimary = IsPrimary;
+    Directory.applyHeartbeat(Record, Time.now());
+    Pipeline.updateTargets(Directory);
   }
 
   SystemClock Time;
@@ -138,7 +139,7 @@
   SessionPipeline Pipeline;
   Endpoint At;
   std::unique_ptr<CallerListener> Listener;
-  TargetDirectory Known;
+  TargetDirectory Directory;
   std::uint64_t Sequence = 0;
 };
 
@@ -146,9 +147,9 @@
 
 TEST_CASE("A session runs through real sockets, split at any byte",
           "[platform-socket]") {
-  SocketSetup On;
-  On.First.PieceBytes = 1;
-  RawCaller Caller(On.Loop, On.At);
+  SocketSetup Fixture;
+  Fixture.First.PieceBytes = 1;
+  RawCaller Caller(Fixture.Loop, Fixture.At);
   for (const char Each : std::string("STARTUP primary me\r\n"))
     Caller.send(std::string(1, Each));
   CHECK(Caller.receive("\r\n") == "READY I -\r\n");
@@ -165,19 +166,21 @@
   Caller.send("QUERY t3 COMMIT\r\n");
   CHECK(Caller.receive("READY I 1.3\r\n").find("COMPLETE proof") == 0);
   Caller.send("TERMINATE\r\n");
-  CHECK(runUntil(On.Loop, [&] { return On.Pipeline.hasNoSessions(); }));
+  CHECK(
+      runUntil(Fixture.Loop, [&] { return Fixture.Pipeline.hasNoSessions(); }));
 }
 
-TEST_CASE("Garbage costs its own connection alone", "[platform-socket]") {
-  SocketSetup On;
-  RawCaller Good(On.Loop, On.At);
+TEST_CASE("Malformed input closes only its own connection",
+          "[platform-socket]") {
+  SocketSetup Fixture;
+  RawCaller Good(Fixture.Loop, Fixture.At);
   Good.send("STARTUP primary me\r\n");
   REQUIRE(Good.receive("\r\n") == "READY I -\r\n");
   for (const std::string &Garbage :
        {std::string("GET / HTTP/1.1\r\n\r\n"), std::string("\r\n"),
         std::string("QUERY r1 FETCH x\r\n"),
         std::string(MaxMessageBytes + 10, 'x')}) {
-    RawCaller Bad(On.Loop, On.At);
+    RawCaller Bad(Fixture.Loop, Fixture.At);
     Bad.send(Garbage);
     CHECK(Bad.receive("never").find("ERROR MALFORMED") == 0);
     CHECK(Bad.IsClosed);
@@ -186,35 +189,35 @@
   CHECK(Good.receive("READY I 1.1\r\n").find("ROW") == 0);
 }
 
-TEST_CASE("Unknown names are told and closed", "[platform-socket]") {
-  SocketSetup On;
-  RawCaller Caller(On.Loop, On.At);
+TEST_CASE("An unknown database is refused and the connection closed",
+          "[platform-socket]") {
+  SocketSetup Fixture;
+  RawCaller Caller(Fixture.Loop, Fixture.At);
   Caller.send("STARTUP nothing me\r\n");
   CHECK(Caller.receive("never").find("ERROR NODB") == 0);
   CHECK(Caller.IsClosed);
 }
 
-TEST_CASE("Another server at a target's address gets no statement",
+TEST_CASE("Another server at the address of a target gets no statement",
           "[platform-socket]") {
-  // The address was given to another life, which refuses the expected id.
-  SocketSetup On;
-  On.learn(On.Second, "i-9", true);
-  RawCaller Caller(On.Loop, On.At);
+  // The address belongs to another server now, which refuses the expected id.
+  SocketSetup Fixture;
+  Fixture.updateTarget(Fixture.Second, "i-9", true);
+  RawCaller Caller(Fixture.Loop, Fixture.At);
   Caller.send("STARTUP primary me\r\n");
   Caller.receive("\r\n");
   Caller.send("QUERY w1 STORE x 1\r\n");
   CHECK(Caller.receive("READY I -\r\n").find("ERROR BUSY") == 0);
-  for (const std::string &Line : On.Second.Received)
+  for (const std::string &Line : Fixture.Second.Received)
     CHECK(Line.find("STORE") == std::string::npos);
 }
 
-TEST_CASE("A loop that ends runs what was put off by what was put off",
+TEST_CASE("An event loop runs nested deferred calls before it ends",
           "[platform-socket]") {
-  // A question to a target has just been answered when its process stops. The
-  // loop's last work lets go of the question's link, and the link puts off the
-  // end of its socket, which must come while the loop is still there: freed
-  // after it, the socket's buffer wrote into memory that was gone, and one
-  // process in ten ended by a signal.
+  // A command to a target is answered just before the process stops. The last
+  // deferred call of the loop releases the link, which defers closing its
+  // socket. Guards against closing it after the loop is destroyed: its buffer
+  // then writes to freed memory, which ends one process in ten by a signal.
   std::vector<int> Ran;
   {
     EventLoop Loop;
@@ -229,16 +232,17 @@
   CHECK(Ran == std::vector<int>{1, 2, 3});
 }
 
-TEST_CASE("Targets are asked and ordered over their own connections",
+TEST_CASE("Status requests and orders use separate connections to targets",
           "[platform-socket]") {
-  SocketSetup On;
-  LineTargetCommandPort Orders(On.Loop, On.Targets);
+  SocketSetup Fixture;
+  LineTargetCommandPort Orders(Fixture.Loop, Fixture.Targets);
   std::optional<Expected<TargetStatus>> Answer;
-  const auto Ask = [&](const std::string &Id, TargetCommand::Kind What) {
+  const auto Ask = [&](const std::string &Id, TargetCommand::Kind Operation) {
     Answer.reset();
-    Orders.send({"ledger", Id, On.First.endpoint()}, What, 2, Millis(2000),
-                [&](const Expected<TargetStatus> &Got) { Answer = Got; });
-    REQUIRE(runUntil(On.Loop, [&] { return Answer.has_value(); }));
+    Orders.send({"ledger", Id, Fixture.First.endpoint()}, Operation, 2,
+                Millis(2000),
+                [&](const Expected<TargetStatus> &Result) { Answer = Result; });
+    REQUIRE(runUntil(Fixture.Loop, [&] { return Answer.has_value(); }));
   };
   Ask("i-1", TargetCommand::Kind::Status);
   CHECK(**Answer == TargetStatus{true, 1, {1, 1}});
@@ -248,10 +252,10 @@
   CHECK_FALSE(*Answer);
 }
 
-TEST_CASE("A stream that isn't read is given up, and opened anew",
+TEST_CASE("A stream whose peer does not read is closed and reopened",
           "[platform-socket]") {
-  // A peer accepts a connection and then reads nothing, as behind a cut. The
-  // messages of later seconds must not wait behind those that it holds up.
+  // A peer accepts a connection and then reads nothing, as behind a partition.
+  // Later messages must not wait behind the blocked ones.
   EventLoop Loop;
   const SystemClock Time;
   const int Silent = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -267,7 +271,7 @@
   REQUIRE(Opened);
   std::mt19937 Random(1);
   const auto Send = [&] {
-    // Random bytes, since long messages are packed.
+    // Random bytes, because long messages are compressed.
     RoutePlan Plan;
     Plan.Version = 1;
     for (int Each = 0; Each < 400000; ++Each)
@@ -275,8 +279,8 @@
     (*Opened)->send(Peer, Delivery::Stream, PlanUpdate{Plan});
   };
   std::size_t Accepted = 0;
-  const Millis Began = Time.now();
-  Millis LastSent = Began - Millis(1000);
+  const Millis Start = Time.now();
+  Millis LastSent = Start - Millis(1000);
   std::vector<int> Held;
   REQUIRE(::fcntl(Silent, F_SETFL, O_NONBLOCK) == 0);
   CHECK(runUntil(Loop, [&] {
@@ -296,18 +300,18 @@
   ::close(Silent);
 }
 
-TEST_CASE("A stream that was asked for while its peer was down begins anew",
+TEST_CASE("A stream opened while its peer was down is reopened",
           "[platform-socket]") {
-  // Hosts come back one by one. The first asks one that is still down to
-  // connect, and the kernel asks again only after a second. The other starts
-  // and speaks meanwhile: what waits for it must arrive at once, since it may
-  // be the vote that its group lacks.
+  // Hosts restart one by one. The first connects to one that is still down, and
+  // the kernel retries only after a second. The other starts and sends a
+  // message meanwhile. Queued messages must then reach it at once, because one
+  // may be the vote that its group needs.
   EventLoop Loop;
   const SystemClock Time;
   const Endpoint Peer = freePort();
   const sockaddr_in At = socketAddress(Peer);
   const auto *Raw = reinterpret_cast<const sockaddr *>(&At);
-  // A queue that's full lets no connection through, as a host without power.
+  // A full accept queue admits no connection, like a host without power.
   const int Full = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int Reuse = 1;
   setsockopt(Full, SOL_SOCKET, SO_REUSEADDR, &Reuse, sizeof(Reuse));
@@ -317,7 +321,7 @@
   for (int Each = 0; Each < 4; ++Each) {
     Fillers.push_back(
         ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    // Some are let in and some hang; both are meant.
+    // Some of them connect and some hang, and both are expected.
     static_cast<void>(::connect(Fillers.back(), Raw, sizeof(At)));
   }
   const std::string Key = "a key for the test";
@@ -334,14 +338,14 @@
   auto Second = SocketTransport::listen(Loop, Peer, "two", Key);
   REQUIRE(Second);
   bool Arrived = false;
-  (*Second)->signalReceived().connect([&Arrived](const Envelope &Got) {
-    const auto *Body = std::get_if<SubscribeRedirect>(&Got.Body);
+  (*Second)->signalReceived().connect([&Arrived](const Envelope &Result) {
+    const auto *Body = std::get_if<SubscribeRedirect>(&Result.Body);
     Arrived = Arrived || (Body != nullptr && Body->Leader == "waits");
   });
-  const Millis Began = Time.now();
+  const Millis Start = Time.now();
   (*Second)->send(Own, Delivery::Datagram, SubscribeRedirect{"back"});
   CHECK(runUntil(Loop, [&Arrived] { return Arrived; }));
-  CHECK(Time.now() - Began < Millis(400));
+  CHECK(Time.now() - Start < Millis(400));
 }
 
 TEST_CASE("Heartbeats and plans reach a control host over HTTP",
@@ -381,8 +385,8 @@
     Request.Path = Path;
     Request.Body = Body;
     Connection->request(Request, Millis(5000),
-                        [&](const Expected<HttpResponse> &Got) {
-                          Answer = Got.value_or(HttpResponse{0, {}, ""});
+                        [&](const Expected<HttpResponse> &Result) {
+                          Answer = Result.value_or(HttpResponse{0, {}, ""});
                         });
     runUntil(Loop, [&] { return Answer.has_value(); });
     return Answer.value_or(HttpResponse{0, {}, ""});
@@ -403,28 +407,28 @@
             .Status == 200);
   CHECK(Node.directory().primaryOf("ledger")->Id == "i-1");
   CHECK(Node.directory().find("i-1")->Incarnation == 900);
-  // Other writers' heartbeats, for the same id: they name no target and leave
-  // the one that's known alone.
+  // Invalid heartbeats for the same id are rejected and do not change the known
+  // target.
   const auto Whole = nlohmann::json::parse(
       R"({"service":"ledger","address":"127.0.0.1:1","zone":"here",)"
       R"("version":"v1","capacity":2,"cold_remaining_ms":0,)"
       R"("state":"ready","db_role":"replica","sequence":9,"born":901})");
-  const auto Tell = [&](const nlohmann::json &Body) {
+  const auto SendHeartbeat = [&](const nlohmann::json &Body) {
     return Call(HttpMethod::Post, "/-/Instances.Heartbeat/i-1", Body.dump())
         .Status;
   };
   for (const auto &Field : Whole.items()) {
     nlohmann::json Lacking = Whole;
     Lacking.erase(Field.key());
-    // A target may leave its start out, and then it's the life before.
+    // "born" is optional and defaults to incarnation 0.
     if (Field.key() != "born")
-      CHECK(Tell(Lacking) == 400);
+      CHECK(SendHeartbeat(Lacking) == 400);
     for (const nlohmann::json &Other :
          {nlohmann::json(nullptr), nlohmann::json::array({1}),
           nlohmann::json(true), nlohmann::json::object()}) {
       nlohmann::json Wrong = Whole;
       Wrong[Field.key()] = Other;
-      CHECK(Tell(Wrong) == 400);
+      CHECK(SendHeartbeat(Wrong) == 400);
     }
   }
   for (const auto &[Name, Value] :
@@ -441,14 +445,14 @@
     nlohmann::json Wrong = Whole;
     Wrong[Name] = Value;
     CAPTURE(Name);
-    CHECK(Tell(Wrong) == 400);
+    CHECK(SendHeartbeat(Wrong) == 400);
   }
   CHECK(Call(HttpMethod::Post, "/-/Instances.Heartbeat/i-1",
              std::string("\xff\x00{", 3))
             .Status == 400);
   CHECK(Node.directory().primaryOf("ledger")->Id == "i-1");
   CHECK(Node.directory().find("i-1")->Incarnation == 900);
-  CHECK(Tell(Whole) == 200);
+  CHECK(SendHeartbeat(Whole) == 200);
   CHECK(Node.directory().find("i-1")->Incarnation == 901);
   CHECK(Call(HttpMethod::Post, "/-/Instances.Heartbeat/i-2", "{}").Status ==
         400);
@@ -463,8 +467,9 @@
   CHECK(Call(HttpMethod::Get, "/elsewhere", "").Status == 404);
 }
 
-TEST_CASE("Frames between proxies arrive whole, in order, both ways",
-          "[relay-socket]") {
+TEST_CASE(
+    "Frames between proxies arrive complete and in order in both directions",
+    "[relay-socket]") {
   EventLoop Loop;
   const Endpoint At = freePort();
   const std::string Key = "a key for the peers";
@@ -496,7 +501,8 @@
   CHECK(runUntil(Loop, [&] { return IsClosed; }));
 }
 
-TEST_CASE("Streams with another key, or to nobody, close", "[relay-socket]") {
+TEST_CASE("Streams with another key or without a listener close",
+          "[relay-socket]") {
   EventLoop Loop;
   const Endpoint At = freePort();
   auto Host = SocketPeerStreams::listen(Loop, At, "a key for the peers");
@@ -526,24 +532,24 @@
   CHECK(runUntil(Loop, [&] { return Refused == 2; }));
 }
 
-TEST_CASE("A caller that ends while its proxy stops harms nobody",
+TEST_CASE("A caller may disconnect while its proxy stops",
           "[platform-socket]") {
-  // The end of a caller's connection was noticed in the loop's last pass, and
-  // what it held was to be given back in the next. The process destroyed its
-  // pipeline first, and the loop's own end then ran into what was gone.
-  bool WasPutOff = false;
-  for (int Passes = 0; Passes < 12; ++Passes) {
-    SocketSetup On;
+  // The loop detects the end of a caller's connection in its last iteration and
+  // defers the cleanup to the next. Guards against running this cleanup in the
+  // destructor of the loop after the pipeline has been destroyed.
+  bool WasDeferred = false;
+  for (int PassCount = 0; PassCount < 12; ++PassCount) {
+    SocketSetup Fixture;
     {
-      RawCaller Caller(On.Loop, On.At);
+      RawCaller Caller(Fixture.Loop, Fixture.At);
       Caller.send("STARTUP primary me\r\n");
       REQUIRE(Caller.receive("\r\n") == "READY I -\r\n");
     }
-    for (int Pass = 0; Pass < Passes; ++Pass) {
-      On.Loop.after(Millis(5), [] {});
-      event_base_loop(On.Loop.base(), EVLOOP_ONCE);
+    for (int Pass = 0; Pass < PassCount; ++Pass) {
+      Fixture.Loop.after(Millis(5), [] {});
+      event_base_loop(Fixture.Loop.base(), EVLOOP_ONCE);
     }
-    WasPutOff = WasPutOff || On.Pipeline.sessions() == 1;
+    WasDeferred = WasDeferred || Fixture.Pipeline.sessions() == 1;
   }
-  CHECK(WasPutOff);
+  CHECK(WasDeferred);
 }
--- a/Tests/Unit/PromotionTest.cpp
+++ b/Tests/Unit/PromotionTest.cpp
@@ -1,210 +1,215 @@
 /// \file
-/// Which changes of primary control orders where targets enforce their
-/// leadership, and which it leaves.
+/// When control promotes a target and when it leaves the primary unchanged, for
+/// targets that enforce their leadership themselves.
 
 #include "FakeFleet.h"
 
 using namespace corianderdyke;
 
-TEST_CASE("A dead primary is replaced by the furthest replica", "[steering]") {
-  // Proxies find the primary unusable and control gets no answer from it.
-  // Nobody orders anything; the replica with the most of the log leads.
+TEST_CASE("A failed primary is replaced by the replica with the longest log",
+          "[steering]") {
+  // Proxies report the primary as unusable, and it does not answer control.
+  // Without an operator's order, the replica with the longest log is promoted.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  On.Targets.Targets["a"].IsUp = false;
-  On.Targets.Targets["a"].IsPrimary = false;
-  On.Targets.Targets["c"].Received = {1, 12};
-  On.reportFailure("a", 3);
-  On.runWithHeartbeats(Millis(1600));
-  REQUIRE(On.Targets.Orders.size() == 1);
-  CHECK(On.Targets.Orders[0].Target == "c");
-  CHECK(On.leader()->directory().primaryOf("ledger")->Id == "c");
+  FakeFleet &Fleet = Setup.Fleet;
+  Fleet.Targets.Targets["a"].IsUp = false;
+  Fleet.Targets.Targets["a"].IsPrimary = false;
+  Fleet.Targets.Targets["c"].Received = {1, 12};
+  Fleet.reportFailure("a", 3);
+  Fleet.runWithHeartbeats(Millis(1600));
+  REQUIRE(Fleet.Targets.Orders.size() == 1);
+  CHECK(Fleet.Targets.Orders[0].Target == "c");
+  CHECK(Fleet.leader()->directory().primaryOf("ledger")->Id == "c");
 }
 
-TEST_CASE("A primary that is busy or cut off from few isn't replaced",
-          "[steering]") {
-  // One proxy of eight can't reach the primary, or it's too busy to answer
-  // control. A change of primary would roll writes back for nothing.
+TEST_CASE(
+    "A primary that is busy or unreachable from few proxies is not replaced",
+    "[steering]") {
+  // Either one proxy of eight cannot reach the primary, or the primary is too
+  // busy to answer control. A failover would roll back writes needlessly.
   const bool IsBusy = GENERATE(true, false);
   CAPTURE(IsBusy);
   ReadyFleet Setup(3, 8);
-  FakeFleet &On = Setup.Fleet;
-  On.Targets.Targets["a"].IsBusy = IsBusy;
+  FakeFleet &Fleet = Setup.Fleet;
+  Fleet.Targets.Targets["a"].IsBusy = IsBusy;
   for (int Each = 0; Each < 10; ++Each) {
-    On.reportFailure("a", IsBusy ? 8 : 1);
-    On.runWithHeartbeats(Millis(400));
+    Fleet.reportFailure("a", IsBusy ? 8 : 1);
+    Fleet.runWithHeartbeats(Millis(400));
   }
-  for (const AuditRecord &Each : On.leader()->state().audit())
+  for (const AuditRecord &Each : Fleet.leader()->state().audit())
     UNSCOPED_INFO(Each.Action << ": " << Each.To << " " << Each.Reason);
-  CHECK(On.Targets.Orders.empty());
+  CHECK(Fleet.Targets.Orders.empty());
 }
 
-TEST_CASE("A new leader takes no former silence for a failure", "[steering]") {
-  // The leader dies. Its successor heard nobody yet and can't ask the primary,
-  // which is well. It must not be replaced.
+TEST_CASE("A new leader does not treat missing reports as a failure",
+          "[steering]") {
+  // The leader crashes. Its successor has received no reports yet and cannot
+  // reach the primary, which is healthy and must not be replaced.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  On.runWithHeartbeats(Millis(6000));
-  On.killControl(On.leader()->leader());
-  On.Targets.Targets["a"].IsCutFromControl = true;
-  REQUIRE(On.Loop.runUntilTrue([&] { return On.leader() != nullptr; },
-                               Millis(5000)));
-  On.Loop.runFor(Millis(1000));
-  On.runWithHeartbeats(Millis(2000));
-  CHECK(On.Targets.Orders.empty());
+  FakeFleet &Fleet = Setup.Fleet;
+  Fleet.runWithHeartbeats(Millis(6000));
+  Fleet.killControl(Fleet.leader()->leader());
+  Fleet.Targets.Targets["a"].IsCutFromControl = true;
+  REQUIRE(Fleet.Loop.runUntilTrue([&] { return Fleet.leader() != nullptr; },
+                                  Millis(5000)));
+  Fleet.Loop.runFor(Millis(1000));
+  Fleet.runWithHeartbeats(Millis(2000));
+  CHECK(Fleet.Targets.Orders.empty());
 }
 
 TEST_CASE("A primary that refuses connections is replaced at once",
           "[steering]") {
-  // The primary's process ends. Two proxies have noticed, the other six were
-  // served a moment ago. Control's own connection is refused, and it doesn't
-  // wait for the six to notice.
+  // The process of the primary ends. Two proxies have reported the failure, the
+  // other six got answers shortly before. The connection from control is
+  // refused, so it does not wait for reports of the other six.
   ReadyFleet Setup(5, 8);
-  FakeFleet &On = Setup.Fleet;
-  for (auto &[Name, Each] : On.Proxies)
+  FakeFleet &Fleet = Setup.Fleet;
+  for (auto &[Name, Each] : Fleet.Proxies)
     Each.Feed->recordReachable("a");
-  On.runWithHeartbeats(Millis(600));
-  On.Targets.Targets["a"].RefusesConnections = true;
-  On.Targets.Targets["a"].IsPrimary = false;
-  On.reportFailure("a", 2);
-  On.Loop.runFor(Millis(300));
-  CHECK(On.Targets.Orders.size() == 1);
+  Fleet.runWithHeartbeats(Millis(600));
+  Fleet.Targets.Targets["a"].RefusesConnections = true;
+  Fleet.Targets.Targets["a"].IsPrimary = false;
+  Fleet.reportFailure("a", 2);
+  Fleet.Loop.runFor(Millis(300));
+  CHECK(Fleet.Targets.Orders.size() == 1);
 }
 
-TEST_CASE("A leaving primary steps down before its successor leads",
+TEST_CASE("A leaving primary steps down before its successor is promoted",
           "[steering]") {
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  On.Targets.Targets["a"].Received = {1, 20};
-  On.Leaving.insert("a");
-  On.runWithHeartbeats(Millis(400));
-  CHECK(On.Targets.StepDowns == 1);
-  CHECK(On.Targets.Orders.empty());
-  On.Targets.Targets["b"].Received = {1, 20};
-  On.runWithHeartbeats(Millis(1000));
-  REQUIRE(On.Targets.Orders.size() == 1);
-  CHECK(On.Targets.Orders[0].Target == "b");
+  FakeFleet &Fleet = Setup.Fleet;
+  Fleet.Targets.Targets["a"].Received = {1, 20};
+  Fleet.Leaving.insert("a");
+  Fleet.runWithHeartbeats(Millis(400));
+  CHECK(Fleet.Targets.StepDowns == 1);
+  CHECK(Fleet.Targets.Orders.empty());
+  Fleet.Targets.Targets["b"].Received = {1, 20};
+  Fleet.runWithHeartbeats(Millis(1000));
+  REQUIRE(Fleet.Targets.Orders.size() == 1);
+  CHECK(Fleet.Targets.Orders[0].Target == "b");
 }
 
-TEST_CASE("A late order loses against what came after it", "[steering]") {
-  // The first order gets no answer and is carried out seconds later, after
-  // the next leader's order. Its token is the lower one.
+TEST_CASE("A delayed promotion does not override a later one", "[steering]") {
+  // The first order gets no answer and is executed seconds later, after the
+  // order of the next leader. Its fencing token is the lower one.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  On.Targets.Targets["a"].IsUp = false;
-  On.Targets.Targets["a"].IsPrimary = false;
-  On.Targets.NextPromotionDelay = Millis(12000);
-  On.reportFailure("a", 3);
-  On.runWithHeartbeats(Millis(800));
-  REQUIRE(On.Targets.Orders.size() == 1);
-  On.killControl(On.leader()->leader());
-  On.Loop.runFor(Millis(2000));
-  On.runWithHeartbeats(Millis(6000));
-  REQUIRE(On.Targets.Orders.size() >= 2);
-  const std::string Now = On.leader()->directory().primaryOf("ledger")->Id;
-  On.runWithHeartbeats(Millis(12000));
-  CHECK(On.leader()->directory().primaryOf("ledger")->Id == Now);
-  for (std::size_t Each = 1; Each < On.Targets.Orders.size(); ++Each)
-    CHECK(On.Targets.Orders[Each].Token > On.Targets.Orders[Each - 1].Token);
+  FakeFleet &Fleet = Setup.Fleet;
+  Fleet.Targets.Targets["a"].IsUp = false;
+  Fleet.Targets.Targets["a"].IsPrimary = false;
+  Fleet.Targets.NextPromotionDelay = Millis(12000);
+  Fleet.reportFailure("a", 3);
+  Fleet.runWithHeartbeats(Millis(800));
+  REQUIRE(Fleet.Targets.Orders.size() == 1);
+  Fleet.killControl(Fleet.leader()->leader());
+  Fleet.Loop.runFor(Millis(2000));
+  Fleet.runWithHeartbeats(Millis(6000));
+  REQUIRE(Fleet.Targets.Orders.size() >= 2);
+  const std::string Primary =
+      Fleet.leader()->directory().primaryOf("ledger")->Id;
+  Fleet.runWithHeartbeats(Millis(12000));
+  CHECK(Fleet.leader()->directory().primaryOf("ledger")->Id == Primary);
+  for (std::size_t Each = 1; Each < Fleet.Targets.Orders.size(); ++Each)
+    CHECK(Fleet.Targets.Orders[Each].Token >
+          Fleet.Targets.Orders[Each - 1].Token);
 }
 
-TEST_CASE("A primary that starts again without its log doesn't lead on",
-          "[steering]") {
-  // The primary's process ends and starts again under its id, before anybody
-  // missed it. It says that it leads, and holds nothing of what its replicas
-  // hold. Nobody reports it: it answers. The replicas' log must win.
+TEST_CASE("A primary that restarts without its log is replaced", "[steering]") {
+  // The primary restarts under the same id before a failure is detected. It
+  // claims to be the primary, but has lost the log that its replicas have. No
+  // proxy reports it, because it answers. A replica must be promoted.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  On.Targets.Targets["c"].Received = {1, 12};
-  On.Targets.Targets["a"].Received = {1, 0};
-  On.Targets.Targets["a"].BornAt = 2000;
-  On.runWithHeartbeats(Millis(1600));
-  REQUIRE(On.Targets.Orders.size() == 1);
-  CHECK(On.Targets.Orders[0].Target == "c");
+  FakeFleet &Fleet = Setup.Fleet;
+  Fleet.Targets.Targets["c"].Received = {1, 12};
+  Fleet.Targets.Targets["a"].Received = {1, 0};
+  Fleet.Targets.Targets["a"].BornAt = 2000;
+  Fleet.runWithHeartbeats(Millis(1600));
+  REQUIRE(Fleet.Targets.Orders.size() == 1);
+  CHECK(Fleet.Targets.Orders[0].Target == "c");
 }
 
-TEST_CASE("A primary that starts again with its whole log leads on",
+TEST_CASE("A primary that restarts with its whole log remains the primary",
           "[steering]") {
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  On.Targets.Targets["a"].BornAt = 2000;
-  On.runWithHeartbeats(Millis(3000));
-  CHECK(On.Targets.Orders.empty());
+  FakeFleet &Fleet = Setup.Fleet;
+  Fleet.Targets.Targets["a"].BornAt = 2000;
+  Fleet.runWithHeartbeats(Millis(3000));
+  CHECK(Fleet.Targets.Orders.empty());
 }
 
-TEST_CASE("What proxies met of a former life says nothing of the next",
+TEST_CASE("Reports on an earlier incarnation do not apply to the next one",
           "[steering]") {
-  // Two proxies lost their connections to a primary that ended. It's back
-  // with its log before control looks, and must not be replaced for that.
+  // Proxies lost their connections to a primary whose process ended. It has
+  // restarted with its log before control checks it and must not be replaced.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  On.reportFailure("a", 3);
-  On.Targets.Targets["a"].BornAt = 2000;
-  On.Targets.Targets["a"].IsCutFromControl = true;
-  On.sendHeartbeats();
-  On.Loop.runFor(Millis(600));
-  CHECK(On.Targets.Orders.empty());
+  FakeFleet &Fleet = Setup.Fleet;
+  Fleet.reportFailure("a", 3);
+  Fleet.Targets.Targets["a"].BornAt = 2000;
+  Fleet.Targets.Targets["a"].IsCutFromControl = true;
+  Fleet.sendHeartbeats();
+  Fleet.Loop.runFor(Millis(600));
+  CHECK(Fleet.Targets.Orders.empty());
 }
 
-TEST_CASE("A commit that a replica vouched for is in the winner's log",
+TEST_CASE("A commit that a replica acknowledged is in the promoted log",
           "[steering]") {
-  // Commits are acknowledged once one replica has them. The primary dies, and
-  // the replica with the last commit doesn't answer. The other must not lead
-  // without it; once it answers it leads.
+  // Commits are acknowledged once one replica has them. The primary fails, and
+  // the replica with the last commit does not answer. The other replica must
+  // not be promoted without it. Once the replica answers, it is promoted.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  REQUIRE(On.acceptPlan(2, 1));
-  On.Targets.Targets["c"].Received = {1, 12};
-  On.Targets.Targets["c"].IsCutFromControl = true;
-  On.Targets.Targets["a"].IsUp = false;
-  On.Targets.Targets["a"].IsPrimary = false;
-  On.reportFailure("a", 3);
-  On.runWithHeartbeats(Millis(3000));
-  CHECK(On.Targets.Orders.empty());
-  // Whoever was told to stop receiving while nothing came of it goes on.
-  CHECK(On.Targets.Targets["b"].IsReplicating);
-  On.Targets.Targets["c"].IsCutFromControl = false;
-  On.runWithHeartbeats(Millis(3000));
-  REQUIRE(On.Targets.Orders.size() == 1);
-  CHECK(On.Targets.Orders[0].Target == "c");
-  On.runWithHeartbeats(Millis(1000));
-  CHECK(On.Targets.Targets["b"].IsReplicating);
+  FakeFleet &Fleet = Setup.Fleet;
+  REQUIRE(Fleet.acceptPlan(2, 1));
+  Fleet.Targets.Targets["c"].Received = {1, 12};
+  Fleet.Targets.Targets["c"].IsCutFromControl = true;
+  Fleet.Targets.Targets["a"].IsUp = false;
+  Fleet.Targets.Targets["a"].IsPrimary = false;
+  Fleet.reportFailure("a", 3);
+  Fleet.runWithHeartbeats(Millis(3000));
+  CHECK(Fleet.Targets.Orders.empty());
+  // A replica that was stopped for the failed attempt replicates again.
+  CHECK(Fleet.Targets.Targets["b"].IsReplicating);
+  Fleet.Targets.Targets["c"].IsCutFromControl = false;
+  Fleet.runWithHeartbeats(Millis(3000));
+  REQUIRE(Fleet.Targets.Orders.size() == 1);
+  CHECK(Fleet.Targets.Orders[0].Target == "c");
+  Fleet.runWithHeartbeats(Millis(1000));
+  CHECK(Fleet.Targets.Targets["b"].IsReplicating);
 }
 
-TEST_CASE("Replicas stop receiving before their positions decide",
+TEST_CASE("Replicas stop replicating before their positions are compared",
           "[steering]") {
-  // The primary is cut off from control and most proxies, and goes on with
-  // the rest. What it acknowledges after the positions were read would be
-  // missing from the winner's log.
+  // The primary is partitioned from control and most proxies and still serves
+  // the others. Commits that it acknowledges after the positions were read
+  // would be missing from the log of the new primary.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  REQUIRE(On.acceptPlan(2, 1));
-  On.Targets.Targets["a"].IsCutFromControl = true;
+  FakeFleet &Fleet = Setup.Fleet;
+  REQUIRE(Fleet.acceptPlan(2, 1));
+  Fleet.Targets.Targets["a"].IsCutFromControl = true;
   bool StoppedFirst = false;
-  On.leader()->promotionCoordinator().signalStep().connect(
-      [&](const std::string &, const std::string &What, const std::string &) {
-        if (What == "promotion-ordered")
-          StoppedFirst = !On.Targets.Targets["b"].IsReplicating &&
-                         !On.Targets.Targets["c"].IsReplicating;
+  Fleet.leader()->promotionCoordinator().signalStep().connect(
+      [&](const std::string &, const std::string &Step, const std::string &) {
+        if (Step == "promotion-ordered")
+          StoppedFirst = !Fleet.Targets.Targets["b"].IsReplicating &&
+                         !Fleet.Targets.Targets["c"].IsReplicating;
       });
-  On.reportFailure("a", 3);
-  On.runWithHeartbeats(Millis(1600));
-  REQUIRE(On.Targets.Orders.size() == 1);
+  Fleet.reportFailure("a", 3);
+  Fleet.runWithHeartbeats(Millis(1600));
+  REQUIRE(Fleet.Targets.Orders.size() == 1);
   CHECK(StoppedFirst);
 }
 
-TEST_CASE("Replicas that a dead leader stopped receive again", "[steering]") {
-  // A control leader dies after it told the replicas to stop receiving. They
-  // would fall behind for good, with a primary that is well.
+TEST_CASE("Replicas that a crashed leader stopped replicate again",
+          "[steering]") {
+  // A control leader crashes after it ordered the replicas to stop replicating.
+  // They would lag behind a healthy primary permanently.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  REQUIRE(On.acceptPlan(2, 1));
-  On.Targets.Targets["b"].IsReplicating = false;
-  On.Targets.Targets["c"].IsReplicating = false;
-  On.killControl(On.leader()->leader());
-  On.Loop.runFor(Millis(2000));
-  On.runWithHeartbeats(Millis(2000));
-  CHECK(On.Targets.Targets["b"].IsReplicating);
-  CHECK(On.Targets.Targets["c"].IsReplicating);
-  CHECK(On.Targets.Orders.empty());
+  FakeFleet &Fleet = Setup.Fleet;
+  REQUIRE(Fleet.acceptPlan(2, 1));
+  Fleet.Targets.Targets["b"].IsReplicating = false;
+  Fleet.Targets.Targets["c"].IsReplicating = false;
+  Fleet.killControl(Fleet.leader()->leader());
+  Fleet.Loop.runFor(Millis(2000));
+  Fleet.runWithHeartbeats(Millis(2000));
+  CHECK(Fleet.Targets.Targets["b"].IsReplicating);
+  CHECK(Fleet.Targets.Targets["c"].IsReplicating);
+  CHECK(Fleet.Targets.Orders.empty());
 }
--- a/Tests/Unit/ProxyListTest.cpp
+++ b/Tests/Unit/ProxyListTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What control tells proxies of each other.
+/// The list of proxies that control sends to every proxy.
 
 #include "Steering/ProxyList.h"
 
@@ -16,10 +16,11 @@
 
 } // namespace
 
-TEST_CASE("A new leader tells no list before it knows the proxies",
+TEST_CASE("A new leader publishes no list before it knows the proxies",
           "[proxies]") {
-  // Proxies speak one after the other to a leader that knows none of them.
-  // Each list that it told meanwhile would move every target's connections.
+  // Proxies report one after the other to a leader that knows none of them.
+  // Each list published meanwhile would reassign the connections of every
+  // target.
   ProxyList List;
   Millis Now(1000);
   List.startTerm({}, Now);
@@ -34,27 +35,27 @@
   CHECK(List.all().size() == 10);
 }
 
-TEST_CASE("A new leader begins with the proxies that the group noted",
+TEST_CASE("A new leader starts with the proxies that the group has recorded",
           "[proxies]") {
   ProxyList List;
-  std::map<std::string, ProxyRecord> Noted;
+  std::map<std::string, ProxyRecord> Recorded;
   for (int Each = 0; Each < 10; ++Each)
-    Noted[proxy(Each).Name] = proxy(Each);
-  List.startTerm(Noted, Millis(1000));
+    Recorded[proxy(Each).Name] = proxy(Each);
+  List.startTerm(Recorded, Millis(1000));
   CHECK(List.isReady(Millis(1000)));
   CHECK(List.all().size() == 10);
-  CHECK(List.unrecordedChanges(Noted).Present.empty());
-  CHECK(List.unrecordedChanges(Noted).Removed.empty());
-  // Those that don't come back are dropped, the others are kept.
+  CHECK(List.unrecordedChanges(Recorded).Present.empty());
+  CHECK(List.unrecordedChanges(Recorded).Removed.empty());
+  // Proxies that do not report again are removed, the others are kept.
   for (int Each = 0; Each < 9; ++Each)
     List.update(proxy(Each), false, Millis(3000));
   List.removeExpired(Millis(4500), Millis(3000));
   CHECK(List.all().size() == 9);
-  CHECK(List.unrecordedChanges(Noted).Removed ==
+  CHECK(List.unrecordedChanges(Recorded).Removed ==
         std::vector<std::string>{proxy(9).Name});
 }
 
-TEST_CASE("A proxy that leaves is off the list at once and back when it starts",
+TEST_CASE("A proxy is removed as soon as it leaves and added when it restarts",
           "[proxies]") {
   ProxyList List;
   List.startTerm({}, Millis(1000));
--- a/Tests/Unit/QuotaTest.cpp
+++ b/Tests/Unit/QuotaTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// How many operations of an organisation begin, over all proxies, whatever
-/// happens to them and to control.
+/// Enforcement of the quota of an organisation over all proxies, under faults
+/// of proxies and of control.
 
 #include "FakeGroup.h"
 #include "FakeNetwork.h"
@@ -22,52 +22,52 @@
   return Out;
 }
 
-/// Proxies that hold seats and a leading control host, which exchange requests
-/// and grants as a test lets them. Any proxy wants any seat.
-class Holders {
+/// Proxies that hold seats and a leading control host. They exchange requests
+/// and grants under the control of a test. Any proxy may request any seat.
+class SeatFleet {
 public:
-  Holders(std::size_t Proxies, std::uint64_t Seed, double PerSecond,
-          double Burst)
+  SeatFleet(std::size_t Proxies, std::uint64_t Seed, double PerSecond,
+            double Burst)
       : Random(Seed), Plan(planWith(1, PerSecond, Burst)) {
     for (std::size_t Each = 0; Each < Proxies; ++Each) {
       Seats.emplace_back(ProcessId{name(Each), 1});
       Seats.back().adopt(Plan);
       Incarnations.push_back(1);
-      AskedAt.push_back(Millis(-1000));
+      RequestedAt.push_back(Millis(-1000));
     }
-    lead();
+    startTerm();
   }
 
   static std::string name(std::size_t Proxy) {
     return "p" + std::to_string(Proxy);
   }
 
-  /// A new leader that knows nothing but what the group has noted.
-  void lead() { Ledger.startTerm(++Term, Noted, Now); }
+  /// Starts a new leader that knows only what the group has recorded.
+  void startTerm() { Ledger.startTerm(++Term, Recorded, Now); }
 
   void restart(std::size_t Proxy) {
     Seats[Proxy] = QuotaSeats(ProcessId{name(Proxy), ++Incarnations[Proxy]});
     Seats[Proxy].adopt(Plan);
   }
 
-  void want(std::size_t Proxy, std::uint32_t Count) {
+  void setWanted(std::size_t Proxy, std::uint32_t Count) {
     Seats[Proxy].setWanted(
         Count == 0 ? std::map<std::string, std::uint32_t>{}
                    : std::map<std::string, std::uint32_t>{{Mills, Count}});
   }
 
-  /// Takes what permits there are.
-  void drain(std::size_t Proxy) {
+  /// Takes all available permits.
+  void takeAllPermits(std::size_t Proxy) {
     const PermitReply Taken = Seats[Proxy].takePermits(Mills, 1000, Now);
     for (std::uint32_t Each = 0; Each < Taken.Granted; ++Each)
       Given.push_back(Now);
   }
 
-  /// Proxy's exchange with control; some messages are lost or late.
+  /// Sends a request of \p Proxy to control. Some messages are lost or late.
   void exchange(std::size_t Proxy, bool IsReachable) {
-    if (Now - AskedAt[Proxy] < Millis(100))
+    if (Now - RequestedAt[Proxy] < Millis(100))
       return;
-    AskedAt[Proxy] = Now;
+    RequestedAt[Proxy] = Now;
     const SeatRequest Request = Seats[Proxy].request(Now);
     if (!IsReachable || chance(5))
       return;
@@ -81,10 +81,10 @@
   void answer(std::size_t Proxy, const ProcessId &Id,
               const SeatRequest &Request) {
     auto Grant = Ledger.answer(Id, Request, Now);
-    const SeatAssignments News = Ledger.takeProposedAssignments();
-    for (const auto &[Which, Name] : News)
-      Noted[Which] = Name;
-    Ledger.applyCommitted(News, Now);
+    const SeatAssignments NewAssignments = Ledger.takeProposedAssignments();
+    for (const auto &[Seat, Name] : NewAssignments)
+      Recorded[Seat] = Name;
+    Ledger.applyCommitted(NewAssignments, Now);
     if (Grant && !chance(5))
       Late.push_back({Proxy, *Grant, Now + Millis(chance(20) ? 700 : 2)});
   }
@@ -121,7 +121,7 @@
     return Out;
   }
 
-  /// The most permits that were given in any span of five seconds.
+  /// Returns the maximum number of permits granted in any five seconds.
   std::size_t worstWindow() const {
     std::size_t Most = 0;
     std::size_t First = 0;
@@ -155,16 +155,16 @@
   Millis Now{1000};
   std::uint64_t Term = 0;
   SeatLedger Ledger;
-  SeatAssignments Noted;
+  SeatAssignments Recorded;
   std::vector<QuotaSeats> Seats;
   std::vector<std::uint64_t> Incarnations;
-  std::vector<Millis> AskedAt;
+  std::vector<Millis> RequestedAt;
   std::vector<LateGrant> Late;
   std::vector<LateRequest> LateRequests;
   std::vector<Millis> Given;
 };
 
-/// Proxies that get permits from each other on a network in memory.
+/// Proxies that grant permits to each other on an in-memory network.
 class PermitFleet {
 public:
   struct Proxy {
@@ -201,19 +201,20 @@
 
   ~PermitFleet() { Loop.clear(); }
 
-  void renew(Proxy &Of) {
-    if (const auto Grant = Ledger.answer(
-            {Of.Host.name(), 1}, Of.Seats.request(Loop.now()), Loop.now()))
-      Of.Seats.apply(*Grant, Loop.now());
+  void renew(Proxy &Holder) {
+    if (const auto Grant =
+            Ledger.answer({Holder.Host.name(), 1},
+                          Holder.Seats.request(Loop.now()), Loop.now()))
+      Holder.Seats.apply(*Grant, Loop.now());
   }
 
-  /// Asks for a permit at a proxy; counts what comes of it.
-  void ask(std::size_t At, Millis Within) {
-    ++Asked;
-    Proxies[At]->Permits.requestPermit(Mills, Loop.now() + Within,
-                                       [this](std::optional<Millis> ComeBack) {
-                                         ++(ComeBack ? Refused : Given);
-                                       });
+  /// Requests a permit at a proxy and counts the result.
+  void requestPermit(std::size_t At, Millis Within) {
+    ++Requested;
+    Proxies[At]->Permits.requestPermit(
+        Mills, Loop.now() + Within, [this](std::optional<Millis> RetryAfter) {
+          ++(RetryAfter ? Refused : Given);
+        });
   }
 
   std::size_t holder() const {
@@ -226,64 +227,67 @@
   SeatLedger Ledger;
   std::vector<ProxyRecord> Records;
   std::vector<std::unique_ptr<Proxy>> Proxies;
-  std::size_t Asked = 0;
+  std::size_t Requested = 0;
   std::size_t Given = 0;
   std::size_t Refused = 0;
 };
 
 } // namespace
 
-TEST_CASE("No window sees more than an organisation's quota", "[quota]") {
+TEST_CASE("The quota of an organisation is not exceeded in any window",
+          "[quota]") {
   // Guards against a seat with two holders while proxies restart, freeze and
-  // are cut off, grants come late and leaders change.
+  // are partitioned, grants are delayed and leaders change.
   const auto Seed = GENERATE(range(1, 41));
   CAPTURE(Seed);
   constexpr std::size_t Proxies = 6;
   constexpr double PerSecond = 100;
   constexpr double Burst = 60;
-  Holders On(Proxies, static_cast<std::uint64_t>(Seed), PerSecond, Burst);
-  std::vector<Millis> Away(Proxies); // Cut off, or frozen, until then.
+  SeatFleet Fleet(Proxies, static_cast<std::uint64_t>(Seed), PerSecond, Burst);
+  std::vector<Millis> UnavailableUntil(Proxies); // Partitioned or frozen.
   std::vector<bool> IsFrozen(Proxies);
-  while (On.Now < Millis(60000)) {
-    On.step();
-    On.takeLateRequests();
-    if (On.chance(1) && On.chance(20))
-      On.lead();
-    CHECK(On.held() <= SeatsPerOrganisation);
+  while (Fleet.Now < Millis(60000)) {
+    Fleet.step();
+    Fleet.takeLateRequests();
+    if (Fleet.chance(1) && Fleet.chance(20))
+      Fleet.startTerm();
+    CHECK(Fleet.held() <= SeatsPerOrganisation);
     for (std::size_t Each = 0; Each < Proxies; ++Each) {
-      if (On.chance(1) && On.chance(20))
-        On.restart(Each);
-      if (On.chance(1))
-        On.want(Each, On.chance(50) ? 1 : 0);
-      if (On.Now >= Away[Each] && On.chance(1) && On.chance(5)) {
-        Away[Each] = On.Now + Millis(On.chance(70) ? 2000 : 12000);
-        IsFrozen[Each] = On.chance(50);
+      if (Fleet.chance(1) && Fleet.chance(20))
+        Fleet.restart(Each);
+      if (Fleet.chance(1))
+        Fleet.setWanted(Each, Fleet.chance(50) ? 1 : 0);
+      if (Fleet.Now >= UnavailableUntil[Each] && Fleet.chance(1) &&
+          Fleet.chance(5)) {
+        UnavailableUntil[Each] =
+            Fleet.Now + Millis(Fleet.chance(70) ? 2000 : 12000);
+        IsFrozen[Each] = Fleet.chance(50);
       }
-      const bool IsAway = On.Now < Away[Each];
-      if (IsAway && IsFrozen[Each])
+      const bool IsUnavailable = Fleet.Now < UnavailableUntil[Each];
+      if (IsUnavailable && IsFrozen[Each])
         continue;
-      On.exchange(Each, !IsAway);
-      On.drain(Each);
+      Fleet.exchange(Each, !IsUnavailable);
+      Fleet.takeAllPermits(Each);
     }
   }
-  CHECK(On.Given.size() > 300);
-  // Each time that a seat begins anew it may give one permit at once.
-  CHECK(static_cast<double>(On.worstWindow()) <=
+  CHECK(Fleet.Given.size() > 300);
+  // Each restart of a seat may grant one additional permit.
+  CHECK(static_cast<double>(Fleet.worstWindow()) <=
         (PerSecond * 5 + Burst) * 1.02 + 6);
 }
 
-TEST_CASE("A seat whose grant is under way goes to nobody else", "[quota]") {
-  // Guards against a late grant that gives a proxy what another one has.
+TEST_CASE("A seat whose grant is in flight is not assigned to another proxy",
+          "[quota]") {
+  // Guards against a late grant of a seat that another proxy holds.
   SeatLedger Ledger;
   Ledger.startTerm(1, {}, Millis(0));
   const ProcessId First{"a", 7};
   const ProcessId Second{"b", 8};
-  const auto Meet = [&Ledger](const ProcessId &Who) {
-    return Ledger.answer(Who, {1, Millis(0), 0, 0, 0, {}, {}}, Millis(0))
-        ->Nonce;
+  const auto Register = [&Ledger](const ProcessId &Id) {
+    return Ledger.answer(Id, {1, Millis(0), 0, 0, 0, {}, {}}, Millis(0))->Nonce;
   };
-  const std::uint64_t ByFirst = Meet(First);
-  const std::uint64_t BySecond = Meet(Second);
+  const std::uint64_t ByFirst = Register(First);
+  const std::uint64_t BySecond = Register(Second);
   const std::vector<SeatDemand> All = {{Mills, SeatsPerOrganisation}};
   Ledger.answer(First, {2, Millis(1), 1, ByFirst, 0, {}, All}, Millis(1));
   Ledger.applyCommitted(Ledger.takeProposedAssignments(), Millis(2));
@@ -293,145 +297,148 @@
   Ledger.answer(First, {4, Millis(4), 1, ByFirst, 0, {}, {}}, Millis(4));
   Ledger.answer(Second, {2, Millis(5), 1, BySecond, 0, {}, All}, Millis(5));
   CHECK(Ledger.takeProposedAssignments().empty());
-  // It has applied the later grant, which has no seats.
+  // The first proxy has applied the later grant, which has no seats.
   Ledger.answer(First, {5, Millis(6), 1, ByFirst, 4, {}, {}}, Millis(6));
   Ledger.answer(Second, {3, Millis(7), 1, BySecond, 0, {}, All}, Millis(7));
   CHECK(Ledger.takeProposedAssignments().size() == SeatsPerOrganisation);
 }
 
-TEST_CASE("A lowered limit binds with the plan that lowers it", "[quota]") {
-  // Guards against permits by a former limit.
-  Holders On(3, 1, 100, 60);
+TEST_CASE("A lowered limit applies as soon as its plan is adopted", "[quota]") {
+  // Guards against permits granted under the previous limit.
+  SeatFleet Fleet(3, 1, 100, 60);
   for (std::size_t Each = 0; Each < 3; ++Each)
-    On.want(Each, 1);
-  const auto Flood = [&On](Millis Span) {
-    const std::size_t Before = On.Given.size();
-    for (const Millis End = On.Now + Span; On.Now < End;) {
-      On.step();
+    Fleet.setWanted(Each, 1);
+  const auto Flood = [&Fleet](Millis Span) {
+    const std::size_t Before = Fleet.Given.size();
+    for (const Millis End = Fleet.Now + Span; Fleet.Now < End;) {
+      Fleet.step();
       for (std::size_t Each = 0; Each < 3; ++Each) {
-        On.exchange(Each, true);
-        On.drain(Each);
+        Fleet.exchange(Each, true);
+        Fleet.takeAllPermits(Each);
       }
     }
-    return On.Given.size() - Before;
+    return Fleet.Given.size() - Before;
   };
   Flood(Millis(2000));
   CHECK(Flood(Millis(5000)) > 480);
-  for (QuotaSeats &Each : On.Seats)
+  for (QuotaSeats &Each : Fleet.Seats)
     Each.adopt(planWith(2, 10, 6));
   CHECK(Flood(Millis(5000)) <= 10 * 5 + 6 + 3);
 }
 
-TEST_CASE("Seats outlive a control group that is away for some seconds",
+TEST_CASE("Seats remain valid while control is unavailable for a few seconds",
           "[quota]") {
-  // Guards against callers who are refused within their quota because control
-  // is gone, and against seats that never end.
-  Holders On(3, 1, 100, 60);
+  // Guards against refusing callers within their quota because control is
+  // unavailable, and against seats that never expire.
+  SeatFleet Fleet(3, 1, 100, 60);
   for (std::size_t Each = 0; Each < 3; ++Each)
-    On.want(Each, 1);
-  const auto Run = [&On](Millis Span, bool HasControl) {
-    const std::size_t Before = On.Given.size();
-    for (const Millis End = On.Now + Span; On.Now < End;) {
-      On.step();
+    Fleet.setWanted(Each, 1);
+  const auto Run = [&Fleet](Millis Span, bool HasControl) {
+    const std::size_t Before = Fleet.Given.size();
+    for (const Millis End = Fleet.Now + Span; Fleet.Now < End;) {
+      Fleet.step();
       for (std::size_t Each = 0; Each < 3; ++Each) {
-        On.exchange(Each, HasControl);
-        On.drain(Each);
+        Fleet.exchange(Each, HasControl);
+        Fleet.takeAllPermits(Each);
       }
     }
-    return On.Given.size() - Before;
+    return Fleet.Given.size() - Before;
   };
   Run(Millis(2000), true);
   CHECK(Run(Millis(5000), false) > 480);
   Run(Millis(4000), false);
-  CHECK(On.held() == 0);
+  CHECK(Fleet.held() == 0);
 }
 
-TEST_CASE("A restarted holder has its seat back at once", "[quota]") {
-  // Guards against seconds without permits after everything restarts.
-  Holders On(3, 1, 100, 60);
+TEST_CASE("A restarted holder gets its seat back at once", "[quota]") {
+  // Guards against seconds without permits after all processes restart.
+  SeatFleet Fleet(3, 1, 100, 60);
   for (std::size_t Each = 0; Each < 3; ++Each)
-    On.want(Each, 1);
+    Fleet.setWanted(Each, 1);
   for (int Each = 0; Each < 400; ++Each) {
-    On.step();
+    Fleet.step();
     for (std::size_t Proxy = 0; Proxy < 3; ++Proxy)
-      On.exchange(Proxy, true);
+      Fleet.exchange(Proxy, true);
   }
-  REQUIRE(On.held() == 3);
+  REQUIRE(Fleet.held() == 3);
   for (std::size_t Each = 0; Each < 3; ++Each) {
-    On.restart(Each);
-    On.want(Each, 1);
+    Fleet.restart(Each);
+    Fleet.setWanted(Each, 1);
   }
-  On.lead();
+  Fleet.startTerm();
   for (int Each = 0; Each < 150; ++Each) {
-    On.step();
+    Fleet.step();
     for (std::size_t Proxy = 0; Proxy < 3; ++Proxy)
-      On.exchange(Proxy, true);
+      Fleet.exchange(Proxy, true);
   }
-  CHECK(On.held() == 3);
+  CHECK(Fleet.held() == 3);
 }
 
-TEST_CASE("Within its quota an organisation is served wherever it comes in",
+TEST_CASE("An organisation within its quota is served at any proxy",
           "[quota]") {
-  // Load pattern: many proxies with an operation in some seconds each. Guards
-  // against parts of the quota that lie unused at other proxies.
-  PermitFleet On(60, 20, 20);
+  // Each of many proxies has one operation every few seconds. Guards against
+  // shares of the quota that remain unused at other proxies.
+  PermitFleet Fleet(60, 20, 20);
   std::mt19937_64 Random(7);
   for (int Step = 0; Step < 1500; ++Step) {
-    if (Random() % 100 < 12) // 12 a second.
-      On.ask(Random() % 60, Millis(200));
-    On.Loop.runFor(Millis(10));
+    if (Random() % 100 < 12) // 12 per second.
+      Fleet.requestPermit(Random() % 60, Millis(200));
+    Fleet.Loop.runFor(Millis(10));
     if (Step % 50 == 0)
-      for (auto &Each : On.Proxies)
-        On.renew(*Each);
+      for (auto &Each : Fleet.Proxies)
+        Fleet.renew(*Each);
   }
-  On.Loop.runFor(Millis(500));
-  CAPTURE(On.Asked, On.Given, On.Refused);
-  CHECK(On.Given + On.Refused == On.Asked);
-  CHECK(On.Given * 100 >= On.Asked * 99);
+  Fleet.Loop.runFor(Millis(500));
+  CAPTURE(Fleet.Requested, Fleet.Given, Fleet.Refused);
+  CHECK(Fleet.Given + Fleet.Refused == Fleet.Requested);
+  CHECK(Fleet.Given * 100 >= Fleet.Requested * 99);
 }
 
-TEST_CASE("A lost holder of a seat costs a moment", "[quota]") {
-  // Guards against operations that wait for a proxy which is gone.
-  PermitFleet On(20, 60, 60);
-  On.Proxies[On.holder()]->Host.kill();
+TEST_CASE("Losing the holder of a seat interrupts operations only briefly",
+          "[quota]") {
+  // Guards against operations that wait for a proxy that has crashed.
+  PermitFleet Fleet(20, 60, 60);
+  Fleet.Proxies[Fleet.holder()]->Host.kill();
   std::size_t Before = 0;
   for (int Step = 0; Step < 300; ++Step) {
     std::size_t At = static_cast<std::size_t>(Step) % 20;
-    if (At != On.holder() && Step % 3 == 0)
-      On.ask(At, Millis(200));
-    On.Loop.runFor(Millis(10));
+    if (At != Fleet.holder() && Step % 3 == 0)
+      Fleet.requestPermit(At, Millis(200));
+    Fleet.Loop.runFor(Millis(10));
     if (Step == 150)
-      Before = On.Refused;
+      Before = Fleet.Refused;
   }
-  On.Loop.runFor(Millis(500));
-  CAPTURE(On.Asked, On.Given, On.Refused, Before);
-  CHECK(On.Given * 100 >= On.Asked * 97);
+  Fleet.Loop.runFor(Millis(500));
+  CAPTURE(Fleet.Requested, Fleet.Given, Fleet.Refused, Before);
+  CHECK(Fleet.Given * 100 >= Fleet.Requested * 97);
 }
 
-TEST_CASE("A flood is refused at once and asks little", "[quota]") {
-  // Load pattern: twenty times an organisation's quota. Guards against
-  // operations that wait in vain and against a message for each of them.
-  PermitFleet On(12, 10, 10);
+TEST_CASE("A flood is refused at once and causes few messages", "[quota]") {
+  // An organisation sends twenty times its quota. Guards against operations
+  // that wait without a chance of a permit, and against a message for each of
+  // them.
+  PermitFleet Fleet(12, 10, 10);
   for (int Step = 0; Step < 500; ++Step) {
     for (int Each = 0; Each < 2; ++Each)
-      On.ask(static_cast<std::size_t>(Step + Each * 5) % 12, Millis(100));
-    On.Loop.runFor(Millis(10));
+      Fleet.requestPermit(static_cast<std::size_t>(Step + Each * 5) % 12,
+                          Millis(100));
+    Fleet.Loop.runFor(Millis(10));
   }
-  On.Loop.runFor(Millis(300));
-  CHECK(On.Given + On.Refused == On.Asked);
-  CHECK(On.Given <= 10 * 5 + 10 + 5);
-  CHECK(On.Given >= 45);
+  Fleet.Loop.runFor(Millis(300));
+  CHECK(Fleet.Given + Fleet.Refused == Fleet.Requested);
+  CHECK(Fleet.Given <= 10 * 5 + 10 + 5);
+  CHECK(Fleet.Given >= 45);
   std::uint64_t Messages = 0;
-  for (const auto &[Kind, Seen] : On.Net.Traffic)
+  for (const auto &[Kind, Seen] : Fleet.Net.Traffic)
     Messages += Seen.first;
-  CHECK(Messages <= 2 * On.Asked);
+  CHECK(Messages <= 2 * Fleet.Requested);
 }
 
-TEST_CASE("An operation without a permit is refused and not run",
+TEST_CASE("An operation without a permit is refused and not executed",
           "[quota][pipeline]") {
-  // Guards against refused operations that run, and against transactions that
+  // Guards against executing refused operations, and against transactions that
   // need a permit for each statement.
-  class Few final : public PermitSource {
+  class LimitedPermits final : public PermitSource {
   public:
     bool isLimited(const std::string &) const override { return true; }
     std::uint64_t requestPermit(const std::string &, Millis,
@@ -446,7 +453,7 @@
   FakeGroup Group{Loop, {"a", "b", "c"}};
   FakeHost Host(Loop, "proxy");
   FloorTable Floors;
-  Few Permits;
+  LimitedPermits Permits;
   SessionPipeline Pipeline({Host, Host, Group, Floors, nullptr, "", &Permits},
                            {"region", "here", "proxy"});
   Pipeline.adopt(replaceKeysByDigests(planWith(1, 10, 2), ""));
@@ -455,11 +462,11 @@
   const std::uint64_t Session = Pipeline.open("primary", "mills-key", Caller);
   const auto Ask = [&](StatementKind Kind, const std::string &Id,
                        const std::string &Text) {
-    Statement What;
-    What.Kind = Kind;
-    What.Id = Id;
-    What.Text = Text;
-    Pipeline.receive(Session, What);
+    Statement Request;
+    Request.Kind = Kind;
+    Request.Id = Id;
+    Request.Text = Text;
+    Pipeline.receive(Session, Request);
     Loop.runFor(Millis(100));
     return Caller->last();
   };
--- a/Tests/Unit/RelayCodecTest.cpp
+++ b/Tests/Unit/RelayCodecTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The frames in which proxies carry each other's statements: what they weigh,
-/// and that whatever isn't one of them is refused.
+/// The frames in which proxies relay statements: their size, and the rejection
+/// of malformed frames.
 
 #include "Relay/RelayCodec.h"
 #include "Common/Codec.h"
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// A read at the leader as a proxy sends it through a gateway.
-std::vector<RelayMessage> leaderRead() {
+/// Returns a read at the primary as a proxy sends it through a gateway.
+std::vector<RelayMessage> primaryRead() {
   TargetCommand Begin;
   Begin.Operation = TargetCommand::Kind::Begin;
   Begin.Priority = 1;
@@ -43,7 +43,7 @@
           RelayAnswer{77, 14, Ended, std::nullopt}};
 }
 
-std::string letters(std::size_t Count) {
+std::string randomLetters(std::size_t Count) {
   std::mt19937_64 Random(3);
   std::string Out;
   while (Out.size() < Count)
@@ -59,63 +59,66 @@
 
 } // namespace
 
-TEST_CASE("A statement through a gateway weighs three fifths of its plain form",
+TEST_CASE("A relayed statement takes at most 60 % of its uncompressed size",
           "[relay][load]") {
-  // Hosts with 2 Mbit/s, 280 statements a second at a busy primary's gateway.
-  // Plain, a question and its answers around a row of 1,000 letters are 1,400
-  // bytes on each of two more links: 11 ms in which nothing runs, and more
-  // than the gateway's link carries.
+  // Hosts have 2 Mbit/s, and the gateway of a busy primary relays 280
+  // statements a second. Uncompressed, a request and its answers with a row of
+  // 1,000 characters take 1,400 bytes on each of two additional links. This
+  // adds 11 ms without work and exceeds the capacity of the gateway's link.
   RelayCodec Frames;
-  const auto Question = leaderRead();
-  const auto Answers = answersTo(letters(1000));
-  const std::size_t Plain = encode(Question).size() + encode(Answers).size();
-  const std::string Sent = Frames.write(Question);
+  const auto Request = primaryRead();
+  const auto Answers = answersTo(randomLetters(1000));
+  const std::size_t Uncompressed =
+      encode(Request).size() + encode(Answers).size();
+  const std::string Sent = Frames.write(Request);
   const std::string Returned = Frames.write(Answers);
-  CHECK((Sent.size() + Returned.size()) * 10 <= Plain * 6);
-  CHECK(Sent.size() * 2 <= encode(Question).size());
+  CHECK((Sent.size() + Returned.size()) * 10 <= Uncompressed * 6);
+  CHECK(Sent.size() * 2 <= encode(Request).size());
   REQUIRE(Frames.read(Sent).has_value());
-  CHECK(*Frames.read(Sent) == Question);
+  CHECK(*Frames.read(Sent) == Request);
   REQUIRE(Frames.read(Returned).has_value());
   CHECK(*Frames.read(Returned) == Answers);
 }
 
-TEST_CASE("Each frame can be read without those before it", "[relay]") {
+TEST_CASE("Each frame can be decoded without the preceding frames", "[relay]") {
   RelayCodec Writer;
-  Writer.write(answersTo(letters(3000)));
-  const auto Question = leaderRead();
-  const std::string Frame = Writer.write(Question);
+  Writer.write(answersTo(randomLetters(3000)));
+  const auto Request = primaryRead();
+  const std::string Frame = Writer.write(Request);
   RelayCodec Reader;
   REQUIRE(Reader.read(Frame).has_value());
-  CHECK(*Reader.read(Frame) == Question);
+  CHECK(*Reader.read(Frame) == Request);
 }
 
-TEST_CASE("What isn't a whole frame of this format is refused", "[relay]") {
-  // A build with another sample would unpack to something that nobody said: an
-  // answer for another statement, a write that no caller sent.
+TEST_CASE("Data that is not a complete frame of this format is rejected",
+          "[relay]") {
+  // A build with another compression dictionary would decode a message that was
+  // never sent, such as an answer to another statement or a write that no
+  // caller requested.
   RelayCodec Frames;
-  const std::string Good = Frames.write(answersTo(letters(200)));
+  const std::string Good = Frames.write(answersTo(randomLetters(200)));
   CHECK_FALSE(Frames.read("").has_value());
-  std::string Other = Good;
-  Other.front() = static_cast<char>(RelayCodec::FormatVersion - 1);
-  CHECK_FALSE(Frames.read(Other).has_value());
-  CHECK_FALSE(Frames.read(encode(leaderRead())).has_value());
+  std::string OtherVersion = Good;
+  OtherVersion.front() = static_cast<char>(RelayCodec::FormatVersion - 1);
+  CHECK_FALSE(Frames.read(OtherVersion).has_value());
+  CHECK_FALSE(Frames.read(encode(primaryRead())).has_value());
   CHECK_FALSE(Frames.read(Good + "x").has_value());
   for (std::size_t Length = 0; Length < Good.size(); ++Length)
     CHECK_FALSE(Frames.read(Good.substr(0, Length)).has_value());
 }
 
-TEST_CASE("The sample is the one of its format", "[relay]") {
-  // Where this fails, messages or the sample have changed: raise the format,
-  // so that builds before and after refuse each other's frames.
-  const std::string Sample = RelayCodec::compressionDictionary();
+TEST_CASE("The compression dictionary matches its format version", "[relay]") {
+  // If this fails, the messages or the dictionary have changed. Increment the
+  // format version, so that older and newer builds reject each other's frames.
+  const std::string Dictionary = RelayCodec::compressionDictionary();
   REQUIRE(RelayCodec::FormatVersion == 3);
-  CHECK(XXH64(Sample.data(), Sample.size(), 0) == 0x8b0d47f98bfaa1bb);
+  CHECK(XXH64(Dictionary.data(), Dictionary.size(), 0) == 0x8b0d47f98bfaa1bb);
 }
 
-TEST_CASE("All that is said within one turn travels in one frame",
+TEST_CASE("Messages of one event loop iteration are sent in one frame",
           "[relay][load]") {
-  // Each frame has a digest of its own and may wake its reader: a read at the
-  // leader has three answers.
+  // Each frame has its own digest and may wake its reader. A read at the
+  // primary has three answers.
   FakeLoop Loop;
   FakeHost Host(Loop, "proxy");
   RelayCodec Frames;
--- a/Tests/Unit/RelayLoadTest.cpp
+++ b/Tests/Unit/RelayLoadTest.cpp
@@ -1,7 +1,6 @@
 /// \file
-/// Who waits, who is refused and what is sent elsewhere where proxies carry
-/// each other's statements and there is more to do than can be done, or
-/// gateways are silent.
+/// Queueing, refusal and retries of relayed statements under overload or when
+/// gateways do not answer.
 
 #include "FakeRelay.h"
 
@@ -14,7 +13,7 @@
 using Kind = StatementKind;
 using Setup = RelaySetup;
 
-/// Streams that nobody answers on; keeps the frames that were sent.
+/// Streams without a responding peer, which record the frames sent on them.
 class SilentStreams final : public PeerStreams {
 public:
   std::shared_ptr<PeerStream> connect(const Endpoint &,
@@ -36,11 +35,9 @@
 
 } // namespace
 
-TEST_CASE("A silent gateway is asked for a sign of life once",
-          "[relay][load]") {
-  // It has more to do than it can. Asked again at each look, by hundreds of
-  // proxies, it would be kept busy with the questions alone: thousands a
-  // second.
+TEST_CASE("A gateway that does not answer is pinged once", "[relay][load]") {
+  // The gateway is overloaded. If hundreds of proxies sent a ping at each
+  // check, thousands of pings a second would take all of its time.
   FakeLoop Loop;
   FakeHost Host(Loop, "p");
   SilentStreams Streams;
@@ -63,41 +60,40 @@
   CHECK_FALSE(Peer.isAvailable());
 }
 
-TEST_CASE("A frozen gateway costs a read less than its patience twice",
-          "[relay]") {
-  // A gateway stands still with open streams: nothing is refused and nothing
-  // answered. Callers must not wait to their deadlines for it.
-  Setup On;
-  for (const std::size_t Each : On.System.gateways("a"))
-    if (Each != On.System.gateways("a").back())
-      On.System.proxy(Each).Host.freeze();
-  const std::size_t Proxy = On.System.nonGateway("a");
-  const Millis Began = On.Loop.now();
-  const auto Session = On.System.connect(Proxy, "primary");
-  const auto Answer = On.System.ask(Session, Kind::Read, "r1", "FETCH x");
-  CHECK(On.Loop.now() - Began <= Millis(800));
-  const auto Again = On.System.ask(Session, Kind::Read, "r2", "FETCH x");
+TEST_CASE("A frozen gateway delays a read by at most 800 ms", "[relay]") {
+  // Gateways hang with open streams, so statements are neither refused nor
+  // answered. Callers must not wait for them until their deadlines.
+  Setup Fixture;
+  for (const std::size_t Each : Fixture.System.gateways("a"))
+    if (Each != Fixture.System.gateways("a").back())
+      Fixture.System.proxy(Each).Host.freeze();
+  const std::size_t Proxy = Fixture.System.nonGateway("a");
+  const Millis Start = Fixture.Loop.now();
+  const auto Session = Fixture.System.connect(Proxy, "primary");
+  const auto Answer = Fixture.System.ask(Session, Kind::Read, "r1", "FETCH x");
+  CHECK(Fixture.Loop.now() - Start <= Millis(800));
+  const auto Again = Fixture.System.ask(Session, Kind::Read, "r2", "FETCH x");
   CHECK_FALSE(Again.Refusal);
   (void)Answer;
 }
 
-TEST_CASE("A read whose floor can't be had is tried all the same", "[relay]") {
-  // Proxies that have seen no answer of the leader lately ask it for its
-  // position first. One of the gateways stands still, and the question through
-  // it gets lost. That took longer than a statement may wait in the queue, so
-  // the reads behind it were refused, "come back after 0 ms", without a try.
-  Setup On(60, 40);
-  const std::size_t Frozen = On.System.gateways("a").front();
-  On.System.proxy(Frozen).Host.freeze();
+TEST_CASE("A read whose floor cannot be determined is still tried", "[relay]") {
+  // Proxies without a recent answer from the primary request its position
+  // first. One of the gateways hangs, so requests through it are lost. Guards
+  // against waiting for such a request longer than a statement may be queued:
+  // the reads behind it are then refused untried with a retry delay of 0 ms.
+  Setup Fixture(60, 40);
+  const std::size_t Frozen = Fixture.System.gateways("a").front();
+  Fixture.System.proxy(Frozen).Host.freeze();
   std::vector<FakeRelaySystem::Session> Sessions;
   for (std::size_t Proxy = 0; Proxy < 60; ++Proxy) {
     if (Proxy == Frozen)
       continue;
-    Sessions.push_back(On.System.connect(Proxy, "bounded"));
-    On.System.send(Sessions.back(), Kind::Read, "r" + std::to_string(Proxy),
-                   "FETCH x");
+    Sessions.push_back(Fixture.System.connect(Proxy, "bounded"));
+    Fixture.System.send(Sessions.back(), Kind::Read,
+                        "r" + std::to_string(Proxy), "FETCH x");
   }
-  On.Loop.runFor(Millis(300));
+  Fixture.Loop.runFor(Millis(300));
   for (const auto &Each : Sessions) {
     REQUIRE(Each.Caller->Answers.size() == 1);
     INFO((Each.Caller->last().Refusal ? Each.Caller->last().Refusal->Reason
@@ -106,35 +102,36 @@
   }
 }
 
-TEST_CASE("Half of all proxies gone, the others' reads are served in time",
+TEST_CASE("Reads are served in time when half of all proxies crash",
           "[relay][load]") {
-  // Thirty of sixty proxies lose power without a word. To each of the others
-  // every dead gateway is news: nearly all statements through one are the first
-  // to meet it. Held until the gateway is given up, their callers would be
-  // refused after 250 to 400 ms; sent once more through another, reads are
-  // answered within 200 ms. Writes wait: they may have run.
-  Setup On(60, 40);
+  // Thirty of sixty proxies lose power without closing their connections. Each
+  // other proxy has to detect every failed gateway itself, so nearly every
+  // statement through one is the first to fail. If reads waited until the
+  // gateway is considered failed, they would be refused after 250 to 400 ms.
+  // Retried through another gateway, they are answered within 200 ms. Writes
+  // are not retried, because they may have been executed.
+  Setup Fixture(60, 40);
   std::vector<FakeRelaySystem::Session> Sessions;
   for (std::size_t Proxy = 0; Proxy < 60; ++Proxy)
-    Sessions.push_back(On.System.connect(Proxy, "own"));
+    Sessions.push_back(Fixture.System.connect(Proxy, "own"));
   for (int Round = 0; Round < 40; ++Round) {
     for (const auto &Each : Sessions)
-      On.System.send(Each, Kind::Read, "warm", "FETCH x");
-    On.Loop.runFor(Millis(50));
+      Fixture.System.send(Each, Kind::Read, "warm", "FETCH x");
+    Fixture.Loop.runFor(Millis(50));
   }
   for (std::size_t Proxy = 0; Proxy < 60; Proxy += 2)
-    On.System.proxy(Proxy).Host.freeze();
+    Fixture.System.proxy(Proxy).Host.freeze();
   std::size_t Sent = 0;
   std::size_t InTime = 0;
   for (int Round = 0; Round < 4; ++Round) {
     std::vector<std::size_t> Before;
     for (std::size_t Proxy = 1; Proxy < 60; Proxy += 2) {
       Before.push_back(Sessions[Proxy].Caller->Answers.size());
-      On.System.send(Sessions[Proxy], Kind::Read,
-                     "r" + std::to_string(Round) + "-" + std::to_string(Proxy),
-                     "FETCH x");
+      Fixture.System.send(
+          Sessions[Proxy], Kind::Read,
+          "r" + std::to_string(Round) + "-" + std::to_string(Proxy), "FETCH x");
     }
-    On.Loop.runFor(Millis(200));
+    Fixture.Loop.runFor(Millis(200));
     for (std::size_t Each = 0; Each < Before.size(); ++Each) {
       const auto &Answers = Sessions[2 * Each + 1].Caller->Answers;
       ++Sent;
@@ -144,61 +141,60 @@
   CHECK(InTime * 10 >= Sent * 9);
 }
 
-TEST_CASE("Reads aren't sent twice while answers are slow everywhere",
-          "[relay][load]") {
-  // Far more comes than can be done: answers take five times as long from all,
-  // and some gateways don't even say that they live. Sent once more elsewhere,
-  // the reads that wait for them would be load on top of that, and so on until
-  // nothing is answered in time any more.
-  Setup On(60, 40);
+TEST_CASE("Reads are not retried while all answers are slow", "[relay][load]") {
+  // Under overload, all answers take five times as long, and some gateways do
+  // not even answer pings. Retrying the reads that wait for them would add load
+  // until no statement is answered in time.
+  Setup Fixture(60, 40);
   std::vector<FakeRelaySystem::Session> Sessions;
   for (std::size_t Proxy = 1; Proxy < 60; Proxy += 2)
-    Sessions.push_back(On.System.connect(Proxy, "own"));
+    Sessions.push_back(Fixture.System.connect(Proxy, "own"));
   const auto SendAll = [&](Millis Pause) {
     for (const auto &Each : Sessions)
-      On.System.send(Each, Kind::Read, "r", "FETCH x");
-    On.Loop.runFor(Pause);
+      Fixture.System.send(Each, Kind::Read, "r", "FETCH x");
+    Fixture.Loop.runFor(Pause);
   };
   for (int Round = 0; Round < 40; ++Round)
     SendAll(Millis(50));
-  On.Group.ExecutionTime = On.Group.ExecutionTime * 5;
+  Fixture.Group.ExecutionTime = Fixture.Group.ExecutionTime * 5;
   for (int Round = 0; Round < 40; ++Round)
     SendAll(Millis(50));
   for (std::size_t Proxy = 0; Proxy < 60; Proxy += 2)
-    On.System.proxy(Proxy).Host.freeze();
+    Fixture.System.proxy(Proxy).Host.freeze();
   const auto Retries = [&] {
     std::size_t Out = 0;
     for (std::size_t Proxy = 1; Proxy < 60; Proxy += 2)
-      Out += On.System.proxy(Proxy).Pipeline.counts().Retries;
+      Out += Fixture.System.proxy(Proxy).Pipeline.counts().Retries;
     return Out;
   };
   const std::size_t Before = Retries();
   SendAll(Millis(200));
-  // At most one in twenty.
+  // At most one read in twenty may be retried.
   CHECK((Retries() - Before) * 20 <= Sessions.size());
 }
 
-TEST_CASE("A gateway that is silent though asked gets nothing new", "[relay]") {
-  // One of two gateways stands still. Two reads went out, one of them through
-  // it. A quarter of a second later, before its silence is long enough to end
-  // what it holds, more come: each that still went there would wait as long.
-  Setup On;
-  const std::size_t Proxy = On.System.nonGateway("a");
-  const auto Early = On.System.connect(Proxy, "primary");
-  const auto Other = On.System.connect(Proxy, "primary");
-  On.System.ask(Early, Kind::Read, "e1", "FETCH x");
-  On.System.ask(Other, Kind::Read, "o1", "FETCH x");
-  On.System.proxy(On.System.gateways("a").front()).Host.freeze();
-  On.System.send(Early, Kind::Read, "e2", "FETCH x");
-  On.System.send(Other, Kind::Read, "o2", "FETCH x");
-  On.Loop.runFor(Millis(250));
+TEST_CASE("A gateway that does not answer a ping gets no new statements",
+          "[relay]") {
+  // One of two gateways hangs after two reads were sent, one of them through
+  // it. More reads arrive 250 ms later, before the gateway is considered failed
+  // and its statements are ended. Each one sent to it would wait as long.
+  Setup Fixture;
+  const std::size_t Proxy = Fixture.System.nonGateway("a");
+  const auto Early = Fixture.System.connect(Proxy, "primary");
+  const auto Other = Fixture.System.connect(Proxy, "primary");
+  Fixture.System.ask(Early, Kind::Read, "e1", "FETCH x");
+  Fixture.System.ask(Other, Kind::Read, "o1", "FETCH x");
+  Fixture.System.proxy(Fixture.System.gateways("a").front()).Host.freeze();
+  Fixture.System.send(Early, Kind::Read, "e2", "FETCH x");
+  Fixture.System.send(Other, Kind::Read, "o2", "FETCH x");
+  Fixture.Loop.runFor(Millis(250));
   std::vector<FakeRelaySystem::Session> Late;
   for (int Each = 0; Each < 10; ++Each) {
-    Late.push_back(On.System.connect(Proxy, "primary"));
-    On.System.send(Late.back(), Kind::Read, "l" + std::to_string(Each),
-                   "FETCH x");
+    Late.push_back(Fixture.System.connect(Proxy, "primary"));
+    Fixture.System.send(Late.back(), Kind::Read, "l" + std::to_string(Each),
+                        "FETCH x");
   }
-  On.Loop.runFor(Millis(60));
+  Fixture.Loop.runFor(Millis(60));
   std::size_t Served = 0;
   for (const auto &Each : Late)
     for (const StatementAnswer &Answer : Each.Caller->Answers)
@@ -206,100 +202,104 @@
   CHECK(Served == Late.size());
 }
 
-TEST_CASE("What waits too long for a connection is refused, truly not run",
-          "[relay]") {
-  // Transactions hold every connection. A write waits at the gateway, its
-  // caller is told that it didn't run, and goes elsewhere: it must never run
-  // here once a connection comes free.
-  Setup On(12, 4);
+TEST_CASE(
+    "A write that waits too long for a connection is refused and never runs",
+    "[relay]") {
+  // Transactions hold every connection, and a write is queued at the gateway.
+  // It is refused as not executed, so its caller may retry it elsewhere. It
+  // must not be executed here when a connection becomes available.
+  Setup Fixture(12, 4);
   std::vector<FakeRelaySystem::Session> Holders;
   for (std::size_t Each = 0; Each < 12; ++Each) {
-    Holders.push_back(On.System.connect(Each, "primary"));
-    On.System.send(Holders.back(), Kind::Begin);
-    On.System.send(Holders.back(), Kind::Write, "h" + std::to_string(Each),
-                   "STORE x 1");
+    Holders.push_back(Fixture.System.connect(Each, "primary"));
+    Fixture.System.send(Holders.back(), Kind::Begin);
+    Fixture.System.send(Holders.back(), Kind::Write, "h" + std::to_string(Each),
+                        "STORE x 1");
   }
-  On.Loop.runFor(Millis(300));
-  REQUIRE(On.Group.Servers["a"].OpenConnections == 4);
-  const auto Late = On.System.connect(On.System.nonGateway("a"), "primary");
-  const Millis Began = On.Loop.now();
-  const auto Answer = On.System.ask(Late, Kind::Write, "w1", "STORE x 1");
+  Fixture.Loop.runFor(Millis(300));
+  REQUIRE(Fixture.Group.Servers["a"].OpenConnections == 4);
+  const auto Late =
+      Fixture.System.connect(Fixture.System.nonGateway("a"), "primary");
+  const Millis Start = Fixture.Loop.now();
+  const auto Answer = Fixture.System.ask(Late, Kind::Write, "w1", "STORE x 1");
   REQUIRE(Answer.Refusal);
   CHECK(Answer.Refusal->Code == RefusalCode::Busy);
-  CHECK(On.Loop.now() - Began < Millis(500));
+  CHECK(Fixture.Loop.now() - Start < Millis(500));
   for (const auto &Each : Holders)
-    On.System.send(Each, Kind::Rollback);
-  On.Loop.runFor(Millis(3000));
-  CHECK(On.Group.runs("w1") == 0);
+    Fixture.System.send(Each, Kind::Rollback);
+  Fixture.Loop.runFor(Millis(3000));
+  CHECK(Fixture.Group.runs("w1") == 0);
 }
 
-TEST_CASE("A statement that waits is refused while its caller has time left",
+TEST_CASE("A queued statement is refused while its caller has time left",
           "[relay]") {
-  // A burst: far more statements than the primary's connections carry. Held
-  // to the end of their times, all of them would be late or lost; refused
-  // after their objective, callers can still try elsewhere.
-  Setup On(12, 4);
-  On.Group.ExecutionTime = Millis(40);
-  const auto Sessions = On.sendWrites(60);
-  On.Loop.runFor(Millis(200));
+  // A burst of statements exceeds the capacity of the primary's connections. If
+  // they were queued until their deadlines, all of them would be late or lost.
+  // Refused after their objective, they can still be retried elsewhere.
+  Setup Fixture(12, 4);
+  Fixture.Group.ExecutionTime = Millis(40);
+  const auto Sessions = Fixture.sendWrites(60);
+  Fixture.Loop.runFor(Millis(200));
   std::size_t Answered = 0;
   for (std::size_t Each = 0; Each < 60; ++Each) {
     Answered += Sessions[Each].Caller->Answers.size();
     for (const StatementAnswer &Answer : Sessions[Each].Caller->Answers)
       if (Answer.Refusal)
-        CHECK(On.Group.runs("w" + std::to_string(Each)) == 0);
+        CHECK(Fixture.Group.runs("w" + std::to_string(Each)) == 0);
   }
   CHECK(Answered >= 55);
 }
 
-TEST_CASE("Gateways open nothing while the target has all that it takes",
+TEST_CASE("Gateways open no connections while the target is saturated",
           "[relay][load]") {
-  // Everything has just started and all callers come at once. Each new
-  // connection takes a slot for as long as several statements do, and with the
-  // slots taken it has nothing to carry: callers would wait for it in vain.
-  Setup On(60, 40);
-  On.Group.ExecutionTime = Millis(40);
-  const auto Sessions = On.sendWrites(180);
-  const std::size_t Before = On.Group.Servers["a"].ConnectionAttempts;
-  On.Loop.runFor(Millis(200));
-  const std::size_t Gateways = On.System.gateways("a").size();
-  CHECK(On.Group.Servers["a"].ConnectionAttempts - Before <= Gateways);
-  // Transactions that rest hold connections without keeping the target busy:
-  // then others are opened.
+  // The system has just started and all callers arrive at once. Opening a
+  // connection takes a slot for as long as several statements, and while all
+  // slots are taken it cannot be used, so callers would wait without benefit.
+  Setup Fixture(60, 40);
+  Fixture.Group.ExecutionTime = Millis(40);
+  const auto Sessions = Fixture.sendWrites(180);
+  const std::size_t Before = Fixture.Group.Servers["a"].ConnectionAttempts;
+  Fixture.Loop.runFor(Millis(200));
+  const std::size_t Gateways = Fixture.System.gateways("a").size();
+  CHECK(Fixture.Group.Servers["a"].ConnectionAttempts - Before <= Gateways);
+  // Idle transactions hold connections without keeping the target busy, so
+  // further connections are opened.
   for (const auto &Each : Sessions) {
-    On.System.send(Each, Kind::Begin);
-    On.System.send(Each, Kind::Write, "t", "STORE x 1");
+    Fixture.System.send(Each, Kind::Begin);
+    Fixture.System.send(Each, Kind::Write, "t", "STORE x 1");
   }
-  On.Loop.runFor(Millis(1000));
-  CHECK(On.Group.Servers["a"].OpenConnections > Gateways * 3);
+  Fixture.Loop.runFor(Millis(1000));
+  CHECK(Fixture.Group.Servers["a"].OpenConnections > Gateways * 3);
 }
 
-TEST_CASE("Many refused at once at a gateway get one answer each", "[relay]") {
-  // The gateway's own callers begin transactions while it can't reach the
-  // target. Each opening is refused within the call that sent it, and the
-  // connection goes to the next that waits, who is refused as well; the
-  // answers still owed to the first must not be told to its caller.
-  Setup On;
-  const std::size_t Gateway = On.System.gateways("a").front();
+TEST_CASE("Statements refused at once at a gateway get one answer each",
+          "[relay]") {
+  // Callers of the gateway itself begin transactions while it cannot reach the
+  // target. Each connection attempt is refused within the call that started it.
+  // The connection then goes to the next waiter, which is refused as well. The
+  // pending answers of the first must not be sent to its caller.
+  Setup Fixture;
+  const std::size_t Gateway = Fixture.System.gateways("a").front();
   for (std::size_t Each = 0; Each < 12; ++Each)
-    On.System.proxy(Each).Access.Cut = {"a"};
-  On.Loop.runFor(Millis(500));
-  On.Group.Servers["a"].IsUp = false;
+    Fixture.System.proxy(Each).Access.Cut = {"a"};
+  Fixture.Loop.runFor(Millis(500));
+  Fixture.Group.Servers["a"].IsUp = false;
   std::vector<FakeRelaySystem::Session> Sessions;
   for (int Round = 0; Round < 20; ++Round) {
     for (int Each = 0; Each < 6; ++Each) {
-      Sessions.push_back(On.System.connect(Gateway, "primary"));
+      Sessions.push_back(Fixture.System.connect(Gateway, "primary"));
       const std::string Id = std::to_string(Round) + "-" + std::to_string(Each);
       if (Each % 3 == 0) {
-        On.System.send(Sessions.back(), Kind::Write, "w" + Id, "STORE x 1");
+        Fixture.System.send(Sessions.back(), Kind::Write, "w" + Id,
+                            "STORE x 1");
       } else {
-        On.System.send(Sessions.back(), Kind::Begin);
-        On.System.send(Sessions.back(), Kind::Read, "r" + Id, "FETCH x");
+        Fixture.System.send(Sessions.back(), Kind::Begin);
+        Fixture.System.send(Sessions.back(), Kind::Read, "r" + Id, "FETCH x");
       }
     }
-    On.Loop.runFor(Millis(35));
+    Fixture.Loop.runFor(Millis(35));
   }
-  On.Loop.runFor(Millis(3000));
+  Fixture.Loop.runFor(Millis(3000));
   for (std::size_t Each = 0; Each < Sessions.size(); ++Each) {
     const auto &Answers = Sessions[Each].Caller->Answers;
     const std::size_t Expected = Each % 6 % 3 == 0 ? 1 : 2;
--- a/Tests/Unit/RelayStressTest.cpp
+++ b/Tests/Unit/RelayStressTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Proxies that carry each other's statements, under more load than targets
-/// take, while everything around them comes and goes.
+/// Proxies that relay statements, under more load than the targets can take,
+/// while targets, gateways and callers fail and recover.
 
 #include "FakeRelay.h"
 
@@ -13,21 +13,21 @@
 
 using Kind = StatementKind;
 
-/// What else happens on a random day.
-struct DayKind {
-  bool LosesProcessor = false; ///< Time passes between readings of the clock.
-  bool SendsAhead = false;     ///< Callers don't wait for answers.
+/// Additional conditions of a random run.
+struct RunOptions {
+  bool IsDescheduled = false; ///< Time passes between clock reads.
+  bool SendsAhead = false;    ///< Callers do not wait for answers.
 };
 
-/// Callers that send at random, faults at random; the same for a seed.
-class RandomDay {
+/// Random statements of callers and random faults, reproducible from a seed.
+class RandomRun {
 public:
-  explicit RandomDay(std::uint64_t Seed, DayKind Kind = {})
-      : How(Kind), Random(Seed), System(Loop, Group, ProxyCount, 12) {
-    if (How.LosesProcessor) {
-      const auto AtReading = randomPauses(1, 200);
+  explicit RandomRun(std::uint64_t Seed, RunOptions Kind = {})
+      : Options(Kind), Random(Seed), System(Loop, Group, ProxyCount, 12) {
+    if (Options.IsDescheduled) {
+      const auto OnRead = randomPauses(1, 200);
       for (std::size_t Each = 0; Each < ProxyCount; ++Each)
-        System.proxy(Each).Host.OnClockRead = AtReading;
+        System.proxy(Each).Host.OnClockRead = OnRead;
     }
     Loop.runFor(Millis(100));
     for (std::size_t Each = 0; Each < SessionCount; ++Each)
@@ -39,27 +39,27 @@
       for (int Each = 0; Each < 8; ++Each)
         act(Callers[below(Callers.size())]);
       if (below(12) == 0)
-        breakSomething();
+        injectFault();
       if (below(6) == 0)
-        mendAll();
+        clearFaults();
       Loop.runFor(Millis(static_cast<std::int64_t>(below(6))));
     }
-    mendAll();
+    clearFaults();
     Loop.runFor(Millis(6000));
   }
 
-  /// Every statement has one answer, or its caller has left.
+  /// Checks that every statement has one answer unless its caller has left.
   void checkAnswers() const {
     for (const Caller &Each : Callers)
-      if (!Each.On.Caller->IsClosed)
-        CHECK(Each.On.Caller->Answers.size() == Each.Sent);
+      if (!Each.Session.Caller->IsClosed)
+        CHECK(Each.Session.Caller->Answers.size() == Each.Sent);
   }
 
 private:
   struct Caller {
-    FakeRelaySystem::Session On;
+    FakeRelaySystem::Session Session;
     std::size_t Sent = 0;
-    int Depth = 0; ///< Statements since its transaction began; 0 outside.
+    int Depth = 0; ///< Statements in the open transaction, or 0.
   };
 
   std::size_t below(std::size_t Bound) { return Random() % Bound; }
@@ -69,37 +69,39 @@
     return System.connect(below(ProxyCount), Routes[below(3)]);
   }
 
-  void act(Caller &Who) {
-    // A session has one statement under way, as callers of the platform do.
-    const std::size_t Due = Who.Sent - Who.On.Caller->Answers.size();
-    if (Due > 0 && (!How.SendsAhead || Due > 8)) {
+  void act(Caller &Client) {
+    // Without SendsAhead, a session has one statement in flight, as callers of
+    // the platform do.
+    const std::size_t Pending =
+        Client.Sent - Client.Session.Caller->Answers.size();
+    if (Pending > 0 && (!Options.SendsAhead || Pending > 8)) {
       if (below(40) == 0)
-        leave(Who);
+        leave(Client);
       return;
     }
     const std::string Id = "s" + std::to_string(NextId++);
-    ++Who.Sent;
-    if (Who.Depth == 0 && below(3) == 0) {
-      Who.Depth = 1;
-      return System.send(Who.On, Kind::Begin);
+    ++Client.Sent;
+    if (Client.Depth == 0 && below(3) == 0) {
+      Client.Depth = 1;
+      return System.send(Client.Session, Kind::Begin);
     }
-    if (Who.Depth > 2 && below(2) == 0) {
-      Who.Depth = 0;
-      return System.send(Who.On, below(4) == 0 ? Kind::Rollback : Kind::Commit,
-                         Id);
+    if (Client.Depth > 2 && below(2) == 0) {
+      Client.Depth = 0;
+      return System.send(Client.Session,
+                         below(4) == 0 ? Kind::Rollback : Kind::Commit, Id);
     }
-    Who.Depth += Who.Depth > 0 ? 1 : 0;
+    Client.Depth += Client.Depth > 0 ? 1 : 0;
     if (below(3) == 0)
-      return System.send(Who.On, Kind::Write, Id, "STORE x 1");
-    System.send(Who.On, Kind::Read, Id, "FETCH x");
+      return System.send(Client.Session, Kind::Write, Id, "STORE x 1");
+    System.send(Client.Session, Kind::Read, Id, "FETCH x");
   }
 
-  void leave(Caller &Who) {
-    Who.On.At->Pipeline.handleDisconnect(Who.On.Id);
-    Who = {connect(), 0, 0};
+  void leave(Caller &Client) {
+    Client.Session.At->Pipeline.handleDisconnect(Client.Session.Id);
+    Client = {connect(), 0, 0};
   }
 
-  void breakSomething() {
+  void injectFault() {
     FakeGroup::Server &Target =
         Group.Servers[std::string(1, static_cast<char>('a' + below(3)))];
     switch (below(5)) {
@@ -121,7 +123,7 @@
     System.updateDirectories();
   }
 
-  void mendAll() {
+  void clearFaults() {
     for (auto &[Name, Each] : Group.Servers) {
       Each.IsUp = true;
       Each.IsUnresponsive = false;
@@ -135,7 +137,7 @@
   static constexpr std::size_t ProxyCount = 10;
   static constexpr std::size_t SessionCount = 60;
 
-  DayKind How;
+  RunOptions Options;
   std::mt19937_64 Random;
   FakeLoop Loop;
   FakeGroup Group{Loop, {"a", "b", "c"}};
@@ -146,26 +148,26 @@
 
 } // namespace
 
-TEST_CASE("Statements of an overloaded, breaking system get one answer each",
+TEST_CASE("Statements get one answer each under overload and faults",
           "[relay][stress]") {
-  // Sixty sessions press on three targets of twelve connections through ten
-  // proxies. Targets go away, fall silent and refuse, gateways lose their way
-  // or stop, callers leave: whoever is refused at once may be refused inside
-  // the call that ended somebody else's statement. A link destroyed there
-  // while it's in use ends the process.
+  // Sixty sessions load three targets of twelve connections through ten
+  // proxies. Targets stop, hang and refuse, gateways lose their connection to
+  // targets or stop, and callers leave. A statement can be refused inside the
+  // call that ends a statement of another session. Guards against destroying a
+  // link there while it is in use, which ends the process.
   const auto Seed = GENERATE(range(1, 25));
-  RandomDay Day(static_cast<std::uint64_t>(Seed));
-  Day.run(700);
-  Day.checkAnswers();
+  RandomRun Run(static_cast<std::uint64_t>(Seed));
+  Run.run(700);
+  Run.checkAnswers();
 }
 
-TEST_CASE("Statements get one answer each though proxies lose the processor",
+TEST_CASE("Statements get one answer each when proxies are descheduled",
           "[relay][stress][time]") {
-  // Guards against decisions that read the clock more than once, while callers
-  // also send ahead of their answers.
+  // Guards against decisions that read the clock more than once. With even
+  // seeds callers also send statements before earlier ones are answered.
   const auto Seed = GENERATE(range(101, 117));
-  RandomDay Day(static_cast<std::uint64_t>(Seed),
-                {.LosesProcessor = true, .SendsAhead = Seed % 2 == 0});
-  Day.run(500);
-  Day.checkAnswers();
+  RandomRun Run(static_cast<std::uint64_t>(Seed),
+                {.IsDescheduled = true, .SendsAhead = Seed % 2 == 0});
+  Run.run(500);
+  Run.checkAnswers();
 }
--- a/Tests/Unit/RelayTest.cpp
+++ b/Tests/Unit/RelayTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What callers get where targets take fewer connections than there are
-/// proxies, and proxies carry each other's statements.
+/// Relaying of statements between proxies when targets accept fewer connections
+/// than there are proxies.
 
 #include "FakeRelay.h"
 
@@ -26,11 +26,11 @@
 std::vector<TargetRecord> targets(std::size_t Count) {
   std::vector<TargetRecord> Out;
   for (std::size_t Each = 0; Each < Count; ++Each) {
-    TargetRecord Made;
-    Made.Id = "target-" + std::to_string(Each);
-    Made.Group = "group";
-    Made.FailureDomain = "domain-" + std::to_string(Each % 3);
-    Out.push_back(Made);
+    TargetRecord Record;
+    Record.Id = "target-" + std::to_string(Each);
+    Record.Group = "group";
+    Record.FailureDomain = "domain-" + std::to_string(Each % 3);
+    Out.push_back(Record);
   }
   return Out;
 }
@@ -42,47 +42,47 @@
   const GatewayTable Table(All, targets(24), {{"group", 3}});
   std::map<std::string, std::size_t> Load;
   for (const TargetRecord &Target : targets(24)) {
-    const auto &Known = Table.gatewaysOf(Target.Id);
-    REQUIRE(Known.size() > 3);
+    const auto &Gateways = Table.gatewaysOf(Target.Id);
+    REQUIRE(Gateways.size() > 3);
     for (std::size_t Each = 0; Each < 3; ++Each) {
-      CHECK(Known[Each].FailureDomain == Target.FailureDomain);
-      ++Load[Known[Each].Name];
+      CHECK(Gateways[Each].FailureDomain == Target.FailureDomain);
+      ++Load[Gateways[Each].Name];
     }
   }
   for (const auto &[Name, Count] : Load)
     CHECK(Count <= 2);
 }
 
-TEST_CASE("A proxy that leaves moves few connections", "[relay]") {
-  // Each gateway that changes costs its target new connections. One restart
-  // among many proxies must not make all of them anew.
+TEST_CASE("Removing a proxy moves few connections", "[relay]") {
+  // Each change of a gateway costs its target new connections. The restart of
+  // one of many proxies must not cause all connections to be reopened.
   const auto All = proxies(87);
   const GatewayTable Before(All, targets(24), {{"group", 3}});
   std::size_t Moved = 0;
-  for (std::size_t Gone = 0; Gone < All.size(); ++Gone) {
+  for (std::size_t Removed = 0; Removed < All.size(); ++Removed) {
     auto Rest = All;
-    Rest.erase(Rest.begin() + static_cast<std::ptrdiff_t>(Gone));
+    Rest.erase(Rest.begin() + static_cast<std::ptrdiff_t>(Removed));
     const GatewayTable After(Rest, targets(24), {{"group", 3}});
     for (const TargetRecord &Target : targets(24))
       for (std::size_t Each = 0; Each < 3; ++Each) {
-        const ProxyRecord &Was = Before.gatewaysOf(Target.Id)[Each];
+        const ProxyRecord &Gateway = Before.gatewaysOf(Target.Id)[Each];
         const auto &Now = After.gatewaysOf(Target.Id);
-        if (Was != All[Gone] &&
-            std::find(Now.begin(), Now.begin() + 3, Was) == Now.begin() + 3)
+        if (Gateway != All[Removed] &&
+            std::find(Now.begin(), Now.begin() + 3, Gateway) == Now.begin() + 3)
           ++Moved;
       }
   }
   CHECK(Moved <= All.size() * 24 * 3 / 50);
 }
 
-TEST_CASE("Every proxy's callers are served over few connections", "[relay]") {
-  // Twelve proxies before targets that take ten connections each. Without
-  // gateways most proxies would get none, and their callers only refusals.
-  Setup On;
+TEST_CASE("Callers of every proxy are served over few connections", "[relay]") {
+  // Twelve proxies use targets that accept ten connections each. Without
+  // gateways, the callers of proxies without a connection would be refused.
+  Setup Fixture;
   std::vector<FakeRelaySystem::Session> Sessions;
   for (std::size_t Proxy = 0; Proxy < 12; ++Proxy)
     for (const char *Route : {"primary", "bounded", "own"})
-      Sessions.push_back(On.System.connect(Proxy, Route));
+      Sessions.push_back(Fixture.System.connect(Proxy, Route));
   std::size_t Served = 0;
   std::size_t Sent = 0;
   for (int Round = 0; Round < 20; ++Round) {
@@ -90,12 +90,12 @@
       const bool Writes = Each % 5 == 0;
       const std::string Id =
           "s" + std::to_string(Round) + "-" + std::to_string(Each);
-      On.System.send(Sessions[Each], Writes ? Kind::Write : Kind::Read, Id,
-                     Writes ? "STORE x 1" : "FETCH x");
+      Fixture.System.send(Sessions[Each], Writes ? Kind::Write : Kind::Read, Id,
+                          Writes ? "STORE x 1" : "FETCH x");
       ++Sent;
     }
-    On.Loop.runFor(Millis(100));
-    for (const auto &[Name, Each] : On.Group.Servers)
+    Fixture.Loop.runFor(Millis(100));
+    for (const auto &[Name, Each] : Fixture.Group.Servers)
       CHECK(Each.OpenConnections <= 10);
   }
   for (const auto &Each : Sessions)
@@ -104,10 +104,11 @@
   CHECK(Served == Sent);
 }
 
-TEST_CASE("Proxies that don't know each other yet open nothing", "[relay]") {
-  // Sixty proxies start at once: each has the plan and the targets, and for
-  // 400 ms no list of the others. Opened by each on its own, connections would
-  // be refused by targets that take ten, and each that is taken costs a slot.
+TEST_CASE("Proxies open no connections before they know each other",
+          "[relay]") {
+  // Sixty proxies start at once. Each has the plan and the targets, but no list
+  // of proxies for 400 ms. If each opened connections on its own, targets that
+  // accept ten would refuse most, and each accepted one would take a slot.
   FakeLoop Loop;
   FakeGroup Group{Loop, {"a", "b", "c"}};
   FakeRelaySystem System(Loop, Group, 60, 10, false);
@@ -125,9 +126,9 @@
   CHECK_FALSE(System.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
 }
 
-TEST_CASE("A proxy that is never told of others serves alone", "[relay]") {
-  // Control answers with a plan and dies before it knows the proxies. Callers
-  // must not wait for a list that nobody makes.
+TEST_CASE("A proxy that never receives a proxy list serves alone", "[relay]") {
+  // Control sends a plan and crashes before it knows the proxies. Callers must
+  // not wait for a list that is never sent.
   FakeLoop Loop;
   FakeGroup Group{Loop, {"a", "b", "c"}};
   FakeRelaySystem System(Loop, Group, 1, 10, false);
@@ -136,52 +137,56 @@
   CHECK_FALSE(System.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
 }
 
-TEST_CASE("Bounded reads of proxies that just started leave the leader alone",
+TEST_CASE("Bounded reads of proxies that just started avoid the primary",
           "[relay]") {
-  // No proxy has seen the leader yet, and all of them get reads at the same
-  // moment. Run at the leader, they would hold its slots while writes wait.
-  Setup On;
+  // No proxy has an answer from the primary yet, and all of them receive reads
+  // at the same time. Run at the primary, they would take its slots from
+  // writes.
+  Setup Fixture;
   std::vector<FakeRelaySystem::Session> Sessions;
   for (std::size_t Proxy = 0; Proxy < 12; ++Proxy)
     for (int Each = 0; Each < 4; ++Each)
       Sessions.push_back(
-          On.System.connect(Proxy, Each % 2 == 0 ? "bounded" : "own"));
+          Fixture.System.connect(Proxy, Each % 2 == 0 ? "bounded" : "own"));
   for (std::size_t Each = 0; Each < Sessions.size(); ++Each)
-    On.System.send(Sessions[Each], Kind::Read, "r" + std::to_string(Each),
-                   "FETCH x");
-  On.Loop.runFor(Millis(300));
+    Fixture.System.send(Sessions[Each], Kind::Read, "r" + std::to_string(Each),
+                        "FETCH x");
+  Fixture.Loop.runFor(Millis(300));
   std::size_t AtLeader = 0;
-  for (const FakeExecution &Run : On.Group.Runs)
+  for (const FakeExecution &Run : Fixture.Group.Runs)
     AtLeader += Run.InTransaction ? 1 : 0;
-  CHECK(On.Group.Runs.size() == Sessions.size());
+  CHECK(Fixture.Group.Runs.size() == Sessions.size());
   CHECK(AtLeader == 0);
 }
 
-TEST_CASE("A floor that another proxy showed is as good as an own one",
-          "[relay]") {
-  // A write is acknowledged at one proxy. A caller of another reads after the
-  // accepted age: its floor came by way of a gateway, and must hold the write
-  // though the replicas have stopped receiving.
-  Setup On;
-  const auto Writer = On.System.connect(On.System.nonGateway("a"), "primary");
-  On.Group.Servers["b"].IsReplicating = false;
-  On.Group.Servers["c"].IsReplicating = false;
-  REQUIRE_FALSE(On.System.ask(Writer, Kind::Write, "w1", "STORE x 1").Refusal);
-  On.Loop.runFor(Millis(1600));
+TEST_CASE("A floor received from another proxy is enforced", "[relay]") {
+  // A write is acknowledged at one proxy, and a caller of another reads after
+  // the accepted age. The floor of that proxy comes from a gateway and must
+  // include the write, although the replicas have stopped replicating.
+  Setup Fixture;
+  const auto Writer =
+      Fixture.System.connect(Fixture.System.nonGateway("a"), "primary");
+  Fixture.Group.Servers["b"].IsReplicating = false;
+  Fixture.Group.Servers["c"].IsReplicating = false;
+  REQUIRE_FALSE(
+      Fixture.System.ask(Writer, Kind::Write, "w1", "STORE x 1").Refusal);
+  Fixture.Loop.runFor(Millis(1600));
   for (std::size_t Proxy = 0; Proxy < 12; ++Proxy) {
-    const auto Reader = On.System.connect(Proxy, "bounded");
+    const auto Reader = Fixture.System.connect(Proxy, "bounded");
     const std::string Id = "r" + std::to_string(Proxy);
-    const auto Answer = On.System.ask(Reader, Kind::Read, Id, "FETCH x");
+    const auto Answer = Fixture.System.ask(Reader, Kind::Read, Id, "FETCH x");
     if (!Answer.Refusal)
-      CHECK(On.Group.run(Id)->At >= On.Group.Committed.at("w1"));
+      CHECK(Fixture.Group.run(Id)->At >= Fixture.Group.Committed.at("w1"));
   }
 }
 
-TEST_CASE("A session's values and prepared names go along to any gateway",
+TEST_CASE("Values and prepared names of a session apply at any gateway",
           "[relay]") {
-  Setup On;
-  const auto One = On.System.connect(On.System.nonGateway("a"), "primary");
-  const auto Other = On.System.connect(On.System.nonGateway("a"), "primary");
+  Setup Fixture;
+  const auto One =
+      Fixture.System.connect(Fixture.System.nonGateway("a"), "primary");
+  const auto Other =
+      Fixture.System.connect(Fixture.System.nonGateway("a"), "primary");
   Statement Set;
   Set.Kind = Kind::Set;
   Set.Name = "tenant";
@@ -200,137 +205,141 @@
     Execute.Name = "s1";
     Execute.Arguments = "7";
     One.At->Pipeline.receive(One.Id, Execute);
-    On.System.send(Other, Kind::Read, "o" + Number, "FETCH x");
-    On.Loop.runFor(Millis(30));
-    REQUIRE(On.Group.run("e" + Number) != nullptr);
-    CHECK(On.Group.run("e" + Number)->Text == "FETCH item 7");
-    CHECK(On.Group.run("e" + Number)->Values ==
+    Fixture.System.send(Other, Kind::Read, "o" + Number, "FETCH x");
+    Fixture.Loop.runFor(Millis(30));
+    REQUIRE(Fixture.Group.run("e" + Number) != nullptr);
+    CHECK(Fixture.Group.run("e" + Number)->Text == "FETCH item 7");
+    CHECK(Fixture.Group.run("e" + Number)->Values ==
           SessionValues{{"tenant", "one"}});
-    REQUIRE(On.Group.run("o" + Number) != nullptr);
-    CHECK(On.Group.run("o" + Number)->Values.empty());
-    // The gateway restarts or is left: the next one must learn the state.
+    REQUIRE(Fixture.Group.run("o" + Number) != nullptr);
+    CHECK(Fixture.Group.run("o" + Number)->Values.empty());
+    // The gateway is removed, so the next one must receive the session state.
     if (Round % 4 == 3) {
-      const auto Gateways = On.System.gateways("a");
+      const auto Gateways = Fixture.System.gateways("a");
       std::vector<std::size_t> Rest;
       for (std::size_t Each = 0; Each < 12; ++Each)
         if (Each != Gateways.front())
           Rest.push_back(Each);
-      On.System.setProxyList(Rest);
+      Fixture.System.setProxyList(Rest);
     }
   }
 }
 
-TEST_CASE("Statements of one transaction stay on one connection, alone",
+TEST_CASE("Statements of one transaction have one connection to themselves",
           "[relay]") {
-  Setup On(12, 4);
+  Setup Fixture(12, 4);
   std::vector<FakeRelaySystem::Session> Sessions;
   for (std::size_t Proxy = 0; Proxy < 12; ++Proxy)
-    Sessions.push_back(On.System.connect(Proxy, "primary"));
+    Sessions.push_back(Fixture.System.connect(Proxy, "primary"));
   for (std::size_t Each = 0; Each < Sessions.size(); ++Each) {
-    On.System.send(Sessions[Each], Kind::Begin);
+    Fixture.System.send(Sessions[Each], Kind::Begin);
     for (int Step = 0; Step < 3; ++Step)
-      On.System.send(Sessions[Each], Kind::Write,
-                     "t" + std::to_string(Each) + "-" + std::to_string(Step),
-                     "STORE x 1");
-    On.System.send(Sessions[Each], Kind::Commit, "c" + std::to_string(Each));
+      Fixture.System.send(
+          Sessions[Each], Kind::Write,
+          "t" + std::to_string(Each) + "-" + std::to_string(Step), "STORE x 1");
+    Fixture.System.send(Sessions[Each], Kind::Commit,
+                        "c" + std::to_string(Each));
   }
-  On.Loop.runFor(Millis(3000));
+  Fixture.Loop.runFor(Millis(3000));
   std::map<std::uint64_t, std::string> Open;
-  for (const FakeExecution &Run : On.Group.Runs) {
-    const std::string Of = Run.Id.substr(1, Run.Id.find('-') - 1);
-    auto &Inside = Open[Run.Connection];
-    CHECK((Inside.empty() || Inside == Of));
-    Inside = Run.Text == "COMMIT" ? "" : Of;
+  for (const FakeExecution &Run : Fixture.Group.Runs) {
+    const std::string Transaction = Run.Id.substr(1, Run.Id.find('-') - 1);
+    auto &Current = Open[Run.Connection];
+    CHECK((Current.empty() || Current == Transaction));
+    Current = Run.Text == "COMMIT" ? "" : Transaction;
     CHECK(Run.InTransaction);
   }
 }
 
-TEST_CASE("A write whose gateway dies is unknown and never sent again",
+TEST_CASE("A write whose gateway crashes is unknown and never retried",
           "[relay]") {
-  // The gateway is killed while it holds a write. Nobody can tell whether the
-  // target ran it; a second try could make one bale have two owners.
-  Setup On;
-  On.Group.ExecutionTime = Millis(50);
-  const std::size_t Proxy = On.System.nonGateway("a");
-  const auto Session = On.System.connect(Proxy, "primary");
-  On.System.send(Session, Kind::Write, "w1", "STORE x 1");
-  REQUIRE(On.Loop.runUntilTrue([&] { return On.Group.runs("w1") == 1; },
-                               Millis(1000)));
-  for (const std::size_t Each : On.System.gateways("a"))
-    On.System.proxy(Each).Host.kill();
-  On.Loop.runFor(Millis(2000));
+  // The gateway is killed while it relays a write. It is unknown whether the
+  // target executed it, so a retry could execute it twice.
+  Setup Fixture;
+  Fixture.Group.ExecutionTime = Millis(50);
+  const std::size_t Proxy = Fixture.System.nonGateway("a");
+  const auto Session = Fixture.System.connect(Proxy, "primary");
+  Fixture.System.send(Session, Kind::Write, "w1", "STORE x 1");
+  REQUIRE(Fixture.Loop.runUntilTrue(
+      [&] { return Fixture.Group.runs("w1") == 1; }, Millis(1000)));
+  for (const std::size_t Each : Fixture.System.gateways("a"))
+    Fixture.System.proxy(Each).Host.kill();
+  Fixture.Loop.runFor(Millis(2000));
   REQUIRE(Session.Caller->Answers.size() == 1);
   REQUIRE(Session.Caller->last().Refusal);
   CHECK(Session.Caller->last().Refusal->Code == RefusalCode::Unknown);
-  CHECK(On.Group.runs("w1") == 1);
+  CHECK(Fixture.Group.runs("w1") == 1);
 }
 
-TEST_CASE("A read whose gateway dies is served through another", "[relay]") {
-  Setup On;
-  On.Group.ExecutionTime = Millis(30);
-  const std::size_t Proxy = On.System.nonGateway("a");
-  const auto Session = On.System.connect(Proxy, "primary");
-  REQUIRE_FALSE(On.System.ask(Session, Kind::Read, "r0", "FETCH x").Refusal);
-  On.System.send(Session, Kind::Read, "r1", "FETCH x");
-  On.Loop.runFor(Millis(10));
-  for (const std::size_t Each : On.System.gateways("a"))
-    if (On.System.proxy(Each).Broker.isBusy())
-      On.System.proxy(Each).Host.kill();
-  On.Loop.runFor(Millis(400));
+TEST_CASE("A read whose gateway crashes is served through another", "[relay]") {
+  Setup Fixture;
+  Fixture.Group.ExecutionTime = Millis(30);
+  const std::size_t Proxy = Fixture.System.nonGateway("a");
+  const auto Session = Fixture.System.connect(Proxy, "primary");
+  REQUIRE_FALSE(
+      Fixture.System.ask(Session, Kind::Read, "r0", "FETCH x").Refusal);
+  Fixture.System.send(Session, Kind::Read, "r1", "FETCH x");
+  Fixture.Loop.runFor(Millis(10));
+  for (const std::size_t Each : Fixture.System.gateways("a"))
+    if (Fixture.System.proxy(Each).Broker.isBusy())
+      Fixture.System.proxy(Each).Host.kill();
+  Fixture.Loop.runFor(Millis(400));
   REQUIRE(Session.Caller->Answers.size() == 2);
   CHECK_FALSE(Session.Caller->last().Refusal);
 }
 
 TEST_CASE("A caller that leaves inside a transaction frees its connection",
           "[relay]") {
-  Setup On(12, 4);
+  Setup Fixture(12, 4);
   for (int Round = 0; Round < 20; ++Round) {
     const auto Session =
-        On.System.connect(On.System.nonGateway("a"), "primary");
-    On.System.ask(Session, Kind::Begin);
-    const auto Answer = On.System.ask(Session, Kind::Write,
-                                      "w" + std::to_string(Round), "STORE x 1");
+        Fixture.System.connect(Fixture.System.nonGateway("a"), "primary");
+    Fixture.System.ask(Session, Kind::Begin);
+    const auto Answer = Fixture.System.ask(
+        Session, Kind::Write, "w" + std::to_string(Round), "STORE x 1");
     CHECK_FALSE(Answer.Refusal);
     Session.At->Pipeline.handleDisconnect(Session.Id);
-    On.Loop.runFor(Millis(20));
+    Fixture.Loop.runFor(Millis(20));
   }
-  CHECK(On.Group.Committed.empty());
+  CHECK(Fixture.Group.Committed.empty());
 }
 
-TEST_CASE("A proxy that dies inside transactions frees their connections",
+TEST_CASE("A proxy that crashes inside transactions frees their connections",
           "[relay]") {
-  Setup On(12, 4);
-  const std::size_t Dying = On.System.nonGateway("a");
+  Setup Fixture(12, 4);
+  const std::size_t Crashing = Fixture.System.nonGateway("a");
   for (int Each = 0; Each < 4; ++Each) {
-    const auto Session = On.System.connect(Dying, "primary");
-    On.System.send(Session, Kind::Begin);
-    On.System.send(Session, Kind::Write, "w" + std::to_string(Each),
-                   "STORE x 1");
+    const auto Session = Fixture.System.connect(Crashing, "primary");
+    Fixture.System.send(Session, Kind::Begin);
+    Fixture.System.send(Session, Kind::Write, "w" + std::to_string(Each),
+                        "STORE x 1");
   }
-  On.Loop.runFor(Millis(100));
-  On.System.proxy(Dying).Host.kill();
-  On.Loop.runFor(Millis(100));
+  Fixture.Loop.runFor(Millis(100));
+  Fixture.System.proxy(Crashing).Host.kill();
+  Fixture.Loop.runFor(Millis(100));
   std::vector<std::size_t> Rest;
   for (std::size_t Each = 0; Each < 12; ++Each)
-    if (Each != Dying)
+    if (Each != Crashing)
       Rest.push_back(Each);
-  On.System.setProxyList(Rest);
-  const auto Session = On.System.connect(On.System.nonGateway("a"), "primary");
-  CHECK_FALSE(On.System.ask(Session, Kind::Write, "w", "STORE x 1").Refusal);
-  CHECK(On.Group.Committed.size() == 1);
+  Fixture.System.setProxyList(Rest);
+  const auto Session =
+      Fixture.System.connect(Fixture.System.nonGateway("a"), "primary");
+  CHECK_FALSE(
+      Fixture.System.ask(Session, Kind::Write, "w", "STORE x 1").Refusal);
+  CHECK(Fixture.Group.Committed.size() == 1);
 }
 
-TEST_CASE("A gateway that doesn't reach the target passes statements on",
+TEST_CASE("A gateway that cannot reach the target forwards statements",
           "[relay]") {
-  // One gateway is cut off from the target. Its callers and those of others
-  // are served through the rest.
-  Setup On;
-  On.System.proxy(On.System.gateways("a").front()).Access.Cut = {"a"};
+  // One gateway is partitioned from the target. Its callers and the callers of
+  // other proxies are served through the remaining gateways.
+  Setup Fixture;
+  Fixture.System.proxy(Fixture.System.gateways("a").front()).Access.Cut = {"a"};
   std::size_t Refused = 0;
   for (std::size_t Proxy = 0; Proxy < 12; ++Proxy) {
-    const auto Session = On.System.connect(Proxy, "primary");
+    const auto Session = Fixture.System.connect(Proxy, "primary");
     for (int Round = 0; Round < 3; ++Round) {
-      const auto Answer = On.System.ask(
+      const auto Answer = Fixture.System.ask(
           Session, Kind::Read,
           "r" + std::to_string(Proxy) + "-" + std::to_string(Round), "FETCH x");
       Refused += Answer.Refusal ? 1 : 0;
@@ -339,25 +348,27 @@
   CHECK(Refused == 0);
 }
 
-TEST_CASE("A stopping gateway ends what it has and gets nothing new",
+TEST_CASE("A stopping gateway completes its statements and gets no new ones",
           "[relay]") {
-  Setup On;
-  const std::size_t Proxy = On.System.nonGateway("a");
-  const auto Session = On.System.connect(Proxy, "primary");
-  On.System.ask(Session, Kind::Begin);
-  REQUIRE_FALSE(On.System.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
+  Setup Fixture;
+  const std::size_t Proxy = Fixture.System.nonGateway("a");
+  const auto Session = Fixture.System.connect(Proxy, "primary");
+  Fixture.System.ask(Session, Kind::Begin);
+  REQUIRE_FALSE(
+      Fixture.System.ask(Session, Kind::Write, "w1", "STORE x 1").Refusal);
   std::size_t Gateway = 0;
-  for (const std::size_t Each : On.System.gateways("a"))
-    if (On.System.proxy(Each).Broker.isBusy())
+  for (const std::size_t Each : Fixture.System.gateways("a"))
+    if (Fixture.System.proxy(Each).Broker.isBusy())
       Gateway = Each;
-  On.System.proxy(Gateway).Relay.announceStop();
-  On.Loop.runFor(Millis(10));
-  const auto Other = On.System.connect(Proxy, "primary");
+  Fixture.System.proxy(Gateway).Relay.announceStop();
+  Fixture.Loop.runFor(Millis(10));
+  const auto Other = Fixture.System.connect(Proxy, "primary");
   for (int Round = 0; Round < 6; ++Round)
     REQUIRE_FALSE(
-        On.System.ask(Other, Kind::Read, "r" + std::to_string(Round), "FETCH x")
+        Fixture.System
+            .ask(Other, Kind::Read, "r" + std::to_string(Round), "FETCH x")
             .Refusal);
-  CHECK_FALSE(On.System.ask(Session, Kind::Commit, "c1").Refusal);
-  CHECK_FALSE(On.System.proxy(Gateway).Broker.isBusy());
-  CHECK(On.Group.Committed.count("w1") == 1);
+  CHECK_FALSE(Fixture.System.ask(Session, Kind::Commit, "c1").Refusal);
+  CHECK_FALSE(Fixture.System.proxy(Gateway).Broker.isBusy());
+  CHECK(Fixture.Group.Committed.count("w1") == 1);
 }
--- a/Tests/Unit/SteeringTest.cpp
+++ b/Tests/Unit/SteeringTest.cpp
@@ -1,230 +1,232 @@
 /// \file
-/// Control hosts and proxies where targets enforce their leadership, on a
-/// network in memory: who learns of plans, targets and proxies, and when.
+/// Distribution of plans, targets and the list of proxies by control hosts on
+/// an in-memory network, for targets that enforce their leadership themselves.
 
 #include "FakeFleet.h"
 
 using namespace corianderdyke;
 
-TEST_CASE("A plan reaches every proxy, whoever leads next", "[steering]") {
-  // The leader is killed right after it acknowledged a plan. The proxies get
-  // the plan from its successor.
+TEST_CASE("An accepted plan reaches every proxy after a change of leader",
+          "[steering]") {
+  // The leader is killed immediately after it acknowledged a plan. The proxies
+  // receive the plan from its successor.
   const auto Seed = GENERATE(range(1, 11));
   CAPTURE(Seed);
   ReadyFleet Setup(static_cast<std::uint64_t>(Seed));
-  FakeFleet &On = Setup.Fleet;
-  REQUIRE(On.acceptPlan(2));
-  On.killControl(On.leader()->consensus().log().diskId().empty()
-                     ? ""
-                     : On.Controls.begin()->second.Node->leader());
-  CHECK(
-      On.Loop.runUntilTrue([&] { return On.allProxiesHave(2); }, Millis(3000)));
+  FakeFleet &Fleet = Setup.Fleet;
+  REQUIRE(Fleet.acceptPlan(2));
+  Fleet.killControl(Fleet.leader()->consensus().log().diskId().empty()
+                        ? ""
+                        : Fleet.Controls.begin()->second.Node->leader());
+  CHECK(Fleet.Loop.runUntilTrue([&] { return Fleet.allProxiesHave(2); },
+                                Millis(3000)));
 }
 
-TEST_CASE("The highest version of a plan wins, an older one changes nothing",
+TEST_CASE("The highest version of a plan is applied, older ones are ignored",
           "[steering]") {
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  REQUIRE(On.acceptPlan(5));
-  CHECK(On.acceptPlan(4));
-  CHECK(On.acceptPlan(5));
-  CHECK(On.leader()->state().plan().Version == 5);
-  CHECK(On.leader()->state().plan().Document == "document 5");
+  FakeFleet &Fleet = Setup.Fleet;
+  REQUIRE(Fleet.acceptPlan(5));
+  CHECK(Fleet.acceptPlan(4));
+  CHECK(Fleet.acceptPlan(5));
+  CHECK(Fleet.leader()->state().plan().Version == 5);
+  CHECK(Fleet.leader()->state().plan().Document == "document 5");
 }
 
-TEST_CASE("A control host that isn't sure shows no plan", "[steering]") {
-  // The leader is cut off from the others while a newer plan is accepted
-  // there. Asked for the plan it answers nothing or an error, never the old
-  // one.
+TEST_CASE("A control host without a quorum returns no plan", "[steering]") {
+  // The leader is partitioned from the others while they accept a newer plan.
+  // A read of the plan gets no answer or an error, never the old plan.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  const std::string Old = On.leader()->leader();
-  for (const std::string &Other : On.Names)
-    On.Net.cutBoth(Old, Other);
-  std::vector<std::uint64_t> Shown;
-  SteeringNode &Stale = *On.Controls[Old].Node;
+  FakeFleet &Fleet = Setup.Fleet;
+  const std::string Old = Fleet.leader()->leader();
+  for (const std::string &Other : Fleet.Names)
+    Fleet.Net.cutBoth(Old, Other);
+  std::vector<std::uint64_t> ReadVersions;
+  SteeringNode &Stale = *Fleet.Controls[Old].Node;
   for (int Each = 0; Each < 50; ++Each) {
-    Stale.readPlan([&Shown](const Expected<const RoutePlan *> &Read) {
+    Stale.readPlan([&ReadVersions](const Expected<const RoutePlan *> &Read) {
       if (Read)
-        Shown.push_back((*Read)->Version);
+        ReadVersions.push_back((*Read)->Version);
     });
-    On.Loop.runFor(Millis(50));
+    Fleet.Loop.runFor(Millis(50));
   }
-  REQUIRE(On.leader() != nullptr);
-  REQUIRE(On.leader() != &Stale);
-  REQUIRE(On.acceptPlan(2));
-  On.Net.heal();
-  CHECK(Shown.empty());
+  REQUIRE(Fleet.leader() != nullptr);
+  REQUIRE(Fleet.leader() != &Stale);
+  REQUIRE(Fleet.acceptPlan(2));
+  Fleet.Net.heal();
+  CHECK(ReadVersions.empty());
 }
 
-TEST_CASE("A control host that can't pass it on promises no leaving target",
+TEST_CASE("A partitioned control host does not acknowledge a leaving target",
           "[steering]") {
-  // A target tells a leader that is cut off from the others that it leaves.
-  // An answer would be a promise that proxies stop sending to it.
+  // A target reports that it is leaving to a leader that is partitioned from
+  // the others. An acknowledgement would guarantee that proxies stop sending to
+  // it.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  const std::string Old = On.leader()->leader();
-  for (const std::string &Other : On.Names)
-    On.Net.cutBoth(Old, Other);
-  TargetRecord Said = *On.leader()->directory().find("b");
-  Said.Sequence = 1000;
-  Said.IsLeaving = true;
+  FakeFleet &Fleet = Setup.Fleet;
+  const std::string Old = Fleet.leader()->leader();
+  for (const std::string &Other : Fleet.Names)
+    Fleet.Net.cutBoth(Old, Other);
+  TargetRecord Report = *Fleet.leader()->directory().find("b");
+  Report.Sequence = 1000;
+  Report.IsLeaving = true;
   bool Acknowledged = false;
-  On.Controls[Old].Node->applyHeartbeat(Said, [&](const Expected<void> &Done) {
-    Acknowledged = Done.has_value();
-  });
-  On.Loop.runFor(Millis(3000));
+  Fleet.Controls[Old].Node->applyHeartbeat(
+      Report,
+      [&](const Expected<void> &Done) { Acknowledged = Done.has_value(); });
+  Fleet.Loop.runFor(Millis(3000));
   CHECK_FALSE(Acknowledged);
 }
 
-TEST_CASE("A leader after a loss of all power knows the targets at once",
+TEST_CASE("A leader knows the targets at once after a power loss of all hosts",
           "[steering]") {
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  for (const std::string &Name : On.Names) {
-    On.killControl(Name);
-    On.Disks[Name]->crash();
+  FakeFleet &Fleet = Setup.Fleet;
+  for (const std::string &Name : Fleet.Names) {
+    Fleet.killControl(Name);
+    Fleet.Disks[Name]->crash();
   }
-  On.Loop.runFor(Millis(1000));
-  for (const std::string &Name : On.Names)
-    On.startControl(Name, false);
-  REQUIRE(On.Loop.runUntilTrue([&] { return On.leader() != nullptr; },
-                               Millis(5000)));
-  CHECK(On.leader()->directory().ofGroup("ledger").size() == 3);
-  CHECK(On.leader()->directory().primaryOf("ledger")->Id == "a");
+  Fleet.Loop.runFor(Millis(1000));
+  for (const std::string &Name : Fleet.Names)
+    Fleet.startControl(Name, false);
+  REQUIRE(Fleet.Loop.runUntilTrue([&] { return Fleet.leader() != nullptr; },
+                                  Millis(5000)));
+  CHECK(Fleet.leader()->directory().ofGroup("ledger").size() == 3);
+  CHECK(Fleet.leader()->directory().primaryOf("ledger")->Id == "a");
 }
 
-TEST_CASE("What a restarted control host reads isn't told as decided now",
-          "[steering]") {
-  // All control hosts restart with their disks, as after a loss of power. Who
-  // reads their logs would find a plan accepted "from version 0" and each
-  // target seen for the first time, at a moment when nobody changed anything.
+TEST_CASE("Replayed entries are not audited as new decisions", "[steering]") {
+  // All control hosts restart with their disks, as after a power loss. If the
+  // replay were audited, the logs would report a plan accepted "from version 0"
+  // and the first record of each target, although nothing changed.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  REQUIRE(On.acceptPlan(2));
-  On.Loop.runFor(Millis(500));
-  for (const std::string &Name : On.Names)
-    On.killControl(Name);
-  std::vector<AuditRecord> Told;
-  std::size_t Recalled = 0;
-  for (const std::string &Name : On.Names) {
-    On.startControl(Name, false);
-    SteeringNode &Node = *On.Controls[Name].Node;
+  FakeFleet &Fleet = Setup.Fleet;
+  REQUIRE(Fleet.acceptPlan(2));
+  Fleet.Loop.runFor(Millis(500));
+  for (const std::string &Name : Fleet.Names)
+    Fleet.killControl(Name);
+  std::vector<AuditRecord> Published;
+  std::size_t Replayed = 0;
+  for (const std::string &Name : Fleet.Names) {
+    Fleet.startControl(Name, false);
+    SteeringNode &Node = *Fleet.Controls[Name].Node;
     Node.signalAudited().connect(
-        [&Told](const AuditRecord &Each) { Told.push_back(Each); });
-    Node.signalReplayed().connect([&Recalled] { ++Recalled; });
+        [&Published](const AuditRecord &Each) { Published.push_back(Each); });
+    Node.signalReplayed().connect([&Replayed] { ++Replayed; });
   }
-  REQUIRE(On.awaitLeader());
-  On.Loop.runFor(Millis(1000));
-  CHECK(Recalled == On.Names.size());
-  CHECK(Told.empty());
-  REQUIRE(On.acceptPlan(3));
-  On.Loop.runFor(Millis(500));
-  CHECK(Told.size() == On.Names.size());
+  REQUIRE(Fleet.awaitLeader());
+  Fleet.Loop.runFor(Millis(1000));
+  CHECK(Replayed == Fleet.Names.size());
+  CHECK(Published.empty());
+  REQUIRE(Fleet.acceptPlan(3));
+  Fleet.Loop.runFor(Millis(500));
+  CHECK(Published.size() == Fleet.Names.size());
 }
 
-TEST_CASE("A host that was away for long says that its disk was read",
+TEST_CASE("A host that restarts behind a snapshot signals the end of replay",
           "[steering]") {
-  // While a host was down the others decided so much that they keep only a
-  // snapshot of it. The host takes that over, and none of the entries that its
-  // disk held is applied one by one; who waits for word that its state is
-  // there again must get it all the same.
+  // While a host was down, the others committed so many entries that they keep
+  // only a snapshot. The host installs it and applies none of the entries on
+  // its disk one by one. The signal that its state is restored must still be
+  // sent.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  std::string Away;
-  for (const std::string &Name : On.Names)
-    if (!On.Controls[Name].Node->leads())
-      Away = Name;
-  On.killControl(Away);
+  FakeFleet &Fleet = Setup.Fleet;
+  std::string Stopped;
+  for (const std::string &Name : Fleet.Names)
+    if (!Fleet.Controls[Name].Node->leads())
+      Stopped = Name;
+  Fleet.killControl(Stopped);
   RoutePlan Plan;
   Plan.Groups = {{"ledger", 16, 0}};
   Plan.Document = std::string(1U << 20U, 'x');
-  const std::uint64_t Before = On.leader()->consensus().log().lastIndex();
+  const std::uint64_t Before = Fleet.leader()->consensus().log().lastIndex();
   for (Plan.Version = 2; Plan.Version < 10; ++Plan.Version) {
-    On.leader()->acceptPlan(Plan, [](const Expected<void> &) {});
-    On.Loop.runFor(Millis(300));
+    Fleet.leader()->acceptPlan(Plan, [](const Expected<void> &) {});
+    Fleet.Loop.runFor(Millis(300));
   }
-  REQUIRE(On.leader()->consensus().log().snapshotIndex() > Before);
-  On.startControl(Away, false);
-  std::size_t Recalled = 0;
-  On.Controls[Away].Node->signalReplayed().connect([&Recalled] { ++Recalled; });
-  REQUIRE(On.Loop.runUntilTrue(
-      [&] { return On.Controls[Away].Node->state().plan().Version == 9; },
+  REQUIRE(Fleet.leader()->consensus().log().snapshotIndex() > Before);
+  Fleet.startControl(Stopped, false);
+  std::size_t Replayed = 0;
+  Fleet.Controls[Stopped].Node->signalReplayed().connect(
+      [&Replayed] { ++Replayed; });
+  REQUIRE(Fleet.Loop.runUntilTrue(
+      [&] { return Fleet.Controls[Stopped].Node->state().plan().Version == 9; },
       Millis(5000)));
-  CHECK(Recalled == 1);
+  CHECK(Replayed == 1);
 }
 
-TEST_CASE("Proxies learn of each other, and a new leader changes nothing",
+TEST_CASE("Proxies receive the proxy list, and a new leader does not change it",
           "[steering]") {
-  // The leader dies, then all control hosts at once. Each time the next
-  // leader knows the proxies from the group's log: a list of those that it
-  // had heard so far would move all connections to targets, twice.
-  ReadyFleet On(3, 6);
-  On.Fleet.runWithHeartbeats(Millis(2000));
-  for (const auto &[Name, Lists] : On.Fleet.ProxyLists)
+  // The leader crashes, then all control hosts at once. Each time, the next
+  // leader reads the proxies from the log of the group. A list of only the
+  // proxies that have reported so far would move all target connections twice.
+  ReadyFleet Setup(3, 6);
+  Setup.Fleet.runWithHeartbeats(Millis(2000));
+  for (const auto &[Name, Lists] : Setup.Fleet.ProxyLists)
     CHECK(Lists.back() == 6);
-  const auto Before = On.Fleet.ProxyLists;
-  for (const auto &[Name, Each] : On.Fleet.Controls)
+  const auto Before = Setup.Fleet.ProxyLists;
+  for (const auto &[Name, Each] : Setup.Fleet.Controls)
     if (Each.Node->leads()) {
-      On.Fleet.killControl(Name);
+      Setup.Fleet.killControl(Name);
       break;
     }
-  On.Fleet.runWithHeartbeats(Millis(4000));
-  CHECK(On.Fleet.ProxyLists == Before);
-  for (const std::string &Name : On.Fleet.Names) {
-    if (On.Fleet.Controls.count(Name) != 0)
-      On.Fleet.killControl(Name);
-    On.Fleet.startControl(Name, false);
+  Setup.Fleet.runWithHeartbeats(Millis(4000));
+  CHECK(Setup.Fleet.ProxyLists == Before);
+  for (const std::string &Name : Setup.Fleet.Names) {
+    if (Setup.Fleet.Controls.count(Name) != 0)
+      Setup.Fleet.killControl(Name);
+    Setup.Fleet.startControl(Name, false);
   }
-  On.Fleet.runWithHeartbeats(Millis(4000));
-  CHECK(On.Fleet.ProxyLists == Before);
+  Setup.Fleet.runWithHeartbeats(Millis(4000));
+  CHECK(Setup.Fleet.ProxyLists == Before);
 }
 
-TEST_CASE("A new leader makes its long messages once for all proxies",
+TEST_CASE("A new leader encodes its long messages once for all proxies",
           "[steering][load]") {
-  // Everything starts at the same moment, and sixty proxies ask the new leader
-  // for the plan, the targets and the list of proxies. Made for each of
-  // hundreds on its own, these keep it from anything else for a fifth of a
-  // second, in which no caller is served anywhere.
+  // All processes start at the same time, and sixty proxies request the plan,
+  // the targets and the list of proxies from the new leader. Building these for
+  // each of hundreds of proxies blocks the leader for 200 ms, during which no
+  // caller is served.
   constexpr std::size_t Proxies = 60;
   ReadyFleet Setup(3, Proxies);
-  FakeFleet &On = Setup.Fleet;
-  REQUIRE(On.acceptPlan(2));
-  On.runWithHeartbeats(Millis(2000));
-  for (const std::string &Name : On.Names)
-    On.killControl(Name);
-  On.killProxies();
-  On.Net.Traffic.clear();
-  On.Net.BuiltMessages.clear();
-  for (const std::string &Name : On.Names)
-    On.startControl(Name, false);
+  FakeFleet &Fleet = Setup.Fleet;
+  REQUIRE(Fleet.acceptPlan(2));
+  Fleet.runWithHeartbeats(Millis(2000));
+  for (const std::string &Name : Fleet.Names)
+    Fleet.killControl(Name);
+  Fleet.killProxies();
+  Fleet.Net.Traffic.clear();
+  Fleet.Net.BuiltMessages.clear();
+  for (const std::string &Name : Fleet.Names)
+    Fleet.startControl(Name, false);
   for (std::size_t Each = 1; Each <= Proxies; ++Each)
-    On.startProxy("10.0.1." + std::to_string(Each));
-  REQUIRE(On.awaitLeader());
-  On.Loop.runFor(Millis(300));
+    Fleet.startProxy("10.0.1." + std::to_string(Each));
+  REQUIRE(Fleet.awaitLeader());
+  Fleet.Loop.runFor(Millis(300));
   for (const Message &Long : {Message(PlanUpdate{}), Message(DirectoryUpdate{}),
                               Message(ProxyListUpdate{})}) {
-    CHECK(On.Net.Traffic[Long.index()].first >= Proxies);
-    CHECK(On.Net.BuiltMessages[Long.index()] <= 5);
+    CHECK(Fleet.Net.Traffic[Long.index()].first >= Proxies);
+    CHECK(Fleet.Net.BuiltMessages[Long.index()] <= 5);
   }
 }
 
-TEST_CASE("A proxy begins only with a plan that a quorum has confirmed",
+TEST_CASE("A proxy starts only with a plan that a quorum has confirmed",
           "[steering]") {
-  // A proxy starts and reaches only a control host that is cut off from the
-  // others, where a newer plan was accepted meanwhile.
+  // A proxy starts and reaches only a control host that is partitioned from the
+  // others, which may have accepted a newer plan.
   ReadyFleet Setup;
-  FakeFleet &On = Setup.Fleet;
-  const std::string Old = On.leader()->leader();
-  for (const std::string &Other : On.Names)
-    On.Net.cutBoth(Old, Other);
-  for (const std::string &Other : On.Names)
+  FakeFleet &Fleet = Setup.Fleet;
+  const std::string Old = Fleet.leader()->leader();
+  for (const std::string &Other : Fleet.Names)
+    Fleet.Net.cutBoth(Old, Other);
+  for (const std::string &Other : Fleet.Names)
     if (Other != Old)
-      On.Net.cutBoth("10.0.1.9", Other);
-  On.startProxy("10.0.1.9");
-  On.Loop.runFor(Millis(3000));
-  CHECK_FALSE(On.Proxies["10.0.1.9"].Feed->isCurrent());
-  On.Net.heal();
-  CHECK(On.Loop.runUntilTrue(
-      [&] { return On.Proxies["10.0.1.9"].Feed->isCurrent(); }, Millis(3000)));
+      Fleet.Net.cutBoth("10.0.1.9", Other);
+  Fleet.startProxy("10.0.1.9");
+  Fleet.Loop.runFor(Millis(3000));
+  CHECK_FALSE(Fleet.Proxies["10.0.1.9"].Feed->isCurrent());
+  Fleet.Net.heal();
+  CHECK(Fleet.Loop.runUntilTrue(
+      [&] { return Fleet.Proxies["10.0.1.9"].Feed->isCurrent(); },
+      Millis(3000)));
 }
