--- a/Tests/Unit/AdmissionTest.cpp
+++ b/Tests/Unit/AdmissionTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Who is next, who is refused, and when they may come back.
+/// Order of queued requests, reasons of refusals, and retry delays.
 
 #include "Admission/AdmissionController.h"
 #include "Admission/FairQueue.h"
@@ -16,8 +16,8 @@
 double shareOf(const std::string &Organisation) {
   return Organisation == "mills" ? 3 : 1;
 }
-double evenly(const std::string &) { return 1; }
-bool anyone(const QueuedRequest &) { return true; }
+double equalWeight(const std::string &) { return 1; }
+bool anyRequest(const QueuedRequest &) { return true; }
 
 QueuedRequest request(std::uint64_t Id, const std::string &Organisation,
                       Millis DeadlineAt = Millis(10000)) {
@@ -25,15 +25,16 @@
 }
 
 AdmissionController fairController(std::size_t QueueLimit) {
-  return {std::make_unique<FairQueue>(shareOf, evenly), QueueLimit, 7};
+  return {std::make_unique<FairQueue>(shareOf, equalWeight), QueueLimit, 7};
 }
 
-/// Sends the next one and finishes it after the 5 ms that were expected.
-std::string serveOne(QueueDiscipline &Queue, double Spent = 5) {
-  const auto Next = Queue.pop(anyone);
+/// Pops the next request and completes it at the cost \p Spent, in ms; 5 ms is
+/// the expected cost. Returns its organisation.
+std::string serveOne(QueueDiscipline &Queue, double Cost = 5) {
+  const auto Next = Queue.pop(anyRequest);
   if (!Next)
     return "";
-  Queue.complete(*Next, Spent);
+  Queue.complete(*Next, Cost);
   return Next->Organisation;
 }
 
@@ -41,7 +42,7 @@
 
 TEST_CASE("Two flooding organisations are served by their shares",
           "[admission]") {
-  FairQueue Queue(shareOf, evenly);
+  FairQueue Queue(shareOf, equalWeight);
   for (std::uint64_t Id = 1; Id <= 80; ++Id) {
     Queue.push(request(Id, "mills"));
     Queue.push(request(Id + 100, "brokers"));
@@ -52,11 +53,12 @@
   CHECK(Mills == 30);
 }
 
-TEST_CASE("Long statements buy no more than their organisation's share",
+TEST_CASE("Long statements do not exceed the share of their organisation",
           "[admission]") {
-  // One broker sends only statements of ten times the usual length. By
-  // number the mills would get three turns to one, and a quarter of the time.
-  FairQueue Queue(shareOf, evenly);
+  // The brokers send only statements of ten times the usual duration. If
+  // shares were counted in statements, the mills would get three statements to
+  // one but only a quarter of the time.
+  FairQueue Queue(shareOf, equalWeight);
   for (std::uint64_t Id = 1; Id <= 400; ++Id) {
     Queue.push(request(Id, "mills"));
     Queue.push(request(Id + 1000, "brokers"));
@@ -64,7 +66,7 @@
   double Mills = 0;
   double Brokers = 0;
   for (int Turn = 0; Turn < 300; ++Turn) {
-    const auto Next = Queue.pop(anyone);
+    const auto Next = Queue.pop(anyRequest);
     REQUIRE(Next);
     const bool IsMill = Next->Organisation == "mills";
     Queue.complete(*Next, IsMill ? 5 : 50);
@@ -73,10 +75,10 @@
   CHECK(Mills / (Mills + Brokers) == Approx(0.75).margin(0.03));
 }
 
-TEST_CASE("A lent share is back with the next statement", "[admission]") {
-  // The brokers have used the idle database for a long time. The first mill
-  // that comes back is next, and can't save its idle time up either.
-  FairQueue Queue(shareOf, evenly);
+TEST_CASE("A lent share is returned with the next statement", "[admission]") {
+  // The brokers have used the idle database for a long time. The first request
+  // of the mills is served next, but the mills get no credit for idle time.
+  FairQueue Queue(shareOf, equalWeight);
   for (std::uint64_t Id = 1; Id <= 300; ++Id)
     Queue.push(request(Id, "brokers"));
   for (int Turn = 0; Turn < 200; ++Turn)
@@ -90,34 +92,34 @@
   CHECK(Mills == Approx(30).margin(1));
 }
 
-TEST_CASE("A request that can't be served in time is refused on arrival",
+TEST_CASE("A request that cannot meet its deadline is refused on arrival",
           "[admission]") {
-  // 40 requests of 5 ms wait for one connection. A caller with 100 ms of
-  // patience hears at once that it's too late, and not after 100 ms.
+  // 40 requests of 5 ms wait for one connection. A request with a deadline in
+  // 100 ms must be refused on arrival, not after 100 ms.
   AdmissionController Controller = fairController(100);
   std::vector<Refusal> GivenUp;
   const Millis Now(1000);
   for (std::uint64_t Id = 1; Id <= 41; ++Id)
     REQUIRE(Controller.admit(request(Id, "mills"), Now).empty());
-  REQUIRE(Controller.next(anyone, Now, GivenUp));
+  REQUIRE(Controller.next(anyRequest, Now, GivenUp));
   const auto Refused =
       Controller.admit(request(50, "mills", Millis(1100)), Now);
   REQUIRE(Refused.size() == 1);
   CHECK(Refused[0].Reason == RefusalReason::DeadlineOutOfReach);
   CHECK(Refused[0].RetryAfter >= Millis(100));
   CHECK(Controller.admit(request(51, "mills", Millis(1300)), Now).empty());
-  // Another organisation isn't held up by the mills' queue.
+  // The queue of the mills does not delay another organisation.
   CHECK(Controller.admit(request(52, "brokers", Millis(1100)), Now).empty());
 }
 
-TEST_CASE("Refused callers are told to come back one by one", "[admission]") {
-  // A burst of 300 is refused within a moment. What they are told spreads
-  // them at the pace of one connection: at most a few in any 20 ms.
+TEST_CASE("Retry delays of refused requests are spread", "[admission]") {
+  // A burst of 300 requests is refused at one moment. Their retry delays must
+  // be spread at the rate of one connection: at most 6 in any 20 ms.
   AdmissionController Controller = fairController(1);
   std::vector<Refusal> GivenUp;
   const Millis Now(1000);
   Controller.admit(request(1, "mills"), Now);
-  REQUIRE(Controller.next(anyone, Now, GivenUp));
+  REQUIRE(Controller.next(anyRequest, Now, GivenUp));
   std::map<std::int64_t, int> Returning;
   for (std::uint64_t Id = 2; Id <= 300; ++Id)
     for (const Refusal &Each : Controller.admit(request(Id, "mills"), Now))
@@ -127,11 +129,12 @@
   CHECK(Returning.size() >= 70);
 }
 
-TEST_CASE("A full queue makes room for who uses less of it", "[admission]") {
+TEST_CASE("A full queue displaces a request of its largest user",
+          "[admission]") {
   AdmissionController Controller = fairController(10);
   std::vector<Refusal> GivenUp;
   Controller.admit(request(1, "brokers"), Millis());
-  REQUIRE(Controller.next(anyone, Millis(), GivenUp));
+  REQUIRE(Controller.next(anyRequest, Millis(), GivenUp));
   for (std::uint64_t Id = 2; Id <= 11; ++Id)
     REQUIRE(Controller.admit(request(Id, "brokers"), Millis()).empty());
   const auto Own = Controller.admit(request(12, "brokers"), Millis());
@@ -145,43 +148,45 @@
   CHECK(Controller.queued() == 10);
 }
 
-TEST_CASE("Waiting requests are given up as soon as the pace falls",
+TEST_CASE("Waiting requests are refused as soon as the target slows down",
           "[admission]") {
-  // Ten wait for a connection when its target slows from 5 to 500 ms. Those
-  // at the back hear it at the next look and not at their deadlines.
+  // Ten requests wait for a connection when its target slows from 5 to 500 ms.
+  // The last ones must be refused at the next check, not at their deadlines.
   AdmissionController Controller = fairController(100);
   std::vector<Refusal> GivenUp;
   for (std::uint64_t Id = 1; Id <= 12; ++Id)
     Controller.admit(request(Id, "mills", Millis(2000)), Millis());
-  const auto First = Controller.next(anyone, Millis(), GivenUp);
+  const auto First = Controller.next(anyRequest, Millis(), GivenUp);
   REQUIRE(First);
   CHECK(Controller.shedUnservable(Millis(1)).empty());
   Controller.complete(*First, 500);
-  const auto Second = Controller.next(anyone, Millis(500), GivenUp);
+  const auto Second = Controller.next(anyRequest, Millis(500), GivenUp);
   REQUIRE(Second);
   CHECK(GivenUp.empty());
-  // 1.5 s are left: the running one and two more fit in.
+  // 1.5 s are left: the running request and two more fit in.
   const auto Late = Controller.shedUnservable(Millis(500));
   CHECK(Late.size() == 7);
   for (const Refusal &Each : Late)
     CHECK(Each.Reason == RefusalReason::GivenUp);
 }
 
-TEST_CASE("An old estimate doesn't refuse for ever", "[admission]") {
-  // One answer took 5 s during an outage. The next caller, after it, has 1 s
-  // and is let through: nothing runs that would say it's hopeless.
+TEST_CASE("An old estimate does not refuse requests for ever", "[admission]") {
+  // One response took 5 s during an outage. A later request with a deadline in
+  // 1 s must be admitted: no request is running that could correct the
+  // estimate.
   AdmissionController Controller = fairController(10);
   std::vector<Refusal> GivenUp;
   Controller.admit(request(1, "mills"), Millis());
-  const auto Slow = Controller.next(anyone, Millis(), GivenUp);
+  const auto Slow = Controller.next(anyRequest, Millis(), GivenUp);
   REQUIRE(Slow);
   Controller.complete(*Slow, 5000);
   CHECK(Controller.admit(request(2, "mills", Millis(7000)), Millis(6000))
             .empty());
-  CHECK(Controller.next(anyone, Millis(6000), GivenUp));
+  CHECK(Controller.next(anyRequest, Millis(6000), GivenUp));
 }
 
-TEST_CASE("The baselines do what they are measured for", "[admission]") {
+TEST_CASE("The baseline queue disciplines serve in their defined order",
+          "[admission]") {
   FifoQueue Plain;
   StaticSplitQueue Split([](const std::string &) { return 0.5; }, 2);
   for (QueueDiscipline *Each :
@@ -191,24 +196,25 @@
     Each->push(request(6, "mills"));
   }
   CHECK(Plain.costAhead("mills", "lookup") == Approx(30));
-  CHECK(Plain.pop(anyone)->Id == 1);
-  CHECK(Plain.pop(anyone)->Id == 2);
-  CHECK(Split.pop(anyone)->Organisation == "brokers");
-  CHECK(Split.pop(anyone)->Organisation == "mills");
-  // The brokers' half is in use, the mills' idle half stays idle.
-  CHECK_FALSE(Split.pop(anyone));
+  CHECK(Plain.pop(anyRequest)->Id == 1);
+  CHECK(Plain.pop(anyRequest)->Id == 2);
+  CHECK(Split.pop(anyRequest)->Organisation == "brokers");
+  CHECK(Split.pop(anyRequest)->Organisation == "mills");
+  // The half of the brokers is in use; the idle half of the mills is not lent.
+  CHECK_FALSE(Split.pop(anyRequest));
 }
 
-TEST_CASE("Retries are a stated part of the load", "[admission]") {
+TEST_CASE("Retries are limited to a fixed part of the load", "[admission]") {
   RetryBudget Budget;
   std::uint64_t Retried = 0;
   for (int Turn = 0; Turn < 10000; ++Turn) {
     Budget.recordFirstAttempt();
-    // Every statement fails, and its retry as well.
+    // Every statement fails, and so does its retry.
     while (Budget.tryTake())
       ++Retried;
   }
-  // Ten of the burst, then one for ten of the 9999 after the first.
+  // 10 retries from the burst, then 1 for every 10 of the 9999 statements
+  // after the first.
   CHECK(Retried == 1009);
   CHECK(Budget.refused() > 0);
 }
--- a/Tests/Unit/ClusterTest.cpp
+++ b/Tests/Unit/ClusterTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The whole path on fakes, in virtual time.
+/// End-to-end tests of a cluster on fakes, in virtual time.
 
 #include "FakeCluster.h"
 
@@ -21,8 +21,8 @@
 }
 
 TEST_CASE("A killed primary is replaced and its writes are kept", "[cluster]") {
-  // A clerk's handover is confirmed and the primary dies at once. Another
-  // target takes over by itself, and the clerk still reads the handover.
+  // The primary is killed right after it confirmed a write. Another target must
+  // take over without an operator, and the session must still read the write.
   const auto Seed = GENERATE(range(1, 6));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
--- a/Tests/Unit/ConsensusRunTest.cpp
+++ b/Tests/Unit/ConsensusRunTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Seeded runs of control groups under all that the brief lets fail. The
-/// group checks after every step what must always hold.
+/// Seeded random runs of control groups under every fault of the fault model.
+/// The invariants of the group are checked after every step.
 
 #include "FakeControlGroup.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One seed's run: faults for a while, then peace.
+/// The run of one seed: a phase with faults, then a phase without.
 class FaultyRun {
 public:
   FaultyRun(std::uint64_t Seed, std::size_t Hosts) : Group(Seed, Hosts) {
@@ -21,13 +21,13 @@
     for (int Each = 0; Each < Faults; ++Each) {
       Group.run(Millis(below(400)));
       causeFault();
-      work();
+      readAndPropose();
       Group.checkLogs();
     }
   }
 
-  /// All is well again: the group must come together and agree.
-  bool settles() {
+  /// Removes all faults and returns whether the group converges.
+  bool convergesWithoutFaults() {
     Group.Cuts.clear();
     Group.Frozen.clear();
     Group.Faults = {};
@@ -52,7 +52,7 @@
     return Group.Names[Group.Random() % Group.Names.size()];
   }
 
-  void work() {
+  void readAndPropose() {
     for (const std::string &Name : Group.Names) {
       Consensus *Node = Group.host(Name);
       if (Node == nullptr || Group.Frozen.count(Name) != 0)
@@ -101,8 +101,8 @@
     }
   }
 
-  /// One disk at a time: the next may go once the last one's seat is taken
-  /// and that change is known to all. A group of two can't lose any.
+  /// Loses one disk at a time: the next one only after the replacement of the
+  /// last is a voter and all hosts know it. A group of two tolerates no loss.
   void loseDisk(const std::string &Name) {
     if (!Group.isSettled() || Group.leader()->voters().size() < 3)
       return;
@@ -112,8 +112,8 @@
     DiskLost = true;
   }
 
-  /// Not while a lost disk is in the group: two hosts could be left of which
-  /// one can't answer for good.
+  /// Adds or removes a voter, but not while a lost disk is a voter: two voters
+  /// could remain of which one can never respond.
   void changeMembership(const std::string &Name) {
     Consensus *Leader = Group.leader();
     DiskLost = DiskLost && !Group.isSettled();
@@ -140,7 +140,7 @@
   FaultyRun Run(Seed, Hosts);
   REQUIRE_NOTHROW(Run.run(60));
   bool Settled = false;
-  REQUIRE_NOTHROW(Settled = Run.settles());
+  REQUIRE_NOTHROW(Settled = Run.convergesWithoutFaults());
   INFO(Run.Group.describe());
   CHECK(Settled);
 }
@@ -148,25 +148,27 @@
 } // namespace
 
 TEST_CASE("Control groups agree whatever fails", "[consensus][seeds]") {
-  // Operators change the manifest while hosts are cut off, frozen, killed in
-  // the middle of a write, or come back with an empty disk. No accepted change
-  // is lost or told differently, no stale host answers as the latest, and the
-  // group comes together again by itself.
+  // Commands are proposed while hosts are partitioned, frozen, killed during a
+  // write, or restarted with an empty disk. No committed entry may be lost or
+  // differ between hosts, no stale host may confirm a read, and the group must
+  // converge without an operator.
   const auto Hosts = GENERATE(as<std::size_t>(), 3, 5);
   const auto Seed = GENERATE(range(1, 101));
   expectAgreement(static_cast<std::uint64_t>(Seed), Hosts);
 }
 
 TEST_CASE("Control groups agree over many more seeds", "[.][seeds-long]") {
-  // The same by command, for a search after a change of the agreement.
+  // The same test over more seeds, run by command after a change of the
+  // consensus code.
   for (std::uint64_t Seed = 101; Seed < 20000; ++Seed)
     for (const std::size_t Hosts : {3, 5})
       expectAgreement(Seed, Hosts);
 }
 
-TEST_CASE("Seeds that found a fault stay", "[consensus][seeds]") {
-  // A host was removed while it asked for votes and came back with a higher
-  // term than the leader's: no leader could ever feed it again.
+TEST_CASE("Regression seeds", "[consensus][seeds]") {
+  // A host that is removed while it requests votes returns with a higher term
+  // than the leader. Without handling this, no leader can replicate to it
+  // again.
   expectAgreement(745, 5);
   expectAgreement(3657, 3);
   expectAgreement(9752, 5);
--- a/Tests/Unit/ConsensusTest.cpp
+++ b/Tests/Unit/ConsensusTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a control group does when hosts are lost, return, or are replaced.
+/// Behaviour of a control group when hosts are lost, return or are replaced.
 
 #include "Common/Codec.h"
 #include "FakeControlGroup.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A group of three that leads and has committed something.
+/// A group of three hosts that has a leader and a committed entry.
 class ThreeHosts {
 public:
   explicit ThreeHosts(std::uint64_t Seed = 1) : Group(Seed, 3) {
@@ -22,18 +22,19 @@
     REQUIRE(Group.runUntil([this] { return Group.isSettled(); }));
   }
 
-  /// Proposes at the leader and waits until it's committed there.
-  std::uint64_t commit(const std::string &What) {
+  /// Proposes \p What at the leader and waits until it is committed there.
+  /// Returns its index.
+  std::uint64_t commit(const std::string &Content) {
     Consensus *Leader = Group.leader();
     REQUIRE(Leader != nullptr);
-    const auto Index = Leader->propose(What, Group.Now);
+    const auto Index = Leader->propose(Content, Group.Now);
     REQUIRE(Index);
     REQUIRE(Group.runUntil([&] { return Leader->commitIndex() >= *Index; }));
     return *Index;
   }
 
   std::string leaderName() { return Group.leader()->leader(); }
-  /// A host that doesn't lead.
+  /// Returns the name of a host that is not the leader.
   std::string follower(std::size_t Number = 0) {
     std::vector<std::string> Others;
     for (const std::string &Name : Group.Names)
@@ -42,13 +43,13 @@
     return Others[Number];
   }
 
-  void returnWithEmptyDisk(const std::string &Name) {
+  void restartWithEmptyDisk(const std::string &Name) {
     Group.crash(Name);
     Group.loseDisk(Name);
     Group.start(Name);
   }
 
-  void cutOff(const std::string &Name) {
+  void isolate(const std::string &Name) {
     for (const std::string &Each : Group.Names)
       Group.Cuts.insert({{Name, Each}, {Each, Name}});
   }
@@ -70,33 +71,34 @@
 
 TEST_CASE("A host with an empty disk is replaced by two changes",
           "[consensus]") {
-  // A control host comes back at once with an empty disk. The operator does
-  // nothing: it's fed, its lost disk leaves, the new one enters, and it holds
-  // all that was accepted.
+  // A control host restarts at once with an empty disk. Without an operator it
+  // must receive the log, its lost disk must be removed as a voter, and the new
+  // disk must be added.
   const auto Seed = GENERATE(range(1, 11));
   ThreeHosts Three(static_cast<std::uint64_t>(Seed));
   const std::string Name =
       GENERATE(0, 1) == 0 ? Three.follower() : Three.leaderName();
   const std::uint64_t Before = Three.Group.leader()->log().votersIndex();
-  Three.returnWithEmptyDisk(Name);
+  Three.restartWithEmptyDisk(Name);
   Three.settle();
   CHECK(Three.isVoter(Name));
-  // The entries between the two are other leaders' at most.
+  // The removal and the addition are separate entries; only entries of other
+  // leaders can lie between them.
   CHECK(Three.Group.leader()->log().votersIndex() > Before + 1);
 }
 
 TEST_CASE("A second host is lost right after a repair", "[consensus]") {
-  // A disk was lost and its successor has just been voted in; the other
-  // follower hasn't heard of it when the leader dies. Two of three are left,
-  // so changes go on, and the accepted one is there.
+  // A disk is lost and its replacement has just become a voter; the other
+  // follower does not know it when the leader crashes. Two of three hosts are
+  // left, so commits must continue and the committed entry must be kept.
   const auto Seed = GENERATE(range(1, 11));
   ThreeHosts Three(static_cast<std::uint64_t>(Seed));
   const std::string Leader = Three.leaderName();
   const std::string Repaired = Three.follower(0);
   const std::string Other = Three.follower(1);
   const std::uint64_t Accepted = Three.commit("accepted");
-  Three.returnWithEmptyDisk(Repaired);
-  // The other hears of the vacant seat, not of who takes it.
+  Three.restartWithEmptyDisk(Repaired);
+  // The other follower learns of the removal but not of the addition.
   REQUIRE(Three.Group.runUntil(
       [&] { return Three.Group.host(Other)->log().votersIndex() > 1; }));
   Three.Group.Cuts.insert({Leader, Other});
@@ -114,16 +116,16 @@
   Three.settle();
 }
 
-TEST_CASE("A second host is lost before a repair has settled", "[consensus]") {
-  // A change was accepted by two hosts; one of them loses its disk and the
-  // other dies. The third never had the change, and the empty disk's vote
-  // would let it lead without. It waits, tells the operator for whom, and
-  // goes on with the change once the host that holds it is back.
+TEST_CASE("A second host is lost before a repair is complete", "[consensus]") {
+  // An entry is committed by two hosts; one of them loses its disk and the
+  // other crashes. The third host lacks the entry, and the vote of the empty
+  // disk would elect it without the entry. It must wait, report which host it
+  // waits for, and continue with the entry once that host is back.
   ThreeHosts Three;
   const std::string Leader = Three.leaderName();
   const std::string Repaired = Three.follower(0);
   const std::string Other = Three.follower(1);
-  Three.cutOff(Other);
+  Three.isolate(Other);
   const std::uint64_t Accepted = Three.commit("accepted");
   Three.Group.crash(Repaired);
   Three.Group.loseDisk(Repaired);
@@ -140,25 +142,25 @@
   CHECK(Three.Group.leader()->commitIndex() > Accepted);
 }
 
-TEST_CASE("A disk that was taken for lost comes back", "[consensus]") {
-  // A host runs with an empty disk for a moment, then with its old one. Had
-  // the new disk taken the old one's seat in one step, the leader and the new
-  // disk could have accepted one change and the rest, which never heard of
-  // it, another in its place.
+TEST_CASE("A disk that was considered lost returns", "[consensus]") {
+  // A host runs with an empty disk for a short time, then with its old one. If
+  // the new disk replaced the old one in a single membership change, the leader
+  // and the new disk could commit one entry, and the other hosts, which do not
+  // know of the change, another entry at the same index.
   ThreeHosts Three;
   FakeControlGroup &Group = Three.Group;
   const std::string Leader = Three.leaderName();
   const std::string Name = Three.follower(0);
   const std::string Other = Three.follower(1);
   const std::shared_ptr<FakeDisk> Former = Group.Disks[Name];
-  Three.returnWithEmptyDisk(Name);
-  Three.cutOff(Other);
+  Three.restartWithEmptyDisk(Name);
+  Three.isolate(Other);
   Group.run(Millis(400));
   Group.crash(Name);
   Group.Disks[Name] = Former;
   Group.start(Name);
   Group.Cuts.clear();
-  Three.cutOff(Leader);
+  Three.isolate(Leader);
   REQUIRE(Group.runUntil([&] {
     return Group.leader() != nullptr && Three.leaderName() != Leader;
   }));
@@ -167,12 +169,12 @@
   Three.settle();
 }
 
-TEST_CASE("An entry of an earlier term isn't committed by its copies",
+TEST_CASE("An entry of an earlier term is not committed by its copies",
           "[consensus]") {
-  // A new leader finds that a majority holds an entry of an earlier term. A
-  // host with a later term's entry in its place could still be elected and
-  // undo it, so nobody is told that it's accepted before an entry of the
-  // leader's own term is on a majority too.
+  // A majority holds an entry of an earlier term than the new leader's. A host
+  // with an entry of a later term at that index could still be elected and
+  // overwrite it, so it must not be committed before an entry of the leader's
+  // own term is on a majority too.
   FakeDisk Disk;
   Journal Records(Disk);
   ReplicatedLog Log(Records);
@@ -199,9 +201,10 @@
 }
 
 TEST_CASE("A disk is lost while the group forms", "[consensus]") {
-  // All hosts start for the first time, and one loses its disk before the
-  // group has formed. Had each host written its own list of founders, two
-  // could hold other first entries. The group forms, and the logs agree.
+  // All hosts start for the first time, and one loses its disk before the group
+  // has formed. If each host wrote its own initial membership entry, two hosts
+  // could hold different first entries. The group must form and the logs must
+  // agree.
   const auto Seed = GENERATE(range(1, 101));
   FakeControlGroup Group(static_cast<std::uint64_t>(Seed), 3);
   Group.Faults = {0, 0, Millis(300)};
@@ -218,19 +221,20 @@
   CHECK(Group.runUntil([&] { return Group.isSettled(); }));
 }
 
-TEST_CASE("A returning host doesn't topple a working leader", "[consensus]") {
-  // A host sits behind a partition for ten seconds and asks for votes in vain.
-  // On its return the leader leads on in the same term.
+TEST_CASE("A returning host does not depose a working leader", "[consensus]") {
+  // A partitioned host requests votes without success for 10 s. When it
+  // returns, the leader must remain leader in the same term.
   ThreeHosts Three;
   const std::string Leader = Three.leaderName();
   const std::uint64_t Term = Three.Group.leader()->term();
-  Three.cutOff(Three.follower());
+  Three.isolate(Three.follower());
   Three.Group.run(Millis(10000));
   Three.Group.Cuts.clear();
   Three.Group.run(Millis(3000));
   CHECK(Three.leaderName() == Leader);
   CHECK(Three.Group.leader()->term() == Term);
-  // Nor does a vote that it had asked for before, and that comes late.
+  // A vote request that was sent earlier and arrives late must not depose the
+  // leader either.
   const Consensus *Late = Three.Group.host(Three.follower());
   Three.Group.leader()->receive(
       {{Three.follower(), Late->log().diskId()},
@@ -240,13 +244,13 @@
 }
 
 TEST_CASE("A stale leader confirms no read", "[consensus]") {
-  // The leader is cut off while an operator asks it for the latest manifest,
-  // and a newer one is accepted on the other side. It answers nothing, then
-  // says that it doesn't lead.
+  // The leader is partitioned while it receives reads, and another leader is
+  // elected on the other side. The stale leader must confirm none of the reads,
+  // and later refuse reads because it is no longer the leader.
   ThreeHosts Three;
   const std::string Stale = Three.leaderName();
   Consensus *Old = Three.Group.leader();
-  Three.cutOff(Stale);
+  Three.isolate(Stale);
   const std::uint64_t Confirmed = Three.Group.ConfirmedReads;
   for (int Each = 0; Each < 100; ++Each) {
     Three.Group.read(Stale);
@@ -258,9 +262,9 @@
   CHECK_FALSE(Old->beginRead(Three.Group.Now));
 }
 
-TEST_CASE("Nothing is promised when the disk fails", "[consensus]") {
-  // The disk of a host fails while it stores an entry. Its answer would let
-  // the leader count a copy that isn't there, so none goes out.
+TEST_CASE("Nothing is acknowledged when the disk fails", "[consensus]") {
+  // The disk of a host fails while it stores an entry. A reply would let the
+  // leader count a copy that does not exist, so none may be sent.
   ThreeHosts Three;
   const std::string Name = Three.follower();
   Consensus *Host = Three.Group.host(Name);
@@ -277,7 +281,7 @@
   Host->receive(Append, Three.Group.Now);
   CHECK(Host->failure());
   CHECK(Host->takeOutputs().Messages.empty());
-  // A later sync that succeeds says nothing about the one that failed.
+  // A later successful sync does not prove that the failed one is durable.
   Three.Group.Disks[Name]->FailSyncs = false;
   Host->receive(Append, Three.Group.Now);
   CHECK(Host->takeOutputs().Messages.empty());
@@ -286,7 +290,8 @@
 TEST_CASE("A late snapshot drops nothing that was acknowledged",
           "[consensus]") {
   // A snapshot that was sent before some entries arrives after them. The host
-  // has acknowledged the entries, and the leader may have committed them.
+  // has acknowledged the entries, and the leader may have committed them, so
+  // they must be kept.
   FakeDisk Disk;
   Journal Records(Disk);
   ReplicatedLog Log(Records);
@@ -307,9 +312,10 @@
   CHECK(Again.lastIndex() == 3);
 }
 
-TEST_CASE("A damaged last batch makes a host join anew", "[consensus]") {
-  // A bit flips in the last batch of a stopped host. It may have held a vote,
-  // so the host comes back as a new disk and is voted in again.
+TEST_CASE("A damaged last batch makes a host join again", "[consensus]") {
+  // A bit flips in the last journal batch of a stopped host. The batch may have
+  // held a vote, so the host must restart with a new disk id and be added
+  // again.
   ThreeHosts Three;
   const std::string Name = Three.follower();
   const std::string Former = Three.Group.host(Name)->log().diskId();
@@ -322,8 +328,7 @@
 }
 
 TEST_CASE("A single control host refuses a damaged last batch", "[consensus]") {
-  // There is no other host to learn the lost change from, so the operator is
-  // told instead.
+  // No other host holds the lost entry, so the start must fail with an error.
   FakeControlGroup Group(1, 1);
   REQUIRE(Group.runUntil([&] { return Group.leader() != nullptr; }));
   REQUIRE(Group.leader()->propose("change", Group.Now));
@@ -335,9 +340,9 @@
 
 TEST_CASE("A group grows from three to five, one change at a time",
           "[consensus]") {
-  // The operator names two more hosts in the settings of all, restarts them
-  // one by one, and adds the two by command. A second change meanwhile is
-  // refused with the reason.
+  // The operator adds two hosts to the settings of all hosts, restarts these
+  // one by one, and adds the two by command. A second membership change during
+  // the first must be refused with the reason.
   ThreeHosts Three;
   FakeControlGroup &Group = Three.Group;
   CHECK(Group.leader()->addVoter("control-4", Group.Now).error().Code ==
@@ -364,7 +369,7 @@
     return Group.leader()->addVoter("control-5", Group.Now).has_value();
   }));
   Three.settle();
-  // Five bear the loss of two.
+  // A group of five tolerates the loss of two hosts.
   Group.crash(Three.follower(0));
   Group.crash(Three.leaderName());
   REQUIRE(Group.runUntil([&] { return Group.leader() != nullptr; }));
@@ -372,8 +377,9 @@
 }
 
 TEST_CASE("A control host is removed for good", "[consensus]") {
-  // The operator takes a host out, whether it leads or not. The rest go on,
-  // and the removed host neither votes nor leads, also after a restart.
+  // The operator removes a host, which may be the leader. The other hosts must
+  // continue, and the removed host must neither vote nor lead, even after a
+  // restart.
   const bool Leads = GENERATE(false, true);
   ThreeHosts Three;
   FakeControlGroup &Group = Three.Group;
@@ -391,9 +397,9 @@
 }
 
 TEST_CASE("A removal that would stop the group is refused", "[consensus]") {
-  // One host is dead and the operator removes a live one by mistake. Of the
-  // two that would be left only one answers, and no later command could undo
-  // it.
+  // One host is down and the operator removes a live one by mistake. Only one
+  // of the two remaining voters would respond, and no later command could undo
+  // the removal.
   ThreeHosts Three;
   FakeControlGroup &Group = Three.Group;
   Group.crash(Three.follower(0));
@@ -408,8 +414,8 @@
 }
 
 TEST_CASE("A leader that lacks a committed entry is an error", "[consensus]") {
-  // Two groups have met, or a disk has lied. The operator is told, and what
-  // was accepted stays.
+  // The hosts of two groups are connected by mistake, or a disk has lost synced
+  // data. The host must fail with an error and keep the committed entries.
   ThreeHosts Three;
   Consensus *Host = Three.Group.host(Three.follower());
   const std::uint64_t Accepted = Host->commitIndex();
@@ -427,9 +433,9 @@
   CHECK(Host->log().lastIndex() >= Accepted);
 }
 
-TEST_CASE("Reads that come together share a round", "[consensus]") {
-  // A thousand proxies renew their leases. Each renewal is read through the
-  // quorum, and a round for each would fill the links among the control hosts.
+TEST_CASE("Concurrent reads share a round", "[consensus]") {
+  // When a thousand proxies renew their leases, each renewal is a quorum read.
+  // A separate round for each would saturate the links among the control hosts.
   FakeControlGroup Group(1, 3);
   REQUIRE(Group.runUntil([&] { return Group.isSettled(); }));
   std::string Name;
@@ -445,17 +451,18 @@
   CHECK(Group.ConfirmedReads == Confirmed + 50);
 }
 
-TEST_CASE("A host that is cut off asks for elections and begins none",
+TEST_CASE("A partitioned host requests pre-votes and starts no election",
           "[consensus]") {
-  // Guards against counts that don't tell elections without a majority.
-  ThreeHosts Of;
-  const std::string Name = Of.follower();
-  const ElectionCounts Before = Of.Group.host(Name)->elections();
-  CHECK(Of.Group.leader()->elections().Started > 0);
-  Of.cutOff(Name);
-  REQUIRE(Of.Group.runUntil([&] {
-    return Of.Group.host(Name)->elections().PreVoteRounds >
+  // Guards against counters that do not distinguish pre-vote rounds without a
+  // majority from elections.
+  ThreeHosts Three;
+  const std::string Name = Three.follower();
+  const ElectionCounts Before = Three.Group.host(Name)->elections();
+  CHECK(Three.Group.leader()->elections().Started > 0);
+  Three.isolate(Name);
+  REQUIRE(Three.Group.runUntil([&] {
+    return Three.Group.host(Name)->elections().PreVoteRounds >
            Before.PreVoteRounds + 2;
   }));
-  CHECK(Of.Group.host(Name)->elections().Started == Before.Started);
+  CHECK(Three.Group.host(Name)->elections().Started == Before.Started);
 }
--- a/Tests/Unit/EventLoopTest.cpp
+++ b/Tests/Unit/EventLoopTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Timers whose end begins others, and those that run late.
+/// Timers whose destruction starts other timers, and timers that run late.
 
 #include "Loop/EventLoop.h"
 
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Begins a timer as it's destroyed.
-class BeginsTimer {
+/// Starts a timer in its destructor.
+class StartsTimerOnDestroy {
 public:
-  BeginsTimer(EventLoop &Loop, std::function<void()> Action)
+  StartsTimerOnDestroy(EventLoop &Loop, std::function<void()> Action)
       : Loop(Loop), Action(std::move(Action)) {}
-  ~BeginsTimer() { Loop.after(Millis(0), Action); }
-  BeginsTimer(const BeginsTimer &) = delete;
-  BeginsTimer &operator=(const BeginsTimer &) = delete;
+  ~StartsTimerOnDestroy() { Loop.after(Millis(0), Action); }
+  StartsTimerOnDestroy(const StartsTimerOnDestroy &) = delete;
+  StartsTimerOnDestroy &operator=(const StartsTimerOnDestroy &) = delete;
 
 private:
   EventLoop &Loop;
@@ -26,12 +26,12 @@
 
 } // namespace
 
-TEST_CASE("The end of the only timer may begin another one", "[loop]") {
-  // Guards against a list of timers that changes while it's emptied: a timer
-  // that was lost from it ends the process when it fires.
+TEST_CASE("Destroying the only timer may start another one", "[loop]") {
+  // Guards against a timer list that is modified while it is cleared: a timer
+  // that is lost from the list crashes the process when it fires.
   EventLoop Loop;
   bool HasRun = false;
-  auto Held = std::make_shared<BeginsTimer>(Loop, [&] {
+  auto Held = std::make_shared<StartsTimerOnDestroy>(Loop, [&] {
     HasRun = true;
     Loop.stop();
   });
@@ -41,21 +41,22 @@
   CHECK(HasRun);
 }
 
-TEST_CASE("Timers that are left with the loop may begin others", "[loop]") {
-  // Guards against timers, and what they hold, that outlive the loop.
+TEST_CASE("Destroying the timers of a destroyed loop may start others",
+          "[loop]") {
+  // Guards against timers, and objects that they own, that outlive the loop.
   bool IsDropped = false;
   {
     EventLoop Loop;
     std::shared_ptr<void> Last(nullptr, [&](void *) { IsDropped = true; });
-    auto Held = std::make_shared<BeginsTimer>(Loop, [Last] {});
+    auto Held = std::make_shared<StartsTimerOnDestroy>(Loop, [Last] {});
     Last.reset();
     Loop.after(Millis(10000), [Held = std::move(Held)] {});
   }
   CHECK(IsDropped);
 }
 
-TEST_CASE("A timer that another one holds up is counted as late", "[loop]") {
-  // Guards against a process that can't tell that its timers run late.
+TEST_CASE("A timer that another one delays is counted as late", "[loop]") {
+  // Guards against a process that cannot detect that its timers run late.
   EventLoop Loop;
   Loop.after(Millis(1), [] {
     std::this_thread::sleep_for(std::chrono::milliseconds(120));
--- a/Tests/Unit/FailoverDetectionTest.cpp
+++ b/Tests/Unit/FailoverDetectionTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Nobody orders the failover, and nobody suffers a false one, judged by what
-/// callers got and what operators find in the audit trail.
+/// Automatic failover without false failovers, checked by the responses to
+/// callers and by the audit trail.
 
 #include "FailoverSupport.h"
 
@@ -12,7 +12,7 @@
 
 const std::vector<std::string> Entries = {"entry-1", "entry-2", "entry-3"};
 
-std::size_t fencesIn(FakeCluster &Cluster) {
+std::size_t countFences(FakeCluster &Cluster) {
   std::size_t Out = 0;
   for (const AuditRecord &Each : Cluster.leader()->appliedState().audit())
     Out += Each.Action == "primary-fenced" ? 1U : 0U;
@@ -27,11 +27,11 @@
 
 } // namespace
 
-TEST_CASE("A failed primary is replaced by nobody's order", "[failover]") {
-  // The primary is killed, frozen, or cut off from the proxies in one
-  // direction or both, or can't reach its replicas any more. Each time
-  // callers can write again within seconds, at another target, and what was
-  // confirmed before is there.
+TEST_CASE("A failed primary is replaced without an operator", "[failover]") {
+  // The primary is killed, frozen, partitioned from the proxies in one
+  // direction or both, or partitioned from its replicas. In each case callers
+  // must be able to write within seconds at another target, and confirmed
+  // writes must be kept.
   const std::string Fault =
       GENERATE("kill", "freeze", "cut", "cut-in", "cut-out", "cut-replicas");
   const auto Seed = GENERATE(range(1, 6));
@@ -69,38 +69,38 @@
         {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
     CHECK(Read.Body == "haulier");
   }
-  CHECK(fencesIn(Cluster) == 2);
+  CHECK(countFences(Cluster) == 2);
 }
 
-TEST_CASE("A primary that is slow but alive stays", "[failover]") {
-  // For half a minute the primary answers in fits and starts, or only one of
-  // three proxies can't reach it, or its replicas lag by seconds. Callers at
-  // the other proxies get their writes done, and nothing is replaced.
-  const std::string Trouble = GENERATE("halting", "one-proxy", "lagging");
-  CAPTURE(Trouble);
+TEST_CASE("A slow but live primary is not replaced", "[failover]") {
+  // For half a minute the primary responds with pauses, or one of three
+  // proxies cannot reach it, or its replicas lag by seconds. Writes at the
+  // other proxies must succeed, and no target may be replaced.
+  const std::string Disturbance = GENERATE("halting", "one-proxy", "lagging");
+  CAPTURE(Disturbance);
   FakeCluster Cluster(1, 3, 3);
-  if (Trouble == "lagging")
+  if (Disturbance == "lagging")
     Cluster.TargetOptions.Lag = Millis(1500);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
-  if (Trouble == "one-proxy")
+  if (Disturbance == "one-proxy")
     Cluster.Net.cutBoth(Primary, "entry-3");
   for (int Round = 0; Round < 60; ++Round) {
     const auto Answer = Cluster.send(
         "entry-1", {.Key = std::to_string(Round), .Body = "put bale a"});
-    if (Trouble == "halting")
+    if (Disturbance == "halting")
       freezeFor(Cluster, Primary, Millis(300));
     Cluster.Loop.runFor(Millis(200));
-    if (Trouble != "lagging")
+    if (Disturbance != "lagging")
       CHECK(Answer->Outcome == "done");
   }
-  CHECK(fencesIn(Cluster) == 1);
+  CHECK(countFences(Cluster) == 1);
 }
 
 TEST_CASE("Flapping targets are not replaced without end", "[failover]") {
-  // All targets of a group come and go every second, so that each primary in
-  // turn looks dead. Each change of primary costs callers a gap and helps
-  // nobody, so the changes have to become rare.
+  // All targets of a group pause every second, so that each primary in turn
+  // looks failed. Each failover interrupts writes without any benefit, so the
+  // failovers must become rare.
   FakeCluster Cluster(1, 3, 3);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   for (int Round = 0; Round < 60; ++Round) {
@@ -109,14 +109,14 @@
       freezeFor(Cluster, Primary, Millis(700));
     Cluster.Loop.runFor(Millis(300));
   }
-  CHECK(fencesIn(Cluster) <= 6);
+  CHECK(countFences(Cluster) <= 6);
   CHECK(sendWithRetries(Cluster, "entry-1", {.Key = "k", .Body = "put bale a"})
             .Outcome == "done");
 }
 
 TEST_CASE("One flapping target loses its role once", "[failover]") {
-  // Only the primary comes and goes. Another takes over, and the flapping one
-  // isn't chosen again and again.
+  // Only the primary is unstable. Another target must take over, and the
+  // flapping one must not be chosen repeatedly.
   FakeCluster Cluster(2, 3, 3);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
@@ -124,6 +124,6 @@
     freezeFor(Cluster, Primary, Millis(700));
     Cluster.Loop.runFor(Millis(700));
   }
-  CHECK(fencesIn(Cluster) <= 3);
+  CHECK(countFences(Cluster) <= 3);
   CHECK(primaryOf(Cluster) != Primary);
 }
--- a/Tests/Unit/FailoverFenceTest.cpp
+++ b/Tests/Unit/FailoverFenceTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// A replaced primary acknowledges nothing, judged by what callers got.
+/// Fencing of a replaced primary: it must acknowledge nothing, checked by the
+/// responses to callers.
 
 #include "FailoverSupport.h"
 #include "Lease/LeaseHolder.h"
@@ -10,7 +11,8 @@
 
 namespace {
 
-/// The manifest with a kind of read that accepts no age, and a lease.
+/// Returns the base manifest with a read kind that accepts no stale data and
+/// with the given lease.
 std::string manifestWithLease(int LeaseMs, int DriftPpm = 1000) {
   return std::string(FakeCluster::BaseManifest) +
          "[[kind]]\nname = \"owner-check\"\naccess = \"read\"\n"
@@ -19,7 +21,7 @@
          "\nclock_drift_ppm = " + std::to_string(DriftPpm) + "\n";
 }
 
-/// Leaves entry-1 alone with the primary and cuts both off from all else.
+/// Partitions entry-1 and the primary from all other hosts.
 void cutOffWithEntry1(FakeCluster &Cluster, const std::string &Primary) {
   for (const auto &[Name, Host] : Cluster.Hosts)
     if (Name != "caller" && Name != "entry-1" && Name != Primary) {
@@ -28,26 +30,27 @@
     }
 }
 
-/// What callers on both sides of a cut got.
-struct SplitRun {
-  int StaleReads = 0;  ///< Old owner told after a new one was confirmed.
-  int OldSideDone = 0; ///< Writes confirmed on the side that was cut off.
-  int GoodReads = 0;   ///< Answered reads on that side.
+/// Results of the callers on both sides of a partition.
+struct SplitResult {
+  int StaleReads = 0;  ///< Old owner returned after a new one was confirmed.
+  int OldSideDone = 0; ///< Writes confirmed on the minority side.
+  int GoodReads = 0;   ///< Successful reads on the minority side.
   bool NewSideDone = false;
 };
 
-/// Callers at entry-1 read the owner and write each 5 ms; a caller at entry-2
-/// changes the owner as soon as that's possible.
-SplitRun runSplit(FakeCluster &Cluster, const std::string &Primary,
-                  Millis Span) {
-  SplitRun Out;
+/// Sends a read of the owner and a write to entry-1 every 5 ms, and changes the
+/// owner through entry-2 as soon as that is possible.
+SplitResult runSplit(FakeCluster &Cluster, const std::string &Primary,
+                     Millis Span) {
+  SplitResult Out;
   std::vector<std::shared_ptr<CallerResponse>> Reads;
   std::vector<std::shared_ptr<CallerResponse>> Writes;
   std::shared_ptr<CallerResponse> Change;
   constexpr Millis Step(5);
   const Millis End = Cluster.Loop.now() + Span;
   const auto Collect = [&] {
-    // A read that began before the change was confirmed may tell either.
+    // A read that began before the change was confirmed may return either
+    // owner.
     for (const auto &Each : Reads) {
       Out.GoodReads += Each->Outcome == "done" ? 1 : 0;
       Out.StaleReads +=
@@ -84,14 +87,15 @@
 
 } // namespace
 
-TEST_CASE("A cut-off primary serves nobody once it's replaced", "[failover]") {
-  // The primary is cut off together with a proxy and its callers. On the
-  // other side a new primary takes over and a bale changes its owner. From
-  // then on no caller on the old side may be told the old owner, and no write
-  // there may ever be confirmed. Also where the control leader dies at the
-  // same moment, having just granted a lease that its successor never saw,
-  // and where the cut-off proxy's clock runs slow and the others' fast, both
-  // at the stated bound.
+TEST_CASE("A partitioned primary serves nothing once it is replaced",
+          "[failover]") {
+  // The primary is partitioned together with a proxy and its callers. On the
+  // other side a new primary takes over and a row changes. From then on no
+  // caller on the old side may read the old row, and no write there may ever
+  // be confirmed. Covers a control leader that is killed at the same moment,
+  // after a lease grant that its successor does not know, and clocks that
+  // drift by the configured bound: slow at the partitioned proxy, fast at the
+  // other hosts.
   struct Case {
     int LeaseMs;
     int DriftPpm;
@@ -116,18 +120,18 @@
     for (const auto &[Name, Node] : std::map(Cluster.Controls))
       if (Node == Cluster.leader())
         Cluster.kill(Name);
-  const SplitRun Got = runSplit(Cluster, Primary, Millis(6000));
-  CHECK(Got.NewSideDone);
-  CHECK(Got.StaleReads == 0);
-  CHECK(Got.OldSideDone == 0);
+  const SplitResult Result = runSplit(Cluster, Primary, Millis(6000));
+  CHECK(Result.NewSideDone);
+  CHECK(Result.StaleReads == 0);
+  CHECK(Result.OldSideDone == 0);
 }
 
 TEST_CASE("An answer that waits past the lease is not confirmed",
           "[failover]") {
-  // A proxy sends a handover and is frozen before the answers of the primary
-  // and of the replica come. Meanwhile the primary is replaced. Thawed, the
-  // proxy finds both answers and a lease grant waiting; all of them are old
-  // news, and the caller must not be told "done" by the replaced primary.
+  // A proxy sends a write and is frozen before the responses of the primary and
+  // of the replica arrive. Meanwhile the primary is replaced. After the thaw
+  // the proxy receives both responses and a lease grant, all of them stale; the
+  // caller must not receive "done" for the replaced primary.
   const auto Seed = GENERATE(range(1, 11));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
@@ -147,12 +151,12 @@
   CHECK(Late->Outcome == "unknown");
 }
 
-TEST_CASE("A lease ends at every proxy before control counts it out",
+TEST_CASE("A lease ends at every proxy before control treats it as expired",
           "[lease]") {
-  // The two hosts' clocks run wrong by the whole bound, in the worst
-  // direction, and each reading is cut to a millisecond. If control counted
-  // a lease out one moment early, a caller could be answered by a primary
-  // that has been replaced.
+  // The clocks of the two hosts drift by the whole bound in the worst
+  // direction, and each reading is truncated to a millisecond. If control
+  // treated a lease as expired too early, a replaced primary could still
+  // respond to a caller.
   const auto Ppm = GENERATE(0, 1000, 20000, 100000);
   const auto Duration = GENERATE(100, 600, 60000);
   const auto Begin = GENERATE(1, 999, 123456789);
--- a/Tests/Unit/FailoverReplicaTest.cpp
+++ b/Tests/Unit/FailoverReplicaTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// An acknowledged write survives a failover, judged by what callers got.
+/// Acknowledged writes survive a failover, checked by the responses to callers.
 
 #include "FailoverSupport.h"
 
@@ -8,11 +8,12 @@
 
 using namespace corianderdyke;
 
-TEST_CASE("A fenced target's tail is no copy of a later write", "[failover]") {
-  // The primary takes a write that reaches no replica, and is cut off. It
-  // obeys the fence, but nobody can tell it yet whom to follow, so that it
-  // reports the new term with its old tail. A write at the new primary that
-  // reaches no other target must not be confirmed on the strength of it.
+TEST_CASE("The tail of a fenced target is no copy of a later write",
+          "[failover]") {
+  // The primary logs a write that reaches no replica, and is partitioned. It
+  // applies the fence but does not yet know the new primary, so that it reports
+  // the new term with its old unreplicated tail. That tail must not count as a
+  // copy of a write at the new primary that reaches no other target.
   FakeCluster Cluster(1);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Old = primaryOf(Cluster);
@@ -44,11 +45,11 @@
   CHECK(Second.Outcome == "unknown");
 }
 
-TEST_CASE("A restarted primary never takes up its term again", "[failover]") {
-  // The primary dies with its log and comes back empty under its old name
-  // before control hears from most proxies that it's gone. Told to go on as
-  // primary it would begin at position 1 again, and a confirmed handover
-  // would be gone. The others hold it, so one of them has to take over.
+TEST_CASE("A restarted primary never resumes its term", "[failover]") {
+  // The primary loses its log and restarts empty under its old name before
+  // control receives failure reports from a majority of the proxies. If it
+  // remained primary it would start at position 1 again and lose a confirmed
+  // write. The other targets hold the write, so one of them must take over.
   const auto Seed = GENERATE(range(1, 9));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed), 3, 3);
@@ -74,20 +75,20 @@
   CHECK(Read.Body == "haulier");
 }
 
-TEST_CASE("A target that came back empty proves nothing", "[failover]") {
-  // A handover is confirmed on the strength of the primary and one replica,
-  // while the other replica lags. The replica restarts empty, and the primary
-  // dies before it caught up. Two targets answer, neither of which has the
-  // handover: writes must stand still instead of starting without it, and the
-  // audit trail must say why. When the third comes back, nothing is missing.
+TEST_CASE("A target that restarted empty does not count", "[failover]") {
+  // A write is confirmed by the primary and one replica while the other replica
+  // lags. The replica restarts empty, and the primary freezes before the
+  // replica has caught up. Neither reachable target holds the write: writes
+  // must wait instead of resuming without it, and the audit trail must give the
+  // reason. When the primary returns, no confirmed write is missing.
   const auto Seed = GENERATE(range(1, 9));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
   const std::string Lost = targetsExcept(Cluster, Primary)[0];
-  const std::string Behind = targetsExcept(Cluster, Primary)[1];
-  Cluster.Net.cutBoth(Primary, Behind);
+  const std::string Lagging = targetsExcept(Cluster, Primary)[1];
+  Cluster.Net.cutBoth(Primary, Lagging);
   const CallerResponse Written = sendWithRetries(
       Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
@@ -110,16 +111,16 @@
             .Outcome == "done");
 }
 
-TEST_CASE("A target that came back empty counts once it caught up",
+TEST_CASE("A target that restarted empty counts once it has caught up",
           "[failover]") {
-  // As before, but the replica has the time to follow. Then it may be the one
-  // that saves the handover.
+  // A replica restarts empty as in the previous test but has time to catch up.
+  // Then it must count, and is the target that keeps the confirmed write.
   FakeCluster Cluster(1);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
   const std::string Lost = targetsExcept(Cluster, Primary)[0];
-  const std::string Behind = targetsExcept(Cluster, Primary)[1];
-  Cluster.Net.cutBoth(Primary, Behind);
+  const std::string Lagging = targetsExcept(Cluster, Primary)[1];
+  Cluster.Net.cutBoth(Primary, Lagging);
   const CallerResponse Written = sendWithRetries(
       Cluster, "entry-1", {.Key = "k1", .Body = "put bale haulier"});
   REQUIRE(Written.Outcome == "done");
@@ -137,10 +138,10 @@
 }
 
 TEST_CASE("The higher term wins over the higher position", "[failover]") {
-  // An old primary returns with a long tail that was never confirmed, just
-  // when its successor dies after one confirmed write. The tail is longer,
-  // but it belongs to the term that lost: callers keep the confirmed write
-  // and never see the tail. A second old primary returns the same way.
+  // A former primary returns with a long unconfirmed tail when its successor
+  // fails after one confirmed write. The tail is longer but belongs to an
+  // earlier term: callers must keep the confirmed write and never read the
+  // tail. Further former primaries return in the same way.
   const auto Seed = GENERATE(range(1, 6));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
@@ -186,9 +187,9 @@
 }
 
 TEST_CASE("The up-to-date replica wins whichever lags", "[failover]") {
-  // A handover is confirmed and the primary dies in the same instant. One
-  // replica lags far behind; the other one has to win, for every seed and
-  // lag, and the clerk reads the handover at both proxies.
+  // The primary is killed right after it confirmed a write. One replica lags
+  // far behind; the other one must be promoted for every seed and lag, and the
+  // session must read the write at both proxies.
   const auto Seed = GENERATE(range(1, 31));
   CAPTURE(Seed);
   FakeCluster Cluster(static_cast<std::uint64_t>(Seed));
@@ -212,10 +213,10 @@
 }
 
 TEST_CASE("Too few targets are handled as the manifest says", "[failover]") {
-  // A second host is lost right after the repair, before anything settled.
-  // With the policy "wait" writes stand still and go on when a target comes
-  // back; with promote-with-loss the last one takes over and the loss is in
-  // the audit trail.
+  // A second host is lost right after a failover, before the group is settled.
+  // With the policy "wait", writes wait until a target returns; with
+  // "promote-with-loss", the last target takes over and the possible loss is
+  // recorded in the audit trail.
   const bool Lossy = GENERATE(false, true);
   CAPTURE(Lossy);
   FakeCluster Cluster(3);
@@ -236,11 +237,11 @@
   Cluster.Hosts[Second.Target]->freeze();
   Cluster.Loop.runFor(Millis(7000));
   CHECK(Cluster.isWritable("bale-ledger-1") == Lossy);
-  const std::string Said =
+  const std::string Reason =
       lastAuditReason(Cluster, Lossy ? "target-promoted" : "failover-waiting");
-  CHECK(Said == std::string("1 of 3 targets told their position, 2 are "
-                            "needed") +
-                    (Lossy ? "; acknowledged writes may be lost" : ""));
+  CHECK(Reason == std::string("1 of 3 targets told their position, 2 are "
+                              "needed") +
+                      (Lossy ? "; acknowledged writes may be lost" : ""));
   Cluster.Hosts[Second.Target]->thaw();
   CHECK(sendWithRetries(Cluster, "entry-2", {.Key = "k3", .Body = "put a b"})
             .Outcome == "done");
@@ -254,11 +255,11 @@
 
 TEST_CASE("A write sent again right after a failover is confirmed",
           "[failover]") {
-  // A handover is confirmed, its answer is lost, and the primary dies. The
-  // caller asks again with the same key before anybody has written in the new
-  // term. The new primary has the handover and says so; its copy in a log that
-  // has no entry of the new term yet must count, or the caller would be told
-  // "unknown" until somebody else writes.
+  // A write is confirmed, its response is lost, and the primary is killed. The
+  // caller retries with the same key before the new term has a write. The new
+  // primary holds the write. A copy in a log that has no entry of the new term
+  // yet must count, or the caller would receive "unknown" until another write
+  // arrives.
   FakeCluster Cluster(1);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const CallerRequest Question{.Key = "k1", .Body = "add scans 1"};
--- a/Tests/Unit/GroupSettlingTest.cpp
+++ b/Tests/Unit/GroupSettlingTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Which targets of a group prove something in a failover from the start.
+/// Which initial targets of a group count towards the failover quorum before
+/// they have caught up.
 
 #include "FailoverSupport.h"
 #include "Manifest/ManifestFile.h"
@@ -12,7 +13,7 @@
 
 constexpr const char *Database = "bale-ledger-1";
 
-/// A group that has started with two of its three targets.
+/// Starts a group with two of its three targets.
 void startWithTwo(FakeCluster &Cluster) {
   Cluster.applyManifest(FakeCluster::BaseManifest);
   Cluster.startTarget("ledger-1", Database);
@@ -23,11 +24,11 @@
 
 } // namespace
 
-TEST_CASE("The last first target of a group proves something at once",
-          "[failover]") {
+TEST_CASE("The last initial target of a group counts at once", "[failover]") {
   // A group has started with two of three targets. The third joins, and the
-  // primary dies before it has caught up. Callers mustn't wait for a target
-  // that may never come back: the two that are left have all between them.
+  // primary is killed before the third has caught up. Callers must not wait for
+  // a target that may never return: the two remaining targets together hold
+  // every confirmed write.
   FakeCluster Cluster(1);
   startWithTwo(Cluster);
   const CallerResponse Written = sendWithRetries(
@@ -47,10 +48,12 @@
             .Outcome == "done");
 }
 
-TEST_CASE("A first target that came back empty proves nothing", "[failover]") {
-  // The same group of two so far. Its replica, on which a handover was
-  // confirmed, comes back empty and the primary dies; then the third joins.
-  // The two that answer have nothing: writes must wait for the primary.
+TEST_CASE("An initial target that restarted empty does not count",
+          "[failover]") {
+  // A group has started with two of three targets. The replica that holds a
+  // confirmed write restarts empty and the primary freezes; then the third
+  // target joins. Neither reachable target holds the write, so writes must wait
+  // for the primary.
   FakeCluster Cluster(1);
   startWithTwo(Cluster);
   const CallerResponse Written = sendWithRetries(
@@ -68,13 +71,13 @@
   CHECK_FALSE(Cluster.isWritable(Database));
 }
 
-TEST_CASE("More copies don't forget what was confirmed with fewer",
+TEST_CASE("Raising the number of copies keeps writes confirmed with fewer",
           "[failover]") {
-  // A handover is confirmed on the primary alone, as the manifest allows. The
-  // next manifest asks for two copies, so that a failover reads two targets;
-  // the primary dies before the others have the handover. Writes must wait for
-  // it instead of starting without the handover. While they wait, the numbers
-  // can't be changed again.
+  // A write is confirmed on the primary alone, as the manifest allows. The next
+  // manifest requires two copies, so that a failover queries two targets; the
+  // primary freezes before the others have the write. Writes must wait for it
+  // instead of resuming without the confirmed write. Meanwhile the number of
+  // copies must not be changed again.
   std::string Text = FakeCluster::BaseManifest;
   Text.insert(Text.find("[[kind]]"), "copies = 1\n");
   FakeCluster Cluster(1);
@@ -100,8 +103,8 @@
   const CallerResponse Read = sendWithRetries(
       Cluster, "entry-2",
       {.Kind = "lookup", .Body = "get bale", .Session = Written.Session});
-  CHECK(Read.Body ==
-        "haulier"); // Once all have caught up, the new numbers alone count.
+  CHECK(Read.Body == "haulier");
+  // Once all targets have caught up, only the new number of copies applies.
   CHECK(Cluster.Loop.runUntilTrue(
       [&] { return Cluster.group(Database)->MinFailoverQuorum == 0; },
       Millis(5000)));
--- a/Tests/Unit/HttpFactsTest.cpp
+++ b/Tests/Unit/HttpFactsTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What the product relies on in evhttp, on real sockets on loopback. Each
-/// test waits for a condition; the bound only ends a hopeless one.
+/// The properties of evhttp that the code relies on, on real loopback sockets.
+/// Each test waits for a condition; the timeout only ends a failed test.
 
 #include "Common/SystemClock.h"
 #include "Http/EventHttpConnector.h"
@@ -20,12 +20,13 @@
 
 namespace {
 
-constexpr Millis Hopeless(10000);
+constexpr Millis WaitTimeout(10000);
 
-/// Runs the loop until the condition holds.
+/// Runs \p Loop until \p Condition holds or the timeout expires. Returns
+/// whether the condition holds.
 bool runUntil(EventLoop &Loop, const std::function<bool()> &Condition) {
   const SystemClock Time;
-  const Millis Last = Time.now() + Hopeless;
+  const Millis Last = Time.now() + WaitTimeout;
   while (!Condition() && Time.now() < Last) {
     Loop.after(Millis(1), [&Loop] { Loop.stop(); });
     Loop.run();
@@ -33,21 +34,21 @@
   return Condition();
 }
 
-/// A peer that speaks raw bytes: it lets a test answer late, in pieces, or
-/// close at the worst moment.
+/// A server on raw bytes, so that a test can respond late or in pieces, or
+/// close a connection at a chosen moment.
 class RawServer {
 public:
   explicit RawServer(EventLoop &Loop) : Loop(Loop) {
-    sockaddr_in At{};
-    At.sin_family = AF_INET;
-    At.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    sockaddr_in SocketAddress{};
+    SocketAddress.sin_family = AF_INET;
+    SocketAddress.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     Listener = evconnlistener_new_bind(
         Loop.base(), &RawServer::accepted, this, LEV_OPT_CLOSE_ON_FREE, -1,
-        reinterpret_cast<sockaddr *>(&At), sizeof(At));
-    socklen_t Size = sizeof(At);
+        reinterpret_cast<sockaddr *>(&SocketAddress), sizeof(SocketAddress));
+    socklen_t Size = sizeof(SocketAddress);
     getsockname(evconnlistener_get_fd(Listener),
-                reinterpret_cast<sockaddr *>(&At), &Size);
-    Address = {"127.0.0.1", ntohs(At.sin_port)};
+                reinterpret_cast<sockaddr *>(&SocketAddress), &Size);
+    Address = {"127.0.0.1", ntohs(SocketAddress.sin_port)};
   }
   ~RawServer() {
     for (bufferevent *Each : Open)
@@ -64,31 +65,32 @@
     bufferevent_free(Open[Connection]);
     Open.erase(Open.begin() + static_cast<std::ptrdiff_t>(Connection));
   }
-  /// Whole requests that came, counted by their first line.
+  /// Returns the number of received requests, counted by their request lines.
   std::size_t requests() const {
     std::size_t Count = 0;
-    for (std::size_t At = Seen.find("POST "); At != std::string::npos;
-         At = Seen.find("POST ", At + 1))
+    for (std::size_t Offset = Received.find("POST ");
+         Offset != std::string::npos;
+         Offset = Received.find("POST ", Offset + 1))
       ++Count;
     return Count;
   }
 
   Endpoint Address;
   std::vector<bufferevent *> Open;
-  std::string Seen;
+  std::string Received;
 
 private:
   static void accepted(evconnlistener *, evutil_socket_t Socket, sockaddr *,
                        int, void *Argument) {
     auto *Self = static_cast<RawServer *>(Argument);
-    bufferevent *Made = bufferevent_socket_new(Self->Loop.base(), Socket,
-                                               BEV_OPT_CLOSE_ON_FREE);
-    bufferevent_setcb(Made, &RawServer::arrived, nullptr, nullptr, Self);
-    bufferevent_enable(Made, EV_READ | EV_WRITE);
-    Self->Open.push_back(Made);
+    bufferevent *Accepted = bufferevent_socket_new(Self->Loop.base(), Socket,
+                                                   BEV_OPT_CLOSE_ON_FREE);
+    bufferevent_setcb(Accepted, &RawServer::arrived, nullptr, nullptr, Self);
+    bufferevent_enable(Accepted, EV_READ | EV_WRITE);
+    Self->Open.push_back(Accepted);
   }
   static void arrived(bufferevent *From, void *Argument) {
-    static_cast<RawServer *>(Argument)->Seen +=
+    static_cast<RawServer *>(Argument)->Received +=
         bytesOf(bufferevent_get_input(From));
     evbuffer_drain(bufferevent_get_input(From),
                    evbuffer_get_length(bufferevent_get_input(From)));
@@ -98,27 +100,28 @@
   evconnlistener *Listener = nullptr;
 };
 
-std::string wholeAnswer(const std::string &Body) {
+std::string okResponse(const std::string &Body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(Body.size()) +
          "\r\n\r\n" + Body;
 }
 
 void connectTo(bufferevent *Caller, const Endpoint &To) {
-  sockaddr_in At{};
-  At.sin_family = AF_INET;
-  At.sin_port = htons(To.Port);
-  At.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  bufferevent_socket_connect(Caller, reinterpret_cast<sockaddr *>(&At),
-                             sizeof(At));
+  sockaddr_in SocketAddress{};
+  SocketAddress.sin_family = AF_INET;
+  SocketAddress.sin_port = htons(To.Port);
+  SocketAddress.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  bufferevent_socket_connect(Caller,
+                             reinterpret_cast<sockaddr *>(&SocketAddress),
+                             sizeof(SocketAddress));
   bufferevent_enable(Caller, EV_READ | EV_WRITE);
 }
 
-/// One connection to a raw peer and the answers that its user received.
+/// A client connection and the responses that it received.
 struct Client {
   Client(EventLoop &Loop, const Endpoint &To)
       : Connection(EventHttpConnector(Loop).connect(To)) {}
 
-  void send(Millis Timeout = Hopeless) {
+  void send(Millis Timeout = WaitTimeout) {
     HttpRequest Request;
     Request.Method = HttpMethod::Post;
     Request.Path = "/v1/statement";
@@ -133,46 +136,46 @@
   std::vector<Expected<HttpResponse>> Answers;
 };
 
-/// Keeps exchanges and notes who hung up.
-struct KeepingService final : HttpService {
+/// Keeps the exchanges open and counts disconnects.
+struct HoldingService final : HttpService {
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpExchange> Exchange) override {
     Bodies.push_back(Request.Body);
-    Exchange->onDisconnect([this] { ++HangUps; });
+    Exchange->onDisconnect([this] { ++ExchangeDisconnects; });
     Exchanges.push_back(std::move(Exchange));
   }
   void handleDisconnect(const std::string &) override { ++Disconnects; }
 
   std::vector<std::string> Bodies;
   std::vector<std::shared_ptr<HttpExchange>> Exchanges;
-  int HangUps = 0;
+  int ExchangeDisconnects = 0;
   int Disconnects = 0;
 };
 
 } // namespace
 
-TEST_CASE("A request goes out once, though its connection closes", "[http]") {
-  // A kept connection is closed by the target just as the next statement
-  // goes out. A client that sent it again by itself would run a handover
-  // twice; the proxy must get the error and decide.
+TEST_CASE("A request is sent once even if its connection closes", "[http]") {
+  // A persistent connection is closed by the target when the next statement is
+  // sent. An automatic retry by the HTTP client could run a write twice; the
+  // proxy must receive the error and decide.
   EventLoop Loop;
   RawServer Server(Loop);
   Client Caller(Loop, Server.Address);
   Caller.send();
   REQUIRE(runUntil(Loop, [&] { return Server.requests() == 1; }));
-  Server.write(0, wholeAnswer("first"));
+  Server.write(0, okResponse("first"));
   REQUIRE(runUntil(Loop, [&] { return Caller.Answers.size() == 1; }));
   CHECK(Caller.Answers[0]->Body == "first");
   SECTION("closed before the request is read") {
     Server.close(0);
     Caller.send();
   }
-  SECTION("closed when the request was read") {
+  SECTION("closed after the request is read") {
     Caller.send();
     REQUIRE(runUntil(Loop, [&] { return Server.requests() == 2; }));
     Server.close(0);
   }
-  SECTION("closed in mid-answer") {
+  SECTION("closed within a response") {
     Caller.send();
     REQUIRE(runUntil(Loop, [&] { return Server.requests() == 2; }));
     Server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
@@ -191,22 +194,22 @@
   CHECK(Caller.Answers.size() == 2);
 }
 
-TEST_CASE("An answer in pieces arrives whole", "[http]") {
+TEST_CASE("A response in pieces is received complete", "[http]") {
   EventLoop Loop;
   RawServer Server(Loop);
   Client Caller(Loop, Server.Address);
   Caller.send();
   REQUIRE(runUntil(Loop, [&] { return Server.requests() == 1; }));
-  for (const char Each : wholeAnswer("a bale from Riga"))
+  for (const char Each : okResponse("a bale from Riga"))
     Server.write(0, std::string(1, Each));
   REQUIRE(runUntil(Loop, [&] { return Caller.Answers.size() == 1; }));
   CHECK(Caller.Answers[0]->Body == "a bale from Riga");
 }
 
-TEST_CASE("A late answer doesn't answer the next request", "[http]") {
-  // The target answers the first statement after its timeout, when the
-  // second has gone out over the same object. The second caller must not get
-  // the first one's rows.
+TEST_CASE("A late response is not matched to the next request", "[http]") {
+  // The target responds to the first statement after its timeout, when the
+  // second has been sent through the same HttpConnection. The second caller
+  // must not receive the rows of the first.
   EventLoop Loop;
   RawServer Server(Loop);
   Client Caller(Loop, Server.Address);
@@ -216,15 +219,15 @@
   Caller.send();
   REQUIRE(runUntil(Loop, [&] { return Server.requests() == 2; }));
   REQUIRE(Server.Open.size() == 2);
-  Server.write(0, wholeAnswer("of the first"));
-  Server.write(1, wholeAnswer("of the second"));
+  Server.write(0, okResponse("of the first"));
+  Server.write(1, okResponse("of the second"));
   REQUIRE(runUntil(Loop, [&] { return Caller.Answers.size() == 2; }));
   CHECK(Caller.Answers[1]->Body == "of the second");
 }
 
-TEST_CASE("Answers given in another order reach their own callers", "[http]") {
+TEST_CASE("Responses in another order reach their own callers", "[http]") {
   EventLoop Loop;
-  KeepingService Service;
+  HoldingService Service;
   const auto Server = EventHttpServer::listen(Loop, {"127.0.0.1", 0}, Service);
   REQUIRE(Server);
   Client One(Loop, (*Server)->endpoint());
@@ -242,28 +245,28 @@
   CHECK(Other.Answers[0]->Body == "other");
 }
 
-TEST_CASE("A caller who hangs up while it waits is noticed", "[http]") {
+TEST_CASE("A disconnect of a waiting caller is detected", "[http]") {
   EventLoop Loop;
-  KeepingService Service;
+  HoldingService Service;
   const auto Server = EventHttpServer::listen(Loop, {"127.0.0.1", 0}, Service);
   REQUIRE(Server);
   {
     Client Caller(Loop, (*Server)->endpoint());
     Caller.send();
     REQUIRE(runUntil(Loop, [&] { return Service.Exchanges.size() == 1; }));
-    CHECK(Service.HangUps == 0);
+    CHECK(Service.ExchangeDisconnects == 0);
   }
-  CHECK(runUntil(Loop, [&] { return Service.HangUps == 1; }));
+  CHECK(runUntil(Loop, [&] { return Service.ExchangeDisconnects == 1; }));
   CHECK(Service.Disconnects == 1);
-  // The answer has nowhere to go; sending it is harmless.
+  // The client is gone; sending the response must be harmless.
   Service.Exchanges[0]->respond({200, {}, "late"});
 }
 
-TEST_CASE("Requests sent ahead are answered in turn, whole", "[http]") {
-  // A caller writes its next requests without waiting. Each gets its own
-  // answer, and the bytes that wait do no harm.
+TEST_CASE("Pipelined requests are answered in order", "[http]") {
+  // A caller pipelines its requests. Each must receive its own response, and
+  // the buffered bytes must not disturb the request in progress.
   EventLoop Loop;
-  KeepingService Service;
+  HoldingService Service;
   const auto Server = EventHttpServer::listen(Loop, {"127.0.0.1", 0}, Service);
   REQUIRE(Server);
   bufferevent *Caller =
@@ -295,12 +298,12 @@
   bufferevent_free(Caller);
 }
 
-TEST_CASE("A listener refuses what is too large and cuts what is too slow",
+TEST_CASE("A listener refuses oversized input and closes idle connections",
           "[http]") {
-  // What a hostile or broken caller sends must neither reach the service nor
-  // hold memory or a socket for long.
+  // Invalid input from a hostile or faulty caller must neither reach the
+  // service nor occupy memory or a socket for long.
   EventLoop Loop;
-  KeepingService Service;
+  HoldingService Service;
   HttpLimits Limits;
   std::string Sent;
   SECTION("a body too large") {
@@ -312,8 +315,8 @@
         "POST /x HTTP/1.1\r\nA: " + std::string(MaxHttpHeaderBytes + 1, 'x') +
         "\r\n\r\n";
   }
-  SECTION("no HTTP at all") { Sent = "\x16\x03\x01 hello\r\n\r\n"; }
-  SECTION("half a request, then silence") {
+  SECTION("not HTTP") { Sent = "\x16\x03\x01 hello\r\n\r\n"; }
+  SECTION("an incomplete request") {
     Sent = "POST /x HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf";
     Limits.IdleTimeout = Millis(100);
   }
--- a/Tests/Unit/JournalTest.cpp
+++ b/Tests/Unit/JournalTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the journal keeps over crashes, and what it refuses.
+/// Durability of the journal over crashes, and detection of corruption.
 
 #include "Storage/Journal.h"
 #include "Consensus/ReplicatedLog.h"
@@ -19,8 +19,8 @@
 constexpr const char *FirstDisk = "disk-1";
 constexpr const char *NewDisk = "disk-2";
 
-/// All that a control host promises from its disk.
-struct Promised {
+/// The durable state that a control host has acknowledged.
+struct DurableState {
   std::string DiskId;
   std::uint64_t Term = 0;
   std::string Vote;
@@ -28,10 +28,10 @@
   std::string State;
   std::vector<Entry> Entries;
 
-  bool operator==(const Promised &) const = default;
+  bool operator==(const DurableState &) const = default;
 };
 
-Promised promisedBy(const ReplicatedLog &Log) {
+DurableState durableState(const ReplicatedLog &Log) {
   return {Log.diskId(),
           Log.term(),
           Log.votedFor(),
@@ -44,7 +44,7 @@
   return {Index, Term, EntryKind::Command, "change " + std::to_string(Index)};
 }
 
-/// One of each change that a log makes, in an order that a host could meet.
+/// Every kind of log operation, in an order that is possible on a host.
 using Change = std::function<Expected<void>(ReplicatedLog &)>;
 const std::vector<Change> Changes = {
     [](ReplicatedLog &Log) { return Log.setTerm(1, "control-1"); },
@@ -61,46 +61,48 @@
       return Log.install({2, 4, 2, 0, {}, "state 4"});
     },
     [](ReplicatedLog &Log) { return Log.append({entry(6, 2)}); },
-    // Another history from here on: of entries 5 and 6 nothing may stay.
+    // A diverging history from here on: entries 5 and 6 must be discarded.
     [](ReplicatedLog &Log) {
       return Log.install({5, 5, 4, 0, {}, "state 5"});
     },
     [](ReplicatedLog &Log) { return Log.append({entry(6, 5)}); },
 };
 
-/// Makes the changes until the disk fails. Gives what held before the change
-/// that failed and what would have held after it.
-std::pair<Promised, Promised> change(FakeDisk &Disk) {
+/// Applies the changes until the disk fails. Returns the state before the
+/// failed change and the state that would follow it.
+std::pair<DurableState, DurableState> applyChanges(FakeDisk &Disk) {
   Journal Records(Disk);
   ReplicatedLog Log(Records);
   if (!Log.load(FirstDisk))
-    return {Promised{}, promisedBy(Log)};
+    return {DurableState{}, durableState(Log)};
   for (const Change &Each : Changes) {
-    const Promised Before = promisedBy(Log);
+    const DurableState Before = durableState(Log);
     if (!Each(Log))
-      return {Before, promisedBy(Log)};
+      return {Before, durableState(Log)};
   }
-  return {promisedBy(Log), promisedBy(Log)};
+  return {durableState(Log), durableState(Log)};
 }
 
 } // namespace
 
-TEST_CASE("A crash at any operation keeps what was promised", "[journal]") {
-  // Power goes in the middle of a write, a sync or a replacement, and part of
-  // what was written is there. On its return the host holds every vote and
-  // entry that it vouched for, and the change in flight whole or not at all.
-  FakeDisk Whole;
-  change(Whole);
-  REQUIRE(Whole.operations() > 2 * Changes.size());
-  for (std::size_t At = 1; At <= Whole.operations(); ++At)
+TEST_CASE("A crash at any operation keeps acknowledged state", "[journal]") {
+  // Power is lost during a write, a sync or a file replacement, and only a part
+  // of the written bytes is kept. After the restart the host must hold every
+  // acknowledged vote and entry, and the change in flight entirely or not at
+  // all.
+  FakeDisk Reference;
+  applyChanges(Reference);
+  REQUIRE(Reference.operations() > 2 * Changes.size());
+  for (std::size_t Operation = 1; Operation <= Reference.operations();
+       ++Operation)
     for (const std::size_t Torn : {0, 1, 23, 24, 40, 1000}) {
-      CAPTURE(At, Torn);
+      CAPTURE(Operation, Torn);
       FakeDisk Disk;
-      Disk.losePowerAfter(At);
-      const auto [Before, After] = change(Disk);
+      Disk.losePowerAfter(Operation);
+      const auto [Before, After] = applyChanges(Disk);
       Disk.crash(Torn);
-      // A second crash while the first one's rest is put in order.
-      Disk.losePowerAfter(1 + At % 4);
+      // A second crash during the recovery from the first.
+      Disk.losePowerAfter(1 + Operation % 4);
       {
         Journal Records(Disk);
         ReplicatedLog Log(Records);
@@ -110,17 +112,17 @@
       Journal Records(Disk);
       ReplicatedLog Log(Records);
       REQUIRE(Log.load(FirstDisk));
-      const Promised Found = promisedBy(Log);
+      const DurableState Found = durableState(Log);
       const bool Kept = Found == Before || Found == After ||
-                        (Before == Promised{} && Found.Entries.empty());
+                        (Before == DurableState{} && Found.Entries.empty());
       CHECK(Kept);
     }
 }
 
-TEST_CASE("A flipped bit anywhere is never passed over", "[journal]") {
-  // A bit flips on the disk of a stopped host. Either the host says so and
-  // doesn't start, or it starts as a new disk that has promised nothing. It
-  // never comes back as its old self with a vote or an entry missing.
+TEST_CASE("A flipped bit is always detected", "[journal]") {
+  // A bit flips on the disk of a stopped host. The host must either fail to
+  // start with an error or start with a new disk id, which has acknowledged
+  // nothing. It must never start with its old id and a missing vote or entry.
   const std::string File = GENERATE("journal", "snapshot");
   const auto Steps = GENERATE(as<std::size_t>(), 4, 5, 11, 14);
   FakeDisk Disk;
@@ -129,7 +131,7 @@
   REQUIRE(Log.load(FirstDisk));
   for (std::size_t Step = 0; Step < Steps; ++Step)
     REQUIRE(Changes[Step](Log));
-  const Promised Before = promisedBy(Log);
+  const DurableState Before = durableState(Log);
   for (std::size_t Bit = 0; Bit < Disk.content(File).size() * 8; ++Bit) {
     CAPTURE(File, Steps, Bit);
     FakeDisk Flipped = Disk;
@@ -144,12 +146,12 @@
       continue;
     }
     const bool Safe =
-        Reread.diskId() == NewDisk || promisedBy(Reread) == Before;
+        Reread.diskId() == NewDisk || durableState(Reread) == Before;
     CHECK(Safe);
   }
 }
 
-TEST_CASE("A journal gives back what was appended", "[journal]") {
+TEST_CASE("A journal returns the appended records", "[journal]") {
   FakeDisk Disk;
   REQUIRE(Journal(Disk).append({"one", "two"}));
   Journal Again(Disk);
@@ -158,9 +160,10 @@
   CHECK(Found->Records == std::vector<std::string>{"one", "two"});
 }
 
-TEST_CASE("A torn tail is cut and the rest kept", "[journal]") {
-  // The host loses power while a record is written. On its return the whole
-  // records are there and the torn one is gone, and new records follow.
+TEST_CASE("A torn tail is truncated and the rest kept", "[journal]") {
+  // The host loses power while a record is written. After the restart the
+  // complete records must be kept, the torn one removed, and new records
+  // appended behind them.
   FakeDisk Disk;
   Journal Before(Disk);
   REQUIRE(Before.append({"one"}));
@@ -178,9 +181,9 @@
         std::vector<std::string>{"one", "three"});
 }
 
-TEST_CASE("A damaged middle is refused", "[journal]") {
-  // A bit flips in a record that had been synced. Cutting there would forget
-  // later records that this host has vouched for, so it must not start.
+TEST_CASE("A damaged record before the tail is refused", "[journal]") {
+  // A bit flips in a synced record. Truncating there would drop later records
+  // that this host has acknowledged, so it must not start.
   FakeDisk Disk;
   Journal Before(Disk);
   REQUIRE(Before.append({"one"}));
@@ -192,9 +195,9 @@
   CHECK(Found.error().Code == ErrorCode::Corrupt);
 }
 
-TEST_CASE("A damaged middle of a compacted journal is refused", "[journal]") {
-  // All of a compacted file was synced before it appeared, so no part of it
-  // can be a torn tail, also before anything was added to it.
+TEST_CASE("A damaged record of a compacted journal is refused", "[journal]") {
+  // A compacted file is synced entirely before it replaces the old one, so no
+  // part of it can be a torn tail, even before anything is appended to it.
   const auto InFirst = std::size_t(26);
   const auto InLast = std::size_t(52);
   const auto Fault = GENERATE_COPY(InFirst, InLast);
@@ -208,9 +211,9 @@
 
 TEST_CASE("An interrupted snapshot of another history leaves nothing of it",
           "[journal]") {
-  // Power goes between the two files of a snapshot that another leader sent.
-  // The old journal holds an entry behind it from a history that lost; the
-  // host must neither keep it nor refuse to start.
+  // Power is lost between the writes of the two files of a snapshot from
+  // another leader. The old journal holds a later entry of a diverging history.
+  // The host must discard that entry and still start.
   FakeDisk Disk;
   {
     Journal Records(Disk);
@@ -230,7 +233,7 @@
 }
 
 TEST_CASE("Recovery time over the journal's length", "[.][recovery]") {
-  // Run by command; docs/design/journal.md has the figures.
+  // Run by command; docs/design/journal.md has the results.
   for (const std::size_t Entries : {1000, 4000, 16000, 64000}) {
     const std::string Folder = std::filesystem::temp_directory_path() /
                                ("recovery-" + std::to_string(::getpid()));
@@ -261,7 +264,7 @@
 }
 
 TEST_CASE("Each sync of a data folder is measured", "[journal]") {
-  // Guards against a slow disk that looks like an election that collides.
+  // Guards against a slow disk that is mistaken for colliding elections.
   const std::string Folder =
       std::filesystem::temp_directory_path() /
       ("corianderdyke-syncs-" + std::to_string(getpid()));
--- a/Tests/Unit/ManifestFileTest.cpp
+++ b/Tests/Unit/ManifestFileTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a manifest's file means, and when two mean the same.
+/// Parsing, comparison and validation of manifest files.
 
 #include "Manifest/ManifestFile.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr const char *Short = R"(version = 7
+constexpr const char *MinimalText = R"(version = 7
 [[kind]]
 name = "lookup"
 [[organisation]]
@@ -20,8 +20,8 @@
 name = "ledger"
 )";
 
-/// The same, in another order and with some defaults spelt out.
-constexpr const char *Long = R"(version = 7
+/// The same manifest in another order and with some defaults written out.
+constexpr const char *ReorderedText = R"(version = 7
 [failover]
 lease_duration_ms = 600
 [[organisation]]
@@ -42,7 +42,7 @@
 } // namespace
 
 TEST_CASE("A manifest's defaults are those of its types", "[manifest]") {
-  const auto Read = parseManifest("f", Short);
+  const auto Read = parseManifest("f", MinimalText);
   REQUIRE(Read);
   Manifest Expected;
   Expected.Version = 7;
@@ -56,16 +56,17 @@
   CHECK(*Read == Expected);
 }
 
-TEST_CASE("Order and spelt-out defaults make no other manifest", "[manifest]") {
-  const auto Left = parseManifest("f", Short);
-  const auto Right = parseManifest("f", Long);
+TEST_CASE("Order and explicit defaults do not change the digest",
+          "[manifest]") {
+  const auto Left = parseManifest("f", MinimalText);
+  const auto Right = parseManifest("f", ReorderedText);
   REQUIRE(Left);
   REQUIRE(Right);
   CHECK(Left->digest() == Right->digest());
 }
 
-TEST_CASE("A difference is told by item", "[manifest]") {
-  const std::string Before = Short;
+TEST_CASE("A difference is reported per item", "[manifest]") {
+  const std::string Before = MinimalText;
   const std::string After = Before + "[[database]]\nname = \"new\"\ncopies=3\n";
   const auto Found = diffManifests(Before, After);
   REQUIRE(Found.size() == 6);
@@ -73,7 +74,7 @@
   CHECK(diffManifests(Before, Before).empty());
 }
 
-TEST_CASE("A fault of a manifest is found with its place", "[manifest]") {
+TEST_CASE("A manifest error is reported with its position", "[manifest]") {
   const auto [Added, Finding] = GENERATE(table<std::string, std::string>({
       {"[[kind]]\nname = \"lookup\"\n",
        "f:11:8: a second [[kind]] is named 'lookup'; names are given once\n"},
@@ -88,7 +89,7 @@
        "access = \"write\"\n"},
       {"kind = 3\n", "f:10:1: unknown key 'kind' in [[database]]\n"},
   }));
-  const auto Read = parseManifest("f", Short + Added);
+  const auto Read = parseManifest("f", MinimalText + Added);
   REQUIRE_FALSE(Read);
   CHECK(refusalText(Read.error()) == Finding);
 }
--- a/Tests/Unit/ManifestTruthTest.cpp
+++ b/Tests/Unit/ManifestTruthTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// An accepted manifest is in force everywhere within seconds and never
-/// reverts, judged by what operators and callers receive.
+/// An accepted manifest is in force at all proxies within seconds and is never
+/// reverted, checked by the responses to operators and callers.
 
 #include "FakeCluster.h"
 #include "Operators/OperatorService.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// What an operator received.
+/// Records the response to an operator.
 class OperatorExchange final : public HttpExchange {
 public:
   void respond(HttpResponse Response) override {
@@ -24,7 +24,7 @@
   std::optional<HttpResponse> Answer;
 };
 
-/// The manifest of the cluster with another version and queue limit.
+/// Returns the base manifest with the given version and queue limit.
 std::string manifestText(std::uint64_t Version, int Queue = 200) {
   std::string Text = FakeCluster::BaseManifest;
   Text.replace(Text.find("version = 1"), 11,
@@ -45,7 +45,7 @@
     Cluster.startAndAwaitWritable(manifestText(1));
   }
 
-  /// Sends a request to the operators' port of a control host.
+  /// Sends a request to the operator service of the control host \p Host.
   std::shared_ptr<OperatorExchange> send(const std::string &Host,
                                          HttpMethod Method,
                                          const std::string &Body = {}) {
@@ -55,16 +55,17 @@
     Request.Path = "/v1/manifest";
     Request.Body = Body;
     Request.Headers = {{operator_header::Key, AnyKey}};
-    FakeHost &At = *Cluster.Hosts.at(Host);
+    FakeHost &Node = *Cluster.Hosts.at(Host);
     const auto Port = static_cast<std::uint16_t>(Peers.size() + 1);
-    Peers.push_back(Cluster.Net.attach(At, {"10.9.0.1", Port}));
+    Peers.push_back(Cluster.Net.attach(Node, {"10.9.0.1", Port}));
     Services.push_back(std::make_unique<OperatorService>(
-        OperatorSources{At, *Peers.back(), Cluster.Controls.at(Host)}, AnyKey));
+        OperatorSources{Node, *Peers.back(), Cluster.Controls.at(Host)},
+        AnyKey));
     Services.back()->handle(Request, Exchange);
     return Exchange;
   }
 
-  /// Sends a manifest to the leader and waits for the answer.
+  /// Sends a manifest to the leader and waits for the response.
   HttpResponse apply(const std::string &Text) {
     REQUIRE(waitFor([&] { return Cluster.leader() != nullptr; }));
     const auto Sent = send(leaderName(), HttpMethod::Post, Text);
@@ -79,10 +80,10 @@
 
   std::string leaderName() { return Cluster.leader()->consensus().leader(); }
 
-  /// Loses all that goes between a host and the others, but for some.
-  void cutOff(const std::string &Name, const std::string &But = {}) {
+  /// Partitions the host \p Name from all other hosts except \p But.
+  void isolate(const std::string &Name, const std::string &Except = {}) {
     for (const auto &[Other, Host] : Cluster.Hosts)
-      if (Other != Name && Other != But)
+      if (Other != Name && Other != Except)
         Cluster.Net.cutBoth(Name, Other);
   }
 
@@ -111,8 +112,9 @@
 
 TEST_CASE("Of two manifests with the same version one is accepted",
           "[manifest]") {
-  // Two operators race with version 2 and other content. One is told that it
-  // is accepted, the other gets a conflict that names both digests.
+  // Two operators concurrently send version 2 with different content. One
+  // manifest is accepted; the other operator receives a conflict that names
+  // both digests.
   Operators Ops;
   const std::string Host = Ops.leaderName();
   const auto First = Ops.send(Host, HttpMethod::Post, manifestText(2, 100));
@@ -127,10 +129,10 @@
 }
 
 TEST_CASE("A manifest sent again gets the same answer", "[manifest]") {
-  // The answer was lost and the pipeline sends the change once more: it
-  // receives the answer that was lost, with its revision, and the proxies
-  // receive nothing. Once a later version is in force it's told so instead,
-  // and that its own had been accepted.
+  // A response is lost and the pipeline retries. It must receive the original
+  // response with its revision, and the proxies must receive no update. Once a
+  // later version is in force, the response is a conflict which also states
+  // that this manifest was accepted.
   Operators Ops;
   const HttpResponse First = Ops.apply(manifestText(2));
   REQUIRE(First.Status == 200);
@@ -145,9 +147,9 @@
 }
 
 TEST_CASE("A manifest is sent while the leader is lost", "[manifest]") {
-  // The leader is cut off in the moment in which it takes the change. The
-  // operator is told to send it again, does so, and gets one acceptance; the
-  // proxies come to it and never go back.
+  // The leader is partitioned when it receives a manifest. The operator is
+  // asked to retry, does so, and the manifest is accepted once; all proxies
+  // must reach that version and keep it.
   const auto Seed = GENERATE(range(1, 6));
   Operators Ops(static_cast<std::uint64_t>(Seed));
   const std::string Old = Ops.leaderName();
@@ -155,7 +157,7 @@
   const auto Sent = Ops.send(Old, HttpMethod::Post, manifestText(2));
   if (!Lost)
     Ops.Cluster.Loop.runFor(Millis(1 + Seed % 3));
-  Ops.cutOff(Old);
+  Ops.isolate(Old);
   REQUIRE(Ops.waitFor([&] { return Sent->Answer.has_value(); }));
   if (Lost) {
     CHECK(Sent->Answer->Status == 503);
@@ -171,17 +173,17 @@
   CHECK(Ops.apply(manifestText(2)) == Again);
 }
 
-TEST_CASE("A stale control host hands out nothing old", "[manifest]") {
-  // The leader sits behind a partition with one proxy while the operators
-  // forbid lookups. That proxy refuses within seconds, the stale host tells
-  // an operator that it doesn't lead, and after ten minutes its return brings
-  // nothing back.
+TEST_CASE("A stale control host serves no old manifest", "[manifest]") {
+  // The leader is partitioned together with one proxy while the operators
+  // forbid lookups. That proxy must refuse lookups within seconds, the stale
+  // host must respond to operators that it is not the leader, and its return
+  // after ten minutes must not restore the old manifest.
   Operators Ops;
   const std::string Old = Ops.leaderName();
-  Ops.cutOff("entry-1", Old);
-  Ops.cutOff(Old, "entry-1");
+  Ops.isolate("entry-1", Old);
+  Ops.isolate(Old, "entry-1");
   Ops.Cluster.Net.heal("entry-1", "caller");
-  // It still takes itself for the leader.
+  // The stale host still acts as leader.
   const auto Early = Ops.send(Old, HttpMethod::Get);
   REQUIRE(Ops.waitFor([&] {
     return Ops.Cluster.leader() != nullptr && Ops.leaderName() != Old;
@@ -206,15 +208,14 @@
 
 TEST_CASE("In force means that no proxy acts on the older manifest",
           "[manifest]") {
-  // The leader is cut off with a proxy and goes on taking itself for the
-  // leader for a while. If it granted leases meanwhile, the proxy would serve
-  // lookups after the operator was told that the manifest without them is in
-  // force.
+  // The leader is partitioned with a proxy and still acts as leader for a
+  // while. If it granted leases during that time, the proxy would serve lookups
+  // after the manifest without lookups has been reported as in force.
   const auto Seed = GENERATE(range(1, 21));
   Operators Ops(static_cast<std::uint64_t>(Seed));
   const std::string Old = Ops.leaderName();
-  Ops.cutOff("entry-1", Old);
-  Ops.cutOff(Old, "entry-1");
+  Ops.isolate("entry-1", Old);
+  Ops.isolate(Old, "entry-1");
   REQUIRE(Ops.waitFor([&] {
     return Ops.Cluster.leader() != nullptr && Ops.leaderName() != Old;
   }));
@@ -228,18 +229,19 @@
 
 TEST_CASE("A proxy that reaches only a stale control host serves nothing",
           "[manifest]") {
-  // A proxy starts and finds a control host that was cut off before the
-  // operators forbade lookups. It gets no lease from it, so callers are told
-  // "not run"; once it reaches the others it comes up with the latest.
+  // A proxy starts and reaches only a control host that was partitioned before
+  // the operators forbade lookups. It must receive no lease and no manifest
+  // from that host; once it reaches the others it must start with the latest
+  // manifest.
   Operators Ops;
   const std::string Old = Ops.leaderName();
-  Ops.cutOff(Old, "entry-1");
+  Ops.isolate(Old, "entry-1");
   REQUIRE(Ops.waitFor([&] {
     return Ops.Cluster.leader() != nullptr && Ops.leaderName() != Old;
   }));
   REQUIRE(Ops.apply(withoutLookups(2)).Status == 200);
   Ops.Cluster.kill("entry-1");
-  Ops.cutOff("entry-1", Old);
+  Ops.isolate("entry-1", Old);
   Ops.Cluster.startProxy("entry-1");
   Ops.Cluster.Loop.runFor(Millis(10000));
   CHECK_FALSE(Ops.Cluster.Proxies.at("entry-1")->isReady());
@@ -249,9 +251,10 @@
 }
 
 TEST_CASE("All processes restart after 300 changes", "[manifest]") {
-  // Hundreds of manifests are accepted, control hosts compact their journals
-  // and restart meanwhile, then everything restarts at once. All come back at
-  // the latest one and a resend of it gets its first answer.
+  // Hundreds of manifests are accepted while control hosts compact their
+  // journals and restart; then all processes restart at once. All must return
+  // to the latest manifest, and a retry of it must receive the original
+  // response.
   Operators Ops;
   const std::string Padding = "# " + std::string(20000, 'x') + "\n";
   constexpr std::uint64_t Changes = 300;
@@ -279,9 +282,9 @@
 }
 
 TEST_CASE("Control hosts are replaced by command", "[manifest]") {
-  // An operator takes a control host out. The answer comes once the change is
-  // committed, the audit trail holds it, and a change of a host that isn't
-  // there is refused.
+  // An operator removes a control host. The response follows once the change is
+  // committed, and the audit trail contains it. A second change, of another
+  // host, is refused with a conflict.
   Operators Ops;
   const std::string Name =
       Ops.leaderName() == "control-1" ? "control-2" : "control-1";
--- a/Tests/Unit/MembershipTest.cpp
+++ b/Tests/Unit/MembershipTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Targets that leave, fall silent or announce wrongly, judged by what callers
-/// got and what operators find in the audit trail.
+/// Targets that leave, stop responding or announce wrong data, checked by the
+/// responses to callers and by the audit trail.
 
 #include "FailoverSupport.h"
 
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Announces through a proxy as some host with the key would.
-void announceAs(FakeCluster &Cluster, const TargetAnnouncement &Said) {
-  struct Silent final : HttpExchange {
+/// Sends \p Announcement to a proxy, as any host that has the key can.
+void announceAs(FakeCluster &Cluster, const TargetAnnouncement &Announcement) {
+  struct DiscardingExchange final : HttpExchange {
     void respond(HttpResponse) override {}
     void onDisconnect(std::function<void()>) override {}
   };
@@ -21,25 +21,26 @@
   Request.Path = "/announce";
   Request.Headers = {
       {"Target-Key", "a key for the cluster in memory"},
-      {"Target-Name", Said.Name},
-      {"Target-Database", Said.Database},
-      {"Target-Region", Said.TargetLocality.Region},
-      {"Target-Failure-Domain", Said.TargetLocality.FailureDomain},
-      {"Target-Host", Said.TargetLocality.Host},
-      {"Target-Address", Said.Address.text()},
-      {"Target-Sequence", std::to_string(Said.Sequence)},
-      {"Target-Leaving", Said.Leaving ? "true" : "false"}};
-  Cluster.Proxies["entry-1"]->handle(Request, std::make_shared<Silent>());
+      {"Target-Name", Announcement.Name},
+      {"Target-Database", Announcement.Database},
+      {"Target-Region", Announcement.TargetLocality.Region},
+      {"Target-Failure-Domain", Announcement.TargetLocality.FailureDomain},
+      {"Target-Host", Announcement.TargetLocality.Host},
+      {"Target-Address", Announcement.Address.text()},
+      {"Target-Sequence", std::to_string(Announcement.Sequence)},
+      {"Target-Leaving", Announcement.Leaving ? "true" : "false"}};
+  Cluster.Proxies["entry-1"]->handle(Request,
+                                     std::make_shared<DiscardingExchange>());
 }
 
 } // namespace
 
-TEST_CASE("A leaving target gets nothing new and cuts nothing",
+TEST_CASE("A leaving target gets no new requests and interrupts none",
           "[membership]") {
   // A target announces that it leaves while callers write and read at all
-  // proxies, one of which may be cut off from control at that moment. No
-  // request is cut (but for those at the lone proxy, whose lease runs out),
-  // and after a few seconds nothing is served by the leaving target any more,
+  // proxies, one of which may be partitioned from control at that moment. No
+  // request may be interrupted, except at the partitioned proxy, whose lease
+  // expires. After a few seconds the leaving target must serve no request,
   // whether it was the primary or a replica.
   const bool IsPrimary = GENERATE(true, false);
   const bool ProxyCutOff = GENERATE(true, false);
@@ -89,11 +90,11 @@
           Leaving + " is leaving");
 }
 
-TEST_CASE("A leaving primary stays while nobody could follow it",
+TEST_CASE("A leaving primary stays while no target can take over",
           "[membership]") {
-  // Two of three targets are down and the primary announces that it leaves.
-  // Handing over would leave callers without a primary; the audit trail says
-  // what it waits for, and strict reads are still answered.
+  // Two of three targets are down and the primary announces that it leaves. A
+  // handover would leave callers without a primary. The audit trail must name
+  // what the handover waits for, and strict reads must still succeed.
   FakeCluster Cluster(1);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
@@ -109,9 +110,9 @@
 }
 
 TEST_CASE("A wrong announcement displaces no live target", "[membership]") {
-  // A host with the right key announces itself under a live target's name, as
-  // a fourth member, or for a database that nobody declared. Callers go on as
-  // before, and the audit trail names each refusal once.
+  // A host with the right key announces itself under the name of a live target,
+  // as a fourth member, or for an undeclared database. Callers must not be
+  // affected, and the audit trail must contain each refusal once.
   FakeCluster Cluster(1);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
@@ -122,11 +123,11 @@
   Wrong.Address.Port = 99;
   TargetAnnouncement Fourth = Wrong;
   Fourth.Name = "fourth";
-  TargetAnnouncement Nowhere = Wrong;
-  Nowhere.Name = "nowhere";
-  Nowhere.Database = "undeclared";
+  TargetAnnouncement Undeclared = Wrong;
+  Undeclared.Name = "nowhere";
+  Undeclared.Database = "undeclared";
   for (int Round = 0; Round < 5; ++Round) {
-    for (const TargetAnnouncement &Each : {Wrong, Fourth, Nowhere})
+    for (const TargetAnnouncement &Each : {Wrong, Fourth, Undeclared})
       announceAs(Cluster, Each);
     Cluster.Loop.runFor(Millis(200));
   }
@@ -141,16 +142,18 @@
   CHECK(Refused == std::vector<std::string>{Primary, "fourth", "nowhere"});
 }
 
-TEST_CASE("A silent target gives up its place after a minute", "[membership]") {
-  // A replica's host is gone for good and another host takes its place under
-  // a new name. Its place is kept at first, as its log may be needed; then the
-  // new one joins, catches up, and can save the confirmed writes.
+TEST_CASE("An unresponsive target loses its membership after a minute",
+          "[membership]") {
+  // The host of a replica is lost permanently and another host replaces it
+  // under a new name. The membership of the lost replica is kept at first, as
+  // its log may be needed. Then the replacement joins, catches up, and counts
+  // towards the copies of confirmed writes.
   FakeCluster Cluster(1);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Primary = primaryOf(Cluster);
-  const std::string Gone = targetsExcept(Cluster, Primary)[0];
+  const std::string LostReplica = targetsExcept(Cluster, Primary)[0];
   const std::string Other = targetsExcept(Cluster, Primary)[1];
-  Cluster.kill(Gone);
+  Cluster.kill(LostReplica);
   Cluster.startTarget("replacement", "bale-ledger-1");
   Cluster.Loop.runFor(Millis(50000));
   CHECK(lastAuditReason(Cluster, "target-removed").empty());
--- a/Tests/Unit/RightsTest.cpp
+++ b/Tests/Unit/RightsTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Connection rights: how they're divided, and that they never pass a limit.
+/// Connection rights: how they are divided, and that the connection limit of a
+/// target is never exceeded.
 
 #include "Rights/ConnectionDivision.h"
 #include "Rights/ConnectionLedger.h"
@@ -28,37 +29,40 @@
   return Out;
 }
 
-/// One life of a proxy, with a clock of its own.
-struct Life {
-  explicit Life(ProcessId Id) : Rights(Id), Id(std::move(Id)) {}
+/// One incarnation of a proxy, with its own clock.
+struct ProxyIncarnation {
+  explicit ProxyIncarnation(ProcessId Id) : Rights(Id), Id(std::move(Id)) {}
 
   ConnectionRights Rights;
   ProcessId Id;
   std::int64_t Ppm = 0;
   std::uint32_t Open = 0;
   bool Dead = false;
-  bool Cut = false;
+  bool Partitioned = false;
 
-  Millis clock(Millis True) const {
-    return Millis(True.count() + True.count() * Ppm / 1000000);
+  Millis clock(Millis TrueTime) const {
+    return Millis(TrueTime.count() + TrueTime.count() * Ppm / 1000000);
   }
-  /// What the pool does: closes what's above its limit when it may.
-  void use(Millis True, std::uint32_t Wanted, bool MayClose) {
-    const std::uint32_t Most = Rights.limit(Target, clock(True));
-    Open =
-        MayClose || clock(True) >= Rights.end() ? std::min(Open, Most) : Open;
-    if (Open < Most)
-      Open = std::min(Wanted, Most);
+  /// Acts as the connection pool: opens up to \p Wanted connections within the
+  /// limit, and closes those above the limit if \p MayClose or if the lease has
+  /// expired.
+  void use(Millis TrueTime, std::uint32_t Wanted, bool MayClose) {
+    const std::uint32_t Allowed = Rights.limit(Target, clock(TrueTime));
+    Open = MayClose || clock(TrueTime) >= Rights.end() ? std::min(Open, Allowed)
+                                                       : Open;
+    if (Open < Allowed)
+      Open = std::min(Wanted, Allowed);
   }
 };
 
-/// Proxies, three control hosts in turn, and a network that delays, loses
-/// and repeats.
-class RightsWorld {
+/// Proxies, a sequence of control leaders, and a network that delays, loses and
+/// duplicates messages.
+class RightsSimulation {
 public:
-  explicit RightsWorld(std::uint64_t Seed) : Random(Seed), View(viewOf(5)) {
+  explicit RightsSimulation(std::uint64_t Seed)
+      : Random(Seed), View(viewOf(5)) {
     for (const auto &[Id, Where] : View.Proxies)
-      addLife(Id);
+      addIncarnation(Id);
     elect();
   }
 
@@ -68,10 +72,10 @@
     if (chance(1500))
       elect();
     if (chance(150))
-      restart(pick());
+      restart(anyIncarnation());
     if (chance(100))
-      pick().Cut = !pick().Cut;
-    for (Life &Each : Lives) {
+      anyIncarnation().Partitioned = !anyIncarnation().Partitioned;
+    for (ProxyIncarnation &Each : Incarnations) {
       if (Each.Dead)
         continue;
       Each.use(Now, below(12), chance(2));
@@ -79,22 +83,23 @@
         continue;
       const std::map<std::string, ConnectionUse> Use = {
           {Target, {Each.Open, below(14)}}};
-      // A request may reach a host that leads no more.
-      Mail.insert({arrival(), {Each.Rights.request(Use, Each.clock(Now)), {}}});
+      // The leader may change before a request arrives.
+      InFlight.insert(
+          {arrival(), {Each.Rights.request(Use, Each.clock(Now)), {}}});
     }
   }
 
-  /// Connections that are open or may be opened by anyone who is alive.
+  /// Returns the number of connections that live proxies have open or may open.
   std::uint32_t total() const {
     std::uint32_t Sum = 0;
-    for (const Life &Each : Lives)
+    for (const ProxyIncarnation &Each : Incarnations)
       if (!Each.Dead)
         Sum += std::max(Each.Open, Each.Rights.limit(Target, Each.clock(Now)));
     return Sum;
   }
 
 private:
-  struct Letter {
+  struct Message {
     std::optional<RightsRequest> Request;
     std::optional<RightsGrant> Grant;
   };
@@ -103,24 +108,25 @@
     return static_cast<std::uint32_t>(Random() % Bound);
   }
   bool chance(std::uint32_t OneIn) { return below(OneIn) == 0; }
-  Life &pick() {
-    return Lives[below(static_cast<std::uint32_t>(Lives.size()))];
+  ProxyIncarnation &anyIncarnation() {
+    return Incarnations[below(static_cast<std::uint32_t>(Incarnations.size()))];
   }
   Millis arrival() { return Now + Millis(below(chance(20) ? 3000 : 60)); }
 
-  void addLife(const ProcessId &Id) {
-    Lives.emplace_back(Id);
-    Lives.back().Ppm = static_cast<std::int64_t>(below(2 * DriftPpm + 1)) -
-                       static_cast<std::int64_t>(DriftPpm);
+  void addIncarnation(const ProcessId &Id) {
+    Incarnations.emplace_back(Id);
+    Incarnations.back().Ppm =
+        static_cast<std::int64_t>(below(2 * DriftPpm + 1)) -
+        static_cast<std::int64_t>(DriftPpm);
   }
 
-  void restart(Life &Old) {
+  void restart(ProxyIncarnation &Old) {
     if (Old.Dead)
       return;
     Old.Dead = true;
     ProcessId Next{Old.Id.Name, Old.Id.Incarnation + 1};
     View.Proxies[Next] = {};
-    addLife(Next);
+    addIncarnation(Next);
   }
 
   void elect() {
@@ -129,21 +135,24 @@
   }
 
   void deliver() {
-    while (!Mail.empty() && Mail.begin()->first <= Now) {
-      const Letter Each = std::move(Mail.extract(Mail.begin()).mapped());
+    while (!InFlight.empty() && InFlight.begin()->first <= Now) {
+      const Message Each =
+          std::move(InFlight.extract(InFlight.begin()).mapped());
       const ProcessId &Id =
           Each.Request ? Each.Request->Proxy : Each.Grant->Proxy;
-      const auto Of = std::find_if(Lives.begin(), Lives.end(),
-                                   [&](const Life &L) { return L.Id == Id; });
-      if (Of->Cut || chance(10))
+      const auto To = std::find_if(Incarnations.begin(), Incarnations.end(),
+                                   [&](const ProxyIncarnation &Candidate) {
+                                     return Candidate.Id == Id;
+                                   });
+      if (To->Partitioned || chance(10))
         continue;
-      if (Each.Grant && !Of->Dead)
-        Of->Rights.apply(*Each.Grant);
+      if (Each.Grant && !To->Dead)
+        To->Rights.apply(*Each.Grant);
       if (Each.Request)
         if (const auto Grant = Leader.handleRequest(*Each.Request, View, Now)) {
-          Mail.insert({arrival(), {{}, Grant}});
+          InFlight.insert({arrival(), {{}, Grant}});
           if (chance(10))
-            Mail.insert({arrival(), {{}, Grant}});
+            InFlight.insert({arrival(), {{}, Grant}});
         }
     }
   }
@@ -154,18 +163,19 @@
   Millis LeadsSince;
   std::uint64_t Term = 0;
   ConnectionLedger Leader;
-  std::deque<Life> Lives;
-  std::multimap<Millis, Letter> Mail;
+  std::deque<ProxyIncarnation> Incarnations;
+  std::multimap<Millis, Message> InFlight;
 };
 
-/// Exchanges a request and its answer without loss.
-void exchange(Life &Of, ConnectionLedger &With, const ClusterView &View,
-              Millis Now, std::uint32_t Wanted) {
+/// Exchanges requests and grants without loss.
+void exchange(ProxyIncarnation &Proxy, ConnectionLedger &Ledger,
+              const ClusterView &View, Millis Now, std::uint32_t Wanted) {
   for (int Turn = 0; Turn < 2; ++Turn) {
-    const auto Grant = With.handleRequest(
-        Of.Rights.request({{Target, {Of.Open, Wanted}}}, Of.clock(Now)), View,
-        Now);
-    if (!Grant || !Of.Rights.apply(*Grant))
+    const auto Grant = Ledger.handleRequest(
+        Proxy.Rights.request({{Target, {Proxy.Open, Wanted}}},
+                             Proxy.clock(Now)),
+        View, Now);
+    if (!Grant || !Proxy.Rights.apply(*Grant))
       return;
   }
 }
@@ -175,7 +185,7 @@
 TEST_CASE("Connections are divided by demand", "[rights]") {
   struct Row {
     std::vector<ConnectionClaim> Claims;
-    std::vector<std::uint32_t> Parts;
+    std::vector<std::uint32_t> Allocations;
   };
   const auto Each = GENERATE(values<Row>({
       {{{20, 0}, {0, 0}, {0, 0}, {0, 0}}, {13, 1, 1, 1}},
@@ -185,39 +195,41 @@
       {std::vector<ConnectionClaim>(17, {0, 0}),
        std::vector<std::uint32_t>(17, 0)},
   }));
-  CHECK(divideConnections(Limit, Each.Claims) == Each.Parts);
+  CHECK(divideConnections(Limit, Each.Claims) == Each.Allocations);
 }
 
-TEST_CASE("The limit holds whatever restarts, is cut or comes late",
-          "[rights]") {
-  // Five proxies restart, are cut off and run on wrong clocks; leaders change;
-  // messages are lost, repeated and up to 3 s late. A server that gets one
-  // connection too many refuses it, and a caller's statement with it.
+TEST_CASE("The limit holds over restarts, partitions and delays", "[rights]") {
+  // Five proxies restart, are partitioned and have drifting clocks; leaders
+  // change; messages are lost, duplicated and delayed by up to 3 s. A target
+  // refuses a connection above its limit, and the statement of a caller fails.
   const auto Seed = GENERATE(range(1, 101));
   CAPTURE(Seed);
-  RightsWorld World(static_cast<std::uint64_t>(Seed));
-  std::uint32_t Most = 0;
+  RightsSimulation Simulation(static_cast<std::uint64_t>(Seed));
+  std::uint32_t MaxTotal = 0;
   for (int Turn = 0; Turn < 3000; ++Turn) {
-    World.step();
-    Most = std::max(Most, World.total());
+    Simulation.step();
+    MaxTotal = std::max(MaxTotal, Simulation.total());
   }
-  CHECK(Most <= Limit);
-  // The rule that lends nothing would pass as well.
-  CHECK(Most >= Limit - 4);
+  CHECK(MaxTotal <= Limit);
+  // Rules out an implementation that grants nothing.
+  CHECK(MaxTotal >= Limit - 4);
 }
 
-TEST_CASE("A dead proxy's connections are lent again when its lease ends",
-          "[rights]") {
-  // One proxy has all but one connection and dies. The other gets them when
-  // the lease has ended by any clock, not before, and not much later.
+TEST_CASE(
+    "The connections of a failed proxy are granted again when its lease ends",
+    "[rights]") {
+  // A proxy that holds all connections but one is killed. The other proxy must
+  // receive them once the lease has expired by every clock within the drift
+  // bound, not before, and not much later.
   const ClusterView View = viewOf(2);
   ConnectionLedger Ledger;
   Ledger.startTerm(1, View, Millis(-20000));
-  Life Dead({"entry-1", 1});
-  Life Other({"entry-2", 1});
+  ProxyIncarnation Dead({"entry-1", 1});
+  ProxyIncarnation Other({"entry-2", 1});
   exchange(Dead, Ledger, View, Millis(1000), 40);
   exchange(Other, Ledger, View, Millis(1000), 1);
-  // One request is answered with fewer, the next reports that they're back.
+  // One request is granted fewer connections; the next one reports them as
+  // returned.
   exchange(Dead, Ledger, View, Millis(1000), 40);
   exchange(Dead, Ledger, View, Millis(1000), 40);
   const std::uint32_t Lost = Dead.Rights.limit(Target, Millis(1000));
@@ -228,14 +240,16 @@
   CHECK(Other.Rights.limit(Target, Millis(11030)) == Limit);
 }
 
-TEST_CASE("A new leader lends nothing before it has heard all", "[rights]") {
-  // A proxy that the new leader hasn't heard may hold every connection. It
-  // keeps its own meanwhile: a change of the leader costs no caller anything.
+TEST_CASE("A new leader grants nothing before all proxies have reported",
+          "[rights]") {
+  // A proxy that has not yet reported to the new leader may hold every
+  // connection. Each proxy keeps its connections meanwhile, so that a change of
+  // leader does not affect callers.
   const ClusterView View = viewOf(2);
   ConnectionLedger Former;
   Former.startTerm(1, View, Millis(-20000));
-  Life One({"entry-1", 1});
-  Life Two({"entry-2", 1});
+  ProxyIncarnation One({"entry-1", 1});
+  ProxyIncarnation Two({"entry-2", 1});
   exchange(One, Former, View, Millis(1000), 4);
   exchange(Two, Former, View, Millis(1000), 4);
   ConnectionLedger Next;
@@ -247,43 +261,45 @@
   CHECK(One.Rights.limit(Target, Millis(1800)) == 9);
 }
 
-TEST_CASE("Clocks that are off within the bound lend nothing twice",
-          "[rights]") {
-  // A proxy is cut off with all connections; its clock runs slow and the
-  // leader's fast. Its lease lasts longer than the leader's clock says, and
-  // another proxy asks all the time, of the same leader or of the next one.
+TEST_CASE("Clock drift within the bound causes no double grants", "[rights]") {
+  // A proxy is partitioned while it holds all connections; its clock is slow
+  // and that of the leader fast. Its lease lasts longer than the clock of the
+  // leader shows, and another proxy sends requests all the time, to the same
+  // leader or to the next one.
   const bool LeaderChanges = GENERATE(false, true);
-  const auto Fast = [](Millis True) {
-    return Millis(True.count() + True.count() * DriftPpm / 1000000);
+  const auto Fast = [](Millis TrueTime) {
+    return Millis(TrueTime.count() + TrueTime.count() * DriftPpm / 1000000);
   };
   const ClusterView View = viewOf(2);
   ConnectionLedger Ledger;
   Ledger.startTerm(1, View, Millis(-20000));
-  Life Cut({"entry-1", 1});
-  Life Other({"entry-2", 1});
-  Cut.Ppm = -static_cast<std::int64_t>(DriftPpm);
-  exchange(Cut, Ledger, View, Millis(1000), 40);
-  REQUIRE(Cut.Rights.limit(Target, Cut.clock(Millis(1000))) == Limit);
+  ProxyIncarnation Partitioned({"entry-1", 1});
+  ProxyIncarnation Other({"entry-2", 1});
+  Partitioned.Ppm = -static_cast<std::int64_t>(DriftPpm);
+  exchange(Partitioned, Ledger, View, Millis(1000), 40);
+  REQUIRE(Partitioned.Rights.limit(Target, Partitioned.clock(Millis(1000))) ==
+          Limit);
   if (LeaderChanges)
     Ledger.startTerm(2, View, Fast(Millis(1001)));
   for (Millis Now(10900); Now < Millis(11100); Now += Millis(1)) {
     exchange(Other, Ledger, View, Fast(Now), 40);
-    REQUIRE(Cut.Rights.limit(Target, Cut.clock(Now)) +
+    REQUIRE(Partitioned.Rights.limit(Target, Partitioned.clock(Now)) +
                 Other.Rights.limit(Target, Fast(Now)) <=
             Limit);
   }
   CHECK(Other.Rights.limit(Target, Fast(Millis(11100))) == Limit);
 }
 
-TEST_CASE("What crosses a change of the leader raises nothing", "[rights]") {
-  // A report and a grant of the former leader's time are still under way
-  // when the next leader starts. It must not take the old report for what
-  // the proxy holds, and the proxy must not add the old grant afterwards.
+TEST_CASE("Messages in flight over a change of leader raise no limit",
+          "[rights]") {
+  // A report and a grant of the former leader's term are in flight when the
+  // next leader starts. The leader must not treat the old report as the current
+  // state of the proxy, and the proxy must not apply the old grant afterwards.
   const ClusterView View = viewOf(2);
   ConnectionLedger Former;
   Former.startTerm(1, View, Millis(-20000));
-  Life One({"entry-1", 1});
-  Life Two({"entry-2", 1});
+  ProxyIncarnation One({"entry-1", 1});
+  ProxyIncarnation Two({"entry-2", 1});
   exchange(One, Former, View, Millis(1000), 1);
   exchange(Two, Former, View, Millis(1000), 1);
   const auto Delayed = One.Rights.request({{Target, {0, 1}}}, Millis(1100));
@@ -307,7 +323,7 @@
           Millis(1400));
     };
     CHECK(One.Rights.apply(*Ask()));
-    CHECK(Ask()); // This answer is lost.
+    CHECK(Ask()); // This grant is lost.
     exchange(Two, Next, View, Millis(1400), 40);
     exchange(Two, Next, View, Millis(1500), 40);
     One.Rights.apply(*Granted);
--- a/Tests/Unit/SessionRoamingTest.cpp
+++ b/Tests/Unit/SessionRoamingTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Read-your-writes, whichever proxy is next, by what callers read.
+/// Read-your-writes consistency of a session across proxies, checked by the
+/// responses to callers.
 
 #include "FakeCluster.h"
 
@@ -15,31 +16,31 @@
   return {.Kind = "lookup", .Body = "get bales", .Session = Session};
 }
 
-/// A clerk who goes to another proxy with each request.
-struct Clerk {
+/// A session that sends each request to a random proxy.
+struct RoamingSession {
   FakeCluster &Cluster;
   std::mt19937_64 Random;
   std::string Session = {};
   int Written = 0;
 
   std::string proxy() { return "entry-" + std::to_string(1 + Random() % 3); }
-  /// Scans until it's done.
-  void scan() {
-    const CallerRequest Scan{.Key = "k" + std::to_string(++Written),
-                             .Body = "put bales " + std::to_string(Written),
-                             .Session = Session};
+  /// Sends the next write until its outcome is "done".
+  void write() {
+    const CallerRequest Write{.Key = "k" + std::to_string(++Written),
+                              .Body = "put bales " + std::to_string(Written),
+                              .Session = Session};
     for (int Try = 0; Try < 400; ++Try) {
-      const CallerResponse Got = Cluster.sendAndWait(proxy(), Scan);
+      const CallerResponse Got = Cluster.sendAndWait(proxy(), Write);
       if (Got.Outcome == "done") {
         Session = Got.Session;
         return;
       }
       Cluster.Loop.runFor(Millis(20));
     }
-    FAIL("the scan was never done");
+    FAIL("the write was never done");
   }
-  /// What it reads, if it's answered.
-  void checkOwnScan() {
+  /// Reads, and if the read succeeds, checks that it returns the last write.
+  void checkLastWrite() {
     const CallerResponse Got = Cluster.sendAndWait(proxy(), lookUp(Session));
     if (Got.Outcome == "done")
       CHECK(Got.Body == std::to_string(Written));
@@ -48,30 +49,31 @@
 
 } // namespace
 
-TEST_CASE("A clerk reads each scan at the next proxy", "[session]") {
-  // The clerk's every request goes to another proxy, replicas lag far behind,
-  // and in the middle the primary dies. A replica that answered from before
-  // the scan would show the bale at its former owner.
+TEST_CASE("A session reads each of its writes at the next proxy", "[session]") {
+  // Each request of the session goes to a random proxy, a replica lags far
+  // behind, and in the middle the primary is killed. A read from a replica
+  // that lacks the last write would return an old value.
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     CAPTURE(Seed);
     FakeCluster Cluster(Seed, 3, 3);
     Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
-    // One replica has the scan at once, the other not for long.
+    // One target lags, the others replicate at once.
     Cluster.Targets["bale-ledger-1-" + std::to_string(1 + Seed % 3)]->setLag(
         Millis(static_cast<std::int64_t>(Seed * 100)));
-    Clerk At{Cluster, std::mt19937_64(Seed)};
+    RoamingSession Roaming{Cluster, std::mt19937_64(Seed)};
     for (int Turn = 0; Turn < 12; ++Turn) {
-      At.scan();
-      At.checkOwnScan();
+      Roaming.write();
+      Roaming.checkLastWrite();
       if (Turn == 6)
         Cluster.kill(Cluster.group("bale-ledger-1")->Primary);
     }
   }
 }
 
-TEST_CASE("A token that was altered or cut gets a clear error", "[session]") {
-  // With a token taken for a new session, the caller would read old rows and
-  // never know.
+TEST_CASE("A modified or truncated token is refused with an error",
+          "[session]") {
+  // If an invalid token were treated as a new session, the caller would read
+  // stale rows without an error.
   FakeCluster Cluster(1);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   const std::string Token =
@@ -92,7 +94,7 @@
   CHECK(Cut.Status == 400);
 }
 
-TEST_CASE("A token stays small and forgets nothing silently", "[session]") {
+TEST_CASE("A token stays small and records that it is partial", "[session]") {
   SessionToken Token;
   std::size_t Longest = 0;
   for (std::uint64_t Number = 0; Number < 100; ++Number) {
@@ -101,14 +103,15 @@
   }
   CHECK(Longest < 400);
   CHECK(Token.floor("ledger-99")->Position == 100);
-  // What gave way is read from the primary.
+  // Databases that were dropped from the token are read from the primary.
   CHECK_FALSE(Token.floor("ledger-1").has_value());
   CHECK(Token.isPartial());
 }
 
-TEST_CASE("Ages and copies at the edges", "[session]") {
-  // The table must never take a replica for fresher, or a target for a copy,
-  // than it is: a caller would read too old rows or lose a confirmed write.
+TEST_CASE("Replica ages and copy counts at the limits", "[session]") {
+  // The table must never underestimate the age of a replica or count a target
+  // that is not a copy: a caller would read stale rows or lose a confirmed
+  // write.
   ClusterView View;
   for (const std::string Name : {"one", "two", "three"})
     View.Targets[Name] = {Name, "ledger", {}, {}, 1, false, {}};
@@ -123,36 +126,38 @@
     return Table.age("two", Group, Millis(Now));
   };
   CHECK_FALSE(Age(100).has_value());
-  // Asked at 100, the primary is at 11; the replica reaches 11 at 150.
+  // The primary, queried at 100, is at position 11; a response of the replica
+  // with position 11 arrives at 150.
   Table.observe("one", {2, 2, 11, true}, Millis(100), Millis(110));
   Table.observe("two", {2, 1, 10, false}, Millis(100), Millis(110));
   CHECK_FALSE(Age(120).has_value());
   Table.observe("two", {2, 2, 11, false}, Millis(140), Millis(150));
   CHECK(Age(150) == Millis(50));
-  // A later answer shows nothing newer: as fresh as the question.
+  // A later response shows no newer position: the age counts from its query.
   Table.observe("one", {2, 2, 11, true}, Millis(200), Millis(250));
   CHECK(Age(250) == Millis(50));
-  // The primary goes on; the replica's age counts from the last question at
-  // which it was whole.
+  // The primary advances; the age of the replica counts from the last query at
+  // which the replica was complete.
   Table.observe("one", {2, 2, 12, true}, Millis(300), Millis(310));
   CHECK(Age(400) == Millis(200));
   CHECK(Table.countCopies(Group, 12) == 1);
-  // The former primary: fenced into the new term with a tail of its own that
-  // reaches beyond, whether it says so or not.
+  // The former primary is fenced into the new term and has a diverging tail
+  // beyond the position, whether it reports the tail or not.
   Table.observe("three", {2, 1, 15, false, true}, Millis(300), Millis(310));
   CHECK(Table.countCopies(Group, 12) == 1);
   CHECK_FALSE(Table.age("three", Group, Millis(310)).has_value());
   Table.observe("three", {2, 1, 15, false, false}, Millis(320), Millis(330));
   CHECK(Table.countCopies(Group, 12) == 1);
   CHECK_FALSE(Table.age("three", Group, Millis(330)).has_value());
-  // A replayed write of the former term counts where the log is the group's.
+  // A replayed write of the former term counts where the log matches the
+  // history of the group.
   CHECK(Table.countCopies(Group, 10) == 2);
 }
 
 TEST_CASE("A read is never older than its kind accepts", "[session]") {
-  // An auditor accepts rows that are 150 ms old, and the replicas lag by about
-  // that. Whatever a replica answers must hold each scan that was written 150
-  // ms before the auditor asked.
+  // A read accepts rows that are 150 ms old, and the replicas lag by about that
+  // time. Every successful read must include each write that was applied 150 ms
+  // before the read.
   for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
     CAPTURE(Seed);
     FakeCluster Cluster(Seed, 3, 2);
--- a/Tests/Unit/SettingsTest.cpp
+++ b/Tests/Unit/SettingsTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What settings are refused for, and with which advice.
+/// Validation of the settings file: findings, defaults and reloadable keys.
 
 #include "Settings/Settings.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string good() {
+std::string validSettings() {
   return R"([process]
 name = "control-1"
 failure_domain = "kundzinsala"
@@ -38,19 +38,19 @@
 
 TEST_CASE("The defaults that the manual shows are those of the program",
           "[settings]") {
-  const auto Read = parseSettings("f", good());
+  const auto Read = parseSettings("f", validSettings());
   REQUIRE(Read);
   Settings Expected = *Read;
-  const Settings Plain;
-  Expected.JsonLogs = Plain.JsonLogs;
-  Expected.Level = Plain.Level;
-  Expected.DrainDelay = Plain.DrainDelay;
-  Expected.StopTimeout = Plain.StopTimeout;
+  const Settings Defaults;
+  Expected.JsonLogs = Defaults.JsonLogs;
+  Expected.Level = Defaults.Level;
+  Expected.DrainDelay = Defaults.DrainDelay;
+  Expected.StopTimeout = Defaults.StopTimeout;
   CHECK(*Read == Expected);
   CHECK(Read->OwnLocality == Locality{"default", "kundzinsala", "control-1"});
 }
 
-TEST_CASE("Each contradiction is one finding with its place", "[settings]") {
+TEST_CASE("Each contradiction is one finding with its position", "[settings]") {
   const auto [From, To, Finding] =
       GENERATE(table<std::string, std::string, std::string>({
           {"peers = \"127.0.0.1:7000\"", "peers = \"127.0.0.1:7200\"",
@@ -74,17 +74,17 @@
            "f:7:13: 'operators' in [listen]: '127.0.0.1:72000' has no port "
            "of 0-65535; write it like 127.0.0.1:7000\n"},
       }));
-  const auto Read = parseSettings("f", replaced(good(), From, To));
+  const auto Read = parseSettings("f", replaced(validSettings(), From, To));
   REQUIRE_FALSE(Read);
   CHECK(refusalText(Read.error()) == Finding);
 }
 
-TEST_CASE("A reload tells apart what takes effect", "[settings]") {
+TEST_CASE("A reload reports which settings take effect", "[settings]") {
   const std::string After =
-      replaced(good(), "[listen]", "log_level = \"error\"\n[listen]");
+      replaced(validSettings(), "[listen]", "log_level = \"error\"\n[listen]");
   const std::vector<ItemDifference> Expected = {
       {"process.log_level", "info", "error"}};
-  CHECK(diffDocuments(settingKeys(), good(), After) == Expected);
+  CHECK(diffDocuments(settingKeys(), validSettings(), After) == Expected);
   CHECK(settingKeys().find("[process]", "log_level")->IsReloadable);
   CHECK_FALSE(settingKeys().find("[listen]", "peers")->IsReloadable);
 }
--- a/Tests/Unit/StatementDrainTest.cpp
+++ b/Tests/Unit/StatementDrainTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A planned stop of a proxy, by what its callers receive.
+/// Draining a proxy before a planned stop, checked by the responses to callers.
 
 #include "FakeCluster.h"
 
@@ -24,8 +24,8 @@
 transaction_idle_ms = 3000
 )";
 
-struct Stopping {
-  Stopping() : Cluster(3) { Cluster.startAndAwaitWritable(Manifest); }
+struct DrainFixture {
+  DrainFixture() : Cluster(3) { Cluster.startAndAwaitWritable(Manifest); }
 
   void drain() {
     Cluster.Proxies["entry-1"]->drain([this] { Done = true; });
@@ -40,64 +40,65 @@
 
 } // namespace
 
-TEST_CASE("A planned stop cuts no statement", "[drain]") {
-  // Ten clerks' scans are at the proxy, most of them queued for its one
-  // connection, when the proxy is told to stop. Others still come until the
-  // balancer has noticed. Each is done; after that a scan is refused as not
-  // run, at once.
-  Stopping At;
+TEST_CASE("A planned stop interrupts no statement", "[drain]") {
+  // Ten writes are at the proxy, most of them queued for its one connection,
+  // when the drain begins. More arrive until the load balancer has reacted. All
+  // of them must be done; a later write is refused at once with "not-run".
+  DrainFixture Fixture;
   std::vector<std::shared_ptr<CallerResponse>> Answers;
   const auto Send = [&] {
-    Answers.push_back(
-        At.Cluster.send("entry-1", {.Key = "k" + std::to_string(Answers.size()),
-                                    .Body = "add bales 1"}));
+    Answers.push_back(Fixture.Cluster.send(
+        "entry-1",
+        {.Key = "k" + std::to_string(Answers.size()), .Body = "add bales 1"}));
   };
   for (int Count = 0; Count < 10; ++Count)
     Send();
-  At.Cluster.Loop.runFor(Millis(5));
-  At.drain();
-  CHECK_FALSE(At.Cluster.Proxies["entry-1"]->isReady());
-  At.Cluster.Loop.runFor(Millis(500));
+  Fixture.Cluster.Loop.runFor(Millis(5));
+  Fixture.drain();
+  CHECK_FALSE(Fixture.Cluster.Proxies["entry-1"]->isReady());
+  Fixture.Cluster.Loop.runFor(Millis(500));
   Send();
-  At.Cluster.Loop.runFor(Millis(1400));
+  Fixture.Cluster.Loop.runFor(Millis(1400));
   Send();
-  REQUIRE(At.runUntilDone(Millis(3000)));
+  REQUIRE(Fixture.runUntilDone(Millis(3000)));
   for (const auto &Each : Answers)
     CHECK(Each->Outcome == "done");
-  const CallerResponse Late =
-      At.Cluster.sendAndWait("entry-1", {.Key = "late", .Body = "add bales 1"});
+  const CallerResponse Late = Fixture.Cluster.sendAndWait(
+      "entry-1", {.Key = "late", .Body = "add bales 1"});
   CHECK(Late.Outcome == "not-run");
 }
 
-TEST_CASE("A planned stop lets transactions end, by a bound", "[drain]") {
-  // A clerk has a transaction open when the proxy is told to stop. One who
-  // commits in time is served; one who stays silent is rolled back, and the
-  // proxy isn't kept from stopping.
-  Stopping At;
-  const auto Caller = At.Cluster.connectTo("entry-1");
-  CallerRequest Ask{.Path = "/transaction/begin"};
-  Ask.Transaction = At.Cluster.sendOverAndWait(*Caller, Ask).Transaction;
-  Ask.Path = "/statement";
-  Ask.Body = "put bale haulier";
-  REQUIRE(At.Cluster.sendOverAndWait(*Caller, Ask).Outcome == "done");
-  At.drain();
+TEST_CASE("A planned stop waits for transactions, up to a limit", "[drain]") {
+  // A transaction is open when the drain begins. A commit in time must succeed.
+  // A transaction that stays open beyond the limit must be rolled back and must
+  // not prevent the stop.
+  DrainFixture Fixture;
+  const auto Caller = Fixture.Cluster.connectTo("entry-1");
+  CallerRequest Request{.Path = "/transaction/begin"};
+  Request.Transaction =
+      Fixture.Cluster.sendOverAndWait(*Caller, Request).Transaction;
+  Request.Path = "/statement";
+  Request.Body = "put bale haulier";
+  REQUIRE(Fixture.Cluster.sendOverAndWait(*Caller, Request).Outcome == "done");
+  Fixture.drain();
   CallerRequest Other{.Path = "/transaction/begin"};
-  CHECK(At.Cluster.sendAndWait("entry-1", Other).Outcome == "not-run");
+  CHECK(Fixture.Cluster.sendAndWait("entry-1", Other).Outcome == "not-run");
   SECTION("committed in time") {
-    At.Cluster.Loop.runFor(Millis(2500));
-    CHECK_FALSE(At.Done);
-    Ask.Path = "/transaction/commit";
-    Ask.Key = "k1";
-    CHECK(At.Cluster.sendOverAndWait(*Caller, Ask).Outcome == "done");
+    Fixture.Cluster.Loop.runFor(Millis(2500));
+    CHECK_FALSE(Fixture.Done);
+    Request.Path = "/transaction/commit";
+    Request.Key = "k1";
+    CHECK(Fixture.Cluster.sendOverAndWait(*Caller, Request).Outcome == "done");
   }
   SECTION("kept busy beyond the bound") {
-    const Millis Last = At.Cluster.Loop.now() + Millis(3500);
-    while (At.Cluster.Loop.now() < Last) {
-      At.Cluster.sendOverAndWait(*Caller, Ask);
-      At.Cluster.Loop.runFor(Millis(100));
+    const Millis Last = Fixture.Cluster.Loop.now() + Millis(3500);
+    while (Fixture.Cluster.Loop.now() < Last) {
+      Fixture.Cluster.sendOverAndWait(*Caller, Request);
+      Fixture.Cluster.Loop.runFor(Millis(100));
     }
-    CHECK(At.Done);
-    CHECK(At.Cluster.sendOverAndWait(*Caller, Ask).Outcome == "not-run");
+    CHECK(Fixture.Done);
+    CHECK(Fixture.Cluster.sendOverAndWait(*Caller, Request).Outcome ==
+          "not-run");
   }
-  CHECK(At.runUntilDone(Millis(1000)));
+  CHECK(Fixture.runUntilDone(Millis(1000)));
 }
--- a/Tests/Unit/ViewDeltaTest.cpp
+++ b/Tests/Unit/ViewDeltaTest.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// A view drawn from a few names, so that two of them share and differ.
+/// Returns a random view over a few names, so that two views have some entries
+/// in common and differ in others.
 ClusterView anyView(std::mt19937_64 &Random, std::uint64_t Revision) {
   const auto Draw = [&Random](std::uint64_t Below) { return Random() % Below; };
   ClusterView Out;
@@ -43,7 +44,7 @@
     std::mt19937_64 Random(Seed);
     const ClusterView From = anyView(Random, 1);
     ClusterView To = anyView(Random, 2);
-    // A manifest is replaced and never taken away.
+    // A manifest can be replaced but never removed.
     if (From.CurrentManifest && !To.CurrentManifest)
       To.CurrentManifest = From.CurrentManifest;
     CHECK(applyDelta(From, computeDelta(From, To)) == To);
@@ -64,9 +65,10 @@
 }
 
 TEST_CASE("A proxy that missed a delta gets the whole view", "[delta]") {
-  // Control can't reach one proxy while a manifest is accepted. The proxy
-  // misses the delta; later deltas don't fit its view. Once it's reached
-  // again it must run the latest manifest, not one put together wrongly.
+  // Control cannot reach one proxy while a manifest is accepted. The proxy
+  // misses the delta, and later deltas have another base than its view. Once
+  // it is reachable again it must have the latest manifest, not one that was
+  // built from a wrong base.
   FakeCluster Cluster(3);
   Cluster.startAndAwaitWritable(FakeCluster::BaseManifest);
   for (const auto &[Name, Control] : Cluster.Controls)
--- a/Tests/Unit/WriteGapMeterTest.cpp
+++ b/Tests/Unit/WriteGapMeterTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// How long a database wasn't writable, as a proxy's metrics tell.
+/// The metric of a proxy for the time during which a database was not writable.
 
 #include "Proxy/WriteGapMeter.h"
 
@@ -28,8 +28,8 @@
 
 } // namespace
 
-// The primary stops answering at 100; callers can't write from then on,
-// though the proxy notices later. The gap must count from the last answer.
+// The primary stops responding at 100 ms. Callers cannot write from then on,
+// although the proxy detects it later. The gap must start at the last response.
 TEST_CASE("A write gap counts from the last answer of the failed primary",
           "[metrics]") {
   ClusterView View = viewWith("one", 1);
@@ -37,8 +37,8 @@
   Table.update(View, Millis(100));
   WriteGapMeter Meter;
   Meter.update(View, Table, true, Millis(100));
-  const bool Noticed = GENERATE(true, false);
-  if (Noticed) {
+  const bool Detected = GENERATE(true, false);
+  if (Detected) {
     Table.markRefused("one");
     Meter.update(View, Table, true, Millis(150));
   }
