--- a/Utilities/Experiment/EventQueue.h
+++ b/Utilities/Experiment/EventQueue.h
@@ -11,11 +11,12 @@
 
 namespace corianderdyke {
 
-/// Runs actions in the order of their times, then of their making.
+/// Runs actions by time; actions with equal times run in the order in which
+/// they were scheduled.
 class EventQueue {
 public:
   Micros now() const { return Time; }
-  /// What the modules see.
+  /// The time in the unit of the modules under test.
   Millis millis() const { return Millis(Time / 1000); }
 
   void after(Micros Delay, std::function<void()> Action) {
--- a/Utilities/Experiment/Experiment.cpp
+++ b/Utilities/Experiment/Experiment.cpp
@@ -15,33 +15,34 @@
 
 constexpr Micros PerSecond = 1000000;
 constexpr Micros Tenth = 100000;
-/// As the proxy asks; a proxy that is short asks sooner.
-constexpr Micros AskEvery = 500000;
-constexpr Micros AskWhenShort = 50000;
-/// A forwarding proxy learns of a home's death when its lease has ended.
-constexpr Micros DeathNotice = 600000;
+/// Interval between requests for connection rights, as in the proxy. A proxy
+/// with queued requests uses the shorter one.
+constexpr Micros RightsInterval = 500000;
+constexpr Micros ShortageRightsInterval = 50000;
+/// Forwarding proxies detect the crash of a home when its lease expires.
+constexpr Micros CrashDetectionDelay = 600000;
 constexpr Micros RestartTime = 1000000;
 
 class Run {
 public:
-  Run(const Scenario &What, const Variant &How)
-      : What(What), How(How), Random(What.Seed) {
-    const std::uint32_t Count = How.Sizes.Databases * How.Sizes.Targets;
+  Run(const Scenario &Spec, const Variant &Config)
+      : Spec(Spec), Config(Config), Random(Spec.Seed) {
+    const std::uint32_t Count = Config.Sizes.Databases * Config.Sizes.Targets;
     Targets.reserve(Count);
     for (std::uint32_t Index = 0; Index < Count; ++Index)
-      Targets.emplace_back(Time, this->How.Sizes);
+      Targets.emplace_back(Time, this->Config.Sizes);
     makeView(Count);
     Ledger.startTerm(1, View, Millis(-20000));
-    for (std::uint32_t Index = 0; Index < How.Sizes.Proxies; ++Index)
+    for (std::uint32_t Index = 0; Index < Config.Sizes.Proxies; ++Index)
       start(Index);
-    for (const Load &Each : What.Loads)
-      offerNext(Each, Each.From);
-    for (const Fault &Each : What.Faults)
-      Time.after(Each.At, [this, &Each] { cause(Each); });
+    for (const Load &Each : Spec.Loads)
+      scheduleNext(Each, Each.From);
+    for (const Fault &Each : Spec.Faults)
+      Time.after(Each.At, [this, &Each] { injectFault(Each); });
   }
 
   Measured measure() {
-    Time.runUntil(What.Length + 2 * PerSecond);
+    Time.runUntil(Spec.Length + 2 * PerSecond);
     for (const ModelTarget &Each : Targets)
       Out.MostConnections = std::max(Out.MostConnections, Each.mostOpen());
     return std::move(Out);
@@ -52,7 +53,7 @@
     Manifest Current;
     DatabasePolicy Policy;
     Policy.Name = "database";
-    Policy.ConnectionsPerTarget = How.Sizes.Connections;
+    Policy.ConnectionsPerTarget = Config.Sizes.Connections;
     Current.Databases.push_back(Policy);
     View.CurrentManifest = Current;
     for (std::uint32_t Index = 0; Index < Count; ++Index) {
@@ -68,139 +69,144 @@
 
   std::uint32_t homes() const {
     constexpr std::size_t Prefix = 6; // "homes-"
-    return How.Rights.rfind("homes-", 0) == 0
+    return Config.Rights.rfind("homes-", 0) == 0
                ? static_cast<std::uint32_t>(
-                     std::stoul(How.Rights.substr(Prefix)))
+                     std::stoul(Config.Rights.substr(Prefix)))
                : 0;
   }
 
   void start(std::uint32_t Index) {
     const ProcessId Id{"entry-" + std::to_string(Index), ++Incarnation};
-    Kept.push_back(std::make_unique<ModelProxy>(Time, What, How, Targets, Id));
+    Instances.push_back(
+        std::make_unique<ModelProxy>(Time, Spec, Config, Targets, Id));
     if (Proxies.size() <= Index)
       Proxies.resize(Index + 1);
-    Proxies[Index] = Kept.back().get();
+    Proxies[Index] = Instances.back().get();
     View.Proxies[Id] = {};
-    if (How.Rights == "demand")
-      ask(*Kept.back());
+    if (Config.Rights == "demand")
+      requestRights(*Instances.back());
     else
       setFixedLimits();
   }
 
-  /// Even parts for all proxies, or all connections at the homes.
+  /// Divides the connections evenly among all proxies, or among the homes.
   void setFixedLimits() {
     const std::uint32_t Count = static_cast<std::uint32_t>(Proxies.size());
     for (std::uint32_t Index = 0; Index < Count; ++Index)
       for (std::uint32_t At = 0; At < Targets.size(); ++At) {
-        const std::uint32_t Database = At / How.Sizes.Targets;
+        const std::uint32_t Database = At / Config.Sizes.Targets;
         std::uint32_t Limit =
-            std::max(How.Sizes.Connections / How.Sizes.Proxies, 1U);
+            std::max(Config.Sizes.Connections / Config.Sizes.Proxies, 1U);
         if (const std::uint32_t Homes = homes(); Homes > 0)
-          Limit = isHome(Index, Database) ? How.Sizes.Connections / Homes : 0;
-        if (Proxies[Index] != nullptr && !Proxies[Index]->isDead())
+          Limit =
+              isHome(Index, Database) ? Config.Sizes.Connections / Homes : 0;
+        if (Proxies[Index] != nullptr && !Proxies[Index]->hasCrashed())
           Proxies[Index]->setLimit(At, Limit);
       }
   }
 
-  /// Homes of a database: the first living proxies of a ring that starts at
-  /// its number. A successor's rights begin when those of the dead have
-  /// ended.
+  /// The homes of a database are the first live proxies of a ring that starts
+  /// at the number of the database. The rights of a successor begin when
+  /// those of the crashed proxy have expired.
   bool isHome(std::uint32_t Proxy, std::uint32_t Database) const {
     std::uint32_t Found = 0;
     for (std::uint32_t Step = 0; Step < Proxies.size(); ++Step) {
       const std::uint32_t At = (Database * homes() + Step) %
-                               static_cast<std::uint32_t>(How.Sizes.Proxies);
-      const auto Lost = LostHomes.find(At);
-      const bool IsGone = Lost != LostHomes.end();
+                               static_cast<std::uint32_t>(Config.Sizes.Proxies);
+      const auto Crash = CrashedHomes.find(At);
+      const bool HasCrashed = Crash != CrashedHomes.end();
       if (At == Proxy && Found < homes())
-        return !IsGone;
-      if (!IsGone)
+        return !HasCrashed;
+      if (!HasCrashed)
         ++Found;
     }
     return false;
   }
 
-  void ask(ModelProxy &Of) {
-    if (Of.isDead())
+  void requestRights(ModelProxy &Proxy) {
+    if (Proxy.hasCrashed())
       return;
-    const RightsRequest Request = Of.askForRights();
-    Time.after(How.Sizes.TargetHop, [this, &Of, Request] {
+    const RightsRequest Request = Proxy.makeRightsRequest();
+    Time.after(Config.Sizes.TargetHop, [this, &Proxy, Request] {
       const auto Grant = Ledger.handleRequest(Request, View, Time.millis());
       if (!Grant)
         return;
-      Time.after(How.Sizes.TargetHop, [this, &Of, Grant] {
-        if (Of.isDead())
+      Time.after(Config.Sizes.TargetHop, [this, &Proxy, Grant] {
+        if (Proxy.hasCrashed())
           return;
-        const bool IsNews = Grant->Duration == Millis();
-        Of.take(*Grant);
-        if (IsNews)
-          ask(Of);
+        const bool IsTermNotice = Grant->Duration == Millis();
+        Proxy.applyGrant(*Grant);
+        if (IsTermNotice)
+          requestRights(Proxy);
       });
     });
     if (Request.LeaderTerm != 0)
-      Time.after(Of.isShort() ? AskWhenShort : AskEvery,
-                 [this, &Of] { ask(Of); });
+      Time.after(Proxy.hasQueuedRequests() ? ShortageRightsInterval
+                                           : RightsInterval,
+                 [this, &Proxy] { requestRights(Proxy); });
   }
 
-  void offerNext(const Load &Of, Micros At) {
-    const double Gap = -std::log(uniform()) / Of.PerSecond;
+  void scheduleNext(const Load &Source, Micros At) {
+    const double Gap = -std::log(uniform()) / Source.PerSecond;
     const Micros Next = At + static_cast<Micros>(Gap * PerSecond);
-    if (Next >= std::min(Of.Until, What.Length) || Of.PerSecond <= 0)
+    if (Next >= std::min(Source.Until, Spec.Length) || Source.PerSecond <= 0)
       return;
-    Time.after(Next - Time.now(), [this, &Of, Next] {
-      offer(Of);
-      offerNext(Of, Next);
+    Time.after(Next - Time.now(), [this, &Source, Next] {
+      offerRequest(Source);
+      scheduleNext(Source, Next);
     });
   }
 
-  void offer(const Load &Of) {
+  void offerRequest(const Load &Source) {
     auto Each = std::make_shared<Statement>();
-    Each->Of = &Of;
-    for (const RequestKindPolicy &Kind : What.Kinds)
-      if (Kind.Name == Of.Kind)
+    Each->Source = &Source;
+    for (const RequestKindPolicy &Kind : Spec.Kinds)
+      if (Kind.Name == Source.Kind)
         Each->Kind = &Kind;
-    Each->Database = static_cast<std::uint32_t>(Random() % How.Sizes.Databases);
-    Each->Service = Of.Exponential
-                        ? static_cast<Micros>(-std::log(uniform()) *
-                                              static_cast<double>(Of.Service))
-                        : Of.Service;
+    Each->Database =
+        static_cast<std::uint32_t>(Random() % Config.Sizes.Databases);
+    Each->Service =
+        Source.Exponential
+            ? static_cast<Micros>(-std::log(uniform()) *
+                                  static_cast<double>(Source.Service))
+            : Source.Service;
     if (isCounted())
-      ++Out.Organisations[Of.Organisation].Offered;
-    begin(Each);
+      ++Out.Organisations[Source.Organisation].Offered;
+    startRequest(Each);
   }
 
-  bool isCounted() const { return Time.now() >= What.CountFrom; }
+  bool isCounted() const { return Time.now() >= Spec.CountFrom; }
 
-  void begin(const StatementPtr &Each) {
+  void startRequest(const StatementPtr &Each) {
     Each->Intended = Time.now();
     Each->Answered = false;
     const bool Counts = isCounted();
-    const std::string Organisation = Each->Of->Organisation;
-    Received &Of = Out.Organisations[Organisation];
-    // Not the statement itself: it would hold itself for ever.
-    const std::weak_ptr<Statement> Asked = Each;
-    Each->Answer = [this, Asked, Counts, &Of](bool IsServed,
-                                              Millis RetryAfter) {
-      const StatementPtr Held = Asked.lock();
-      if (Held == nullptr)
+    const std::string Organisation = Each->Source->Organisation;
+    Received &Results = Out.Organisations[Organisation];
+    // A shared pointer would be a reference cycle: the statement owns Answer.
+    const std::weak_ptr<Statement> Weak = Each;
+    Each->Answer = [this, Weak, Counts, &Results](bool IsServed,
+                                                  Millis RetryAfter) {
+      const StatementPtr Locked = Weak.lock();
+      if (Locked == nullptr)
         return;
-      Time.after(How.Sizes.CallerHop,
-                 [this, Held, Counts, &Of, IsServed, RetryAfter] {
-                   answered(Held, Counts, Of, IsServed, RetryAfter);
+      Time.after(Config.Sizes.CallerHop,
+                 [this, Locked, Counts, &Results, IsServed, RetryAfter] {
+                   handleAnswer(Locked, Counts, Results, IsServed, RetryAfter);
                  });
     };
-    Time.after(Each->Kind->Deadline.count() * 1000, [Each, Counts, &Of] {
+    Time.after(Each->Kind->Deadline.count() * 1000, [Each, Counts, &Results] {
       if (Each->Answered)
         return;
       Each->Answered = true;
       if (Counts)
-        ++Of.Late;
+        ++Results.Late;
     });
-    Time.after(How.Sizes.CallerHop, [this, Each] { enter(Each); });
+    Time.after(Config.Sizes.CallerHop, [this, Each] { routeRequest(Each); });
   }
 
-  void answered(const StatementPtr &Each, bool Counts, Received &Of,
-                bool IsServed, Millis RetryAfter) {
+  void handleAnswer(const StatementPtr &Each, bool Counts, Received &Results,
+                    bool IsServed, Millis RetryAfter) {
     if (Each->Answered)
       return;
     Each->Answered = true;
@@ -208,38 +214,40 @@
     if (IsServed) {
       if (!Counts)
         return;
-      ++Of.Served;
-      if (Time.now() < What.Length)
-        ++Of.ServedMeanwhile;
-      Of.ServedAfter.push_back(Took);
-      ++Of.Timeline[Time.now() / Tenth];
+      ++Results.Served;
+      if (Time.now() < Spec.Length)
+        ++Results.ServedMeanwhile;
+      Results.ServedAfter.push_back(Took);
+      ++Results.Timeline[Time.now() / Tenth];
       return;
     }
     if (Counts) {
-      Of.RefusedAfter.push_back(Took);
-      Of.ToldToReturn.push_back(RetryAfter.count() * 1000);
+      Results.RefusedAfter.push_back(Took);
+      Results.RetryDelays.push_back(RetryAfter.count() * 1000);
     }
-    if (Each->Returns >= What.Returns) {
+    if (Each->Retries >= Spec.MaxRetries) {
       if (Counts)
-        ++Of.Refused;
+        ++Results.Refused;
       return;
     }
-    auto Again = std::make_shared<Statement>(*Each);
-    ++Again->Returns;
-    ++Of.Returned;
-    Time.after(RetryAfter.count() * 1000, [this, Again] { begin(Again); });
+    auto Retry = std::make_shared<Statement>(*Each);
+    ++Retry->Retries;
+    ++Results.Retries;
+    Time.after(RetryAfter.count() * 1000,
+               [this, Retry] { startRequest(Retry); });
   }
 
-  /// The balancer's choice, then a hop to a home where there are homes.
-  void enter(const StatementPtr &Each) {
+  /// Sends a request to the proxy that the load balancer chooses, and on to a
+  /// home of the database if there are homes.
+  void routeRequest(const StatementPtr &Each) {
     const std::uint32_t Count = static_cast<std::uint32_t>(Proxies.size());
     const std::uint32_t Open =
-        Each->Of->Proxies == 0 ? Count : Each->Of->Proxies;
+        Each->Source->Proxies == 0 ? Count : Each->Source->Proxies;
     std::uint32_t At = static_cast<std::uint32_t>(Random() % Open);
     for (std::uint32_t Step = 0; Step < Count && !isServing(At); ++Step)
       At = (At + 1) % Count;
     if (homes() == 0 || isHome(At, Each->Database)) {
-      Proxies[At]->arrive(Each);
+      Proxies[At]->admitRequest(Each);
       return;
     }
     std::vector<std::uint32_t> Homes;
@@ -249,31 +257,31 @@
     const std::uint32_t Home = Homes[Random() % Homes.size()];
     const auto Answer = Each->Answer;
     Each->Answer = [this, Answer](bool IsServed, Millis RetryAfter) {
-      Time.after(How.Sizes.TargetHop, [Answer, IsServed, RetryAfter] {
+      Time.after(Config.Sizes.TargetHop, [Answer, IsServed, RetryAfter] {
         Answer(IsServed, RetryAfter);
       });
     };
-    Time.after(How.Sizes.TargetHop, [this, Each, Home] {
+    Time.after(Config.Sizes.TargetHop, [this, Each, Home] {
       if (isServing(Home))
-        Proxies[Home]->arrive(Each);
+        Proxies[Home]->admitRequest(Each);
     });
   }
 
   bool isServing(std::uint32_t Index) const {
-    const ModelProxy &Of = *Proxies[Index];
-    return !Of.isDead() && !Of.isDraining() &&
-           (homes() > 0 || Of.hasConnections());
+    const ModelProxy &Proxy = *Proxies[Index];
+    return !Proxy.hasCrashed() && !Proxy.isDraining() &&
+           (homes() > 0 || Proxy.hasConnections());
   }
 
-  void cause(const Fault &Of) {
-    switch (Of.Kind) {
+  void injectFault(const Fault &Injected) {
+    switch (Injected.Kind) {
     case FaultKind::SlowTarget:
-      Targets[Of.Index].slowDown(Of.Factor);
-      Time.after(Of.Until - Of.At,
-                 [this, &Of] { Targets[Of.Index].slowDown(1); });
+      Targets[Injected.Index].slowDown(Injected.Factor);
+      Time.after(Injected.Until - Injected.At,
+                 [this, &Injected] { Targets[Injected.Index].slowDown(1); });
       break;
     case FaultKind::ProxyDies:
-      lose(Of.Index);
+      crashProxy(Injected.Index);
       break;
     case FaultKind::RollingRestart:
       restartFrom(0);
@@ -281,15 +289,16 @@
     }
   }
 
-  void lose(std::uint32_t Index) {
-    Proxies[Index]->die();
+  void crashProxy(std::uint32_t Index) {
+    Proxies[Index]->crash();
     if (homes() == 0)
       return;
-    // The forwarders go on sending to it until they know; its successor has
-    // no connections before the dead one's rights have ended.
-    Time.after(DeathNotice, [this, Index] {
-      LostHomes[Index] = Time.now();
-      Time.after(RightsDuration.count() * 1000 - DeathNotice,
+    // Forwarding proxies keep sending to the crashed proxy until they detect
+    // the crash. The successor may open connections only when the rights of
+    // the crashed proxy have expired.
+    Time.after(CrashDetectionDelay, [this, Index] {
+      CrashedHomes[Index] = Time.now();
+      Time.after(RightsDuration.count() * 1000 - CrashDetectionDelay,
                  [this] { setFixedLimits(); });
     });
   }
@@ -299,34 +308,34 @@
       return;
     ModelProxy &Old = *Proxies[Index];
     Old.drain();
-    // What is in flight ends; then the process goes and comes back.
+    // Requests in flight complete before the process stops and restarts.
     Time.after(RestartTime, [this, &Old, Index] {
-      Old.leave();
-      if (How.Rights == "demand")
-        Ledger.handleRequest(Old.askForRights(), View, Time.millis());
+      Old.shutDown();
+      if (Config.Rights == "demand")
+        Ledger.handleRequest(Old.makeRightsRequest(), View, Time.millis());
       start(Index);
       Time.after(RestartTime / 2, [this, Index] { restartFrom(Index + 1); });
     });
   }
 
-  const Scenario &What;
-  const Variant How;
+  const Scenario &Spec;
+  const Variant Config;
   EventQueue Time;
   std::mt19937_64 Random;
   std::vector<ModelTarget> Targets;
   ClusterView View;
   ConnectionLedger Ledger;
-  std::vector<std::unique_ptr<ModelProxy>> Kept;
+  std::vector<std::unique_ptr<ModelProxy>> Instances;
   std::vector<ModelProxy *> Proxies;
-  std::map<std::uint32_t, Micros> LostHomes;
+  std::map<std::uint32_t, Micros> CrashedHomes;
   std::uint64_t Incarnation = 0;
   Measured Out;
 };
 
 } // namespace
 
-Measured runExperiment(const Scenario &What, const Variant &How) {
-  return Run(What, How).measure();
+Measured runExperiment(const Scenario &Spec, const Variant &Config) {
+  return Run(Spec, Config).measure();
 }
 
 Micros percentile(std::vector<Micros> Values, double Percent) {
--- a/Utilities/Experiment/Experiment.h
+++ b/Utilities/Experiment/Experiment.h
@@ -11,7 +11,7 @@
 
 namespace corianderdyke {
 
-/// Which of the ways to compare is run.
+/// One of the configurations that an experiment compares.
 struct Variant {
   Deployment Sizes;
   std::string Order;  ///< "fair", "first-come" or "static-split".
@@ -21,20 +21,20 @@
   auto operator<=>(const Variant &) const = default;
 };
 
-/// What the callers of one organisation received. Times count from the
-/// moment when a request was meant to start.
+/// Results of one organisation's requests. Times are measured from the
+/// intended start of a request.
 struct Received {
   std::uint64_t Offered = 0;
-  std::uint64_t Served = 0; ///< Within the deadline.
-  /// Those of them that were answered while the load lasted.
+  std::uint64_t Served = 0; ///< Answered within the deadline.
+  /// Requests of \c Served that were answered while the load lasted.
   std::uint64_t ServedMeanwhile = 0;
   std::uint64_t Late = 0; ///< No final answer before the deadline.
   std::uint64_t Refused = 0;
-  std::uint64_t Returned = 0; ///< Times that refused callers came back.
+  std::uint64_t Retries = 0; ///< Retries of refused requests.
   std::vector<Micros> ServedAfter;
   std::vector<Micros> RefusedAfter;
-  std::vector<Micros> ToldToReturn;
-  /// Served by tenths of a second.
+  std::vector<Micros> RetryDelays;
+  /// Served requests in each tenth of a second.
   std::map<std::int64_t, std::uint64_t> Timeline;
 
   auto operator<=>(const Received &) const = default;
@@ -42,14 +42,14 @@
 
 struct Measured {
   std::map<std::string, Received> Organisations;
-  std::uint32_t MostConnections = 0; ///< Open at one target at a time.
+  std::uint32_t MostConnections = 0; ///< Open at one target at the same time.
 
   auto operator<=>(const Measured &) const = default;
 };
 
-Measured runExperiment(const Scenario &What, const Variant &How);
+Measured runExperiment(const Scenario &Spec, const Variant &Config);
 
-/// The value that \p Percent of the values don't pass; 0 where there's none.
+/// Returns the given percentile of \p Values, or 0 if there are none.
 Micros percentile(std::vector<Micros> Values, double Percent);
 
 } // namespace corianderdyke
--- a/Utilities/Experiment/ExperimentMain.cpp
+++ b/Utilities/Experiment/ExperimentMain.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Runs scenarios and writes what callers received as CSV.
+/// Runs scenarios and writes the results of callers' requests as CSV.
 
 #include "Experiment.h"
 
@@ -30,21 +30,22 @@
   return Out.str();
 }
 
-void write(const Scenario &What, const Variant &How, const Measured &Got,
+void write(const Scenario &Spec, const Variant &Config, const Measured &Results,
            std::ostream &Summary, std::ostream &Timeline) {
   const double Counted =
-      static_cast<double>(What.Length - What.CountFrom) / PerSecond;
-  for (const auto &[Name, Each] : Got.Organisations) {
-    const std::string Head = What.Name + "," + How.Sizes.Name + "," +
-                             How.Order + "," + How.Rights + "," + Name + ",";
+      static_cast<double>(Spec.Length - Spec.CountFrom) / PerSecond;
+  for (const auto &[Name, Each] : Results.Organisations) {
+    const std::string Head = Spec.Name + "," + Config.Sizes.Name + "," +
+                             Config.Order + "," + Config.Rights + "," + Name +
+                             ",";
     Summary << Head << Each.Offered << "," << Each.Served << "," << Each.Late
-            << "," << Each.Refused << "," << Each.Returned << ","
+            << "," << Each.Refused << "," << Each.Retries << ","
             << static_cast<double>(Each.ServedMeanwhile) / Counted << ","
             << millis(Each.ServedAfter, Median) << ","
             << millis(Each.ServedAfter, Tail) << ","
             << millis(Each.RefusedAfter, Tail) << ","
-            << millis(Each.ToldToReturn, Median) << "," << Got.MostConnections
-            << "\n";
+            << millis(Each.RetryDelays, Median) << ","
+            << Results.MostConnections << "\n";
     constexpr double TenthsPerSecond = 10;
     for (const auto &[Tenth, Served] : Each.Timeline)
       Timeline << Head << static_cast<double>(Tenth) / TenthsPerSecond << ","
@@ -52,26 +53,26 @@
   }
 }
 
-void runAll(const Scenario &What, std::ostream &Summary,
+void runAll(const Scenario &Spec, std::ostream &Summary,
             std::ostream &Timeline) {
-  for (const Deployment &Sizes : What.Deployments)
-    for (const std::string &Order : What.Orders)
-      for (const std::string &Rights : What.Rights) {
-        const Variant How{Sizes, Order, Rights};
-        write(What, How, runExperiment(What, How), Summary, Timeline);
+  for (const Deployment &Sizes : Spec.Deployments)
+    for (const std::string &Order : Spec.Orders)
+      for (const std::string &Rights : Spec.Rights) {
+        const Variant Config{Sizes, Order, Rights};
+        write(Spec, Config, runExperiment(Spec, Config), Summary, Timeline);
       }
 }
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int ArgCount, char **Args) {
   CLI::App App("Runs admission and connection rights on modelled targets",
                "experiment");
   std::vector<std::string> Files;
   std::string Folder = ".";
   App.add_option("scenario", Files, "Scenario files")->required();
   App.add_option("--out", Folder, "Folder for summary.csv and timeline.csv");
-  CLI11_PARSE(App, Count, Words);
+  CLI11_PARSE(App, ArgCount, Args);
   std::ofstream Summary(Folder + "/summary.csv");
   std::ofstream Timeline(Folder + "/timeline.csv");
   Summary << SummaryHead;
@@ -79,17 +80,18 @@
   for (const std::string &File : Files) {
     std::ostringstream Text;
     Text << std::ifstream(File).rdbuf();
-    const auto What = parseScenario(File, Text.str());
-    if (!What) {
-      std::cerr << refusalText(What.error());
+    const auto Spec = parseScenario(File, Text.str());
+    if (!Spec) {
+      std::cerr << refusalText(Spec.error());
       return 2;
     }
-    runAll(*What, Summary, Timeline);
+    runAll(*Spec, Summary, Timeline);
   }
   Summary.flush();
   Timeline.flush();
   if (Summary && Timeline)
     return 0;
-  std::cerr << "'" << Folder << "' can't be written\n";
+  std::cerr << "cannot write summary.csv and timeline.csv in '" << Folder
+            << "'\n";
   return 1;
 }
--- a/Utilities/Experiment/FailoverGap.cpp
+++ b/Utilities/Experiment/FailoverGap.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// Measures the failover gap as callers see it, on the fakes in virtual time,
-/// with the latencies and sizes of both deployments.
+/// Measures the failover gap that callers observe, on simulated hosts in
+/// virtual time, with the latencies and sizes of both deployments.
 ///
-/// Writes are sent every two milliseconds, at each proxy in turn. The gap
+/// A write is sent every two milliseconds, to each proxy in turn. The gap
 /// begins with the arrival of the last success under the old primary and ends
 /// with the first under the new one. Latencies are rounded up to whole
 /// milliseconds: Riga's 0.5 and 1 ms to 1 and 1, Taichung's 1.5 and 3 ms to 2
@@ -23,11 +23,11 @@
 
 namespace {
 
-constexpr std::size_t Controls = 3;
+constexpr std::size_t ControlHosts = 3;
 constexpr std::size_t Proxies = 8;
 constexpr Millis Step(1);
-constexpr Millis SendEvery(2);
-constexpr Millis GiveUpAfter(10000);
+constexpr Millis SendInterval(2);
+constexpr Millis RunTimeout(10000);
 
 struct Deployment {
   const char *Name;
@@ -43,14 +43,15 @@
 
 const std::array<const char *, 3> Faults = {"kill", "freeze", "cut"};
 
-/// The gap's parts, one after the other. Positions are asked for from the
-/// commit of the fence on, beside the revocation.
+/// The consecutive parts of the gap. Targets are asked for their positions
+/// from the commit of the fence on, in parallel with the revocation.
 enum Part : std::uint8_t {
-  Detection,  ///< From the last success to the majority's suspicion.
+  Detection,  ///< From the last success to suspicion by the majority.
   Fence,      ///< To the commit of the fence.
-  Revocation, ///< To the end of every lease without it.
-  Promotion,  ///< To the commit of the promotion, with what positions lack.
-  Notice,     ///< To the first success that a caller gets.
+  Revocation, ///< To the end of every lease granted without the fence.
+  Promotion,  ///< To the commit of the promotion, including the wait for
+              ///< positions that are still missing.
+  Notice,     ///< To the first success that a caller receives.
   Gap,
   PartCount
 };
@@ -76,7 +77,7 @@
 public:
   Run(const Deployment &Of, std::uint64_t Seed)
       : Database(std::string(Of.Databases) + "1"),
-        Cluster(Seed, Controls, Proxies), Random(Seed) {
+        Cluster(Seed, ControlHosts, Proxies), Random(Seed) {
     Cluster.Net.LeastLatency = Cluster.Net.MostLatency = Of.Between;
     Cluster.Net.ClientLatency["caller"] = Of.ToCallers;
     Cluster.TargetOptions.Connections =
@@ -85,16 +86,16 @@
   }
 
   std::optional<Parts> measure(const std::string &Fault) {
-    const Millis Warm(std::uniform_int_distribution<int>(500, 1000)(Random));
-    const Millis FaultAt = Cluster.Loop.now() + Warm;
+    const Millis WarmUp(std::uniform_int_distribution<int>(500, 1000)(Random));
+    const Millis FaultAt = Cluster.Loop.now() + WarmUp;
     Old = primaryOf(Cluster, Database);
     while (Cluster.Loop.now() < FaultAt)
       advance();
-    cause(Fault);
-    const Millis End = Cluster.Loop.now() + GiveUpAfter;
+    injectFault(Fault);
+    const Millis End = Cluster.Loop.now() + RunTimeout;
     while (!FirstNew && Cluster.Loop.now() < End) {
       advance();
-      notePhases();
+      recordPhases();
     }
     if (!FirstNew || !Suspected || !Fenced || !Revoked || !Promoted)
       return std::nullopt;
@@ -107,7 +108,7 @@
   }
 
 private:
-  void cause(const std::string &Fault) {
+  void injectFault(const std::string &Fault) {
     if (Fault == "kill")
       Cluster.kill(Old);
     if (Fault == "freeze")
@@ -119,15 +120,15 @@
 
   void advance() {
     if (Cluster.Loop.now() >= NextSend) {
-      NextSend = Cluster.Loop.now() + SendEvery;
+      NextSend = Cluster.Loop.now() + SendInterval;
       const std::string Proxy = "entry-" + std::to_string(1 + Sent % Proxies);
-      Asked.push_back(Cluster.send(Proxy, {.Database = Database,
-                                           .Key = std::to_string(Sent),
-                                           .Body = "add moves 1"}));
+      Pending.push_back(Cluster.send(Proxy, {.Database = Database,
+                                             .Key = std::to_string(Sent),
+                                             .Body = "add moves 1"}));
       ++Sent;
     }
     Cluster.Loop.runFor(Step);
-    std::erase_if(Asked, [this](const std::shared_ptr<CallerResponse> &Each) {
+    std::erase_if(Pending, [this](const std::shared_ptr<CallerResponse> &Each) {
       if (Each->Arrived && Each->Outcome == "done") {
         if (Each->Target == Old)
           LastOld = Cluster.Loop.now();
@@ -138,7 +139,7 @@
     });
   }
 
-  void notePhases() {
+  void recordPhases() {
     ControlNode *Leader = Cluster.leader();
     if (Leader == nullptr)
       return;
@@ -165,7 +166,7 @@
   FakeCluster Cluster;
   std::mt19937_64 Random;
   std::string Old;
-  std::deque<std::shared_ptr<CallerResponse>> Asked;
+  std::deque<std::shared_ptr<CallerResponse>> Pending;
   std::size_t Sent = 0;
   Millis NextSend;
   Millis LastOld;
@@ -177,7 +178,7 @@
   std::optional<Millis> FirstNew;
 };
 
-/// The value that a share of the values doesn't exceed.
+/// Returns the quantile \p Share of the values.
 std::int64_t quantile(std::vector<std::int64_t> Of, double Share) {
   std::sort(Of.begin(), Of.end());
   const auto Index =
@@ -204,13 +205,14 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
-  CLI::App App("Measures the failover gap on the fakes", "measure-failover");
+int main(int ArgCount, char **Args) {
+  CLI::App App("Measures the failover gap on simulated hosts",
+               "measure-failover");
   int Seeds = 100;
   std::string Csv;
   App.add_option("--seeds", Seeds, "Runs of each fault and deployment");
   App.add_option("--csv", Csv, "File for one line a run");
-  CLI11_PARSE(App, Count, Words);
+  CLI11_PARSE(App, ArgCount, Args);
   std::ofstream Lines;
   if (!Csv.empty())
     Lines.open(Csv);
@@ -227,15 +229,15 @@
       std::vector<Parts> All;
       int Failed = 0;
       for (int Seed = 1; Seed <= Seeds; ++Seed) {
-        const auto Got =
+        const auto Result =
             Run(Of, static_cast<std::uint64_t>(Seed)).measure(Fault);
-        if (!Got) {
+        if (!Result) {
           ++Failed;
           continue;
         }
-        All.push_back(*Got);
+        All.push_back(*Result);
         Lines << Of.Name << "," << Fault << "," << Seed;
-        for (const std::int64_t Each : *Got)
+        for (const std::int64_t Each : *Result)
           Lines << "," << Each;
         Lines << "\n";
       }
--- a/Utilities/Experiment/ModelProxy.cpp
+++ b/Utilities/Experiment/ModelProxy.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A proxy in an experiment.
+/// Model of a proxy.
 
 #include "ModelProxy.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Micros LookEvery = 10000;
+constexpr Micros ShedInterval = 10000;
 constexpr double PerMilli = 1000;
 
 std::string targetName(std::uint32_t Target) {
@@ -20,40 +20,41 @@
 
 } // namespace
 
-ModelProxy::ModelProxy(EventQueue &Time, const Scenario &What,
-                       const Variant &How, std::vector<ModelTarget> &Targets,
+ModelProxy::ModelProxy(EventQueue &Time, const Scenario &Spec,
+                       const Variant &Config, std::vector<ModelTarget> &Targets,
                        ProcessId Id)
-    : Time(Time), What(What), How(How), Targets(Targets), Rights(std::move(Id)),
-      Pools(Targets.size()) {
-  for (std::uint32_t Index = 0; Index < How.Sizes.Databases; ++Index)
+    : Time(Time), Spec(Spec), Config(Config), Targets(Targets),
+      Rights(std::move(Id)), Pools(Targets.size()) {
+  for (std::uint32_t Index = 0; Index < Config.Sizes.Databases; ++Index)
     for (const Access Mode : {Access::Read, Access::Write})
       Admissions.push_back(std::make_unique<AdmissionController>(
-          order(Mode), What.QueueLimit,
-          What.Seed * 1000 + Index + Rights.id().Incarnation * 16));
-  look();
+          makeQueue(Mode), Spec.QueueLimit,
+          Spec.Seed * 1000 + Index + Rights.id().Incarnation * 16));
+  shedPeriodically();
 }
 
-std::unique_ptr<QueueDiscipline> ModelProxy::order(Access Mode) const {
-  if (How.Order == "first-come")
+std::unique_ptr<QueueDiscipline> ModelProxy::makeQueue(Access Mode) const {
+  if (Config.Order == "first-come")
     return std::make_unique<FifoQueue>();
   const auto Share = [this](const std::string &Name) {
-    for (const OrganisationPolicy &Each : What.Organisations)
+    for (const OrganisationPolicy &Each : Spec.Organisations)
       if (Each.Name == Name)
         return static_cast<double>(Each.Weight);
     return 1.0;
   };
-  if (How.Order == "static-split") {
+  if (Config.Order == "static-split") {
     double Sum = 0;
-    for (const OrganisationPolicy &Each : What.Organisations)
+    for (const OrganisationPolicy &Each : Spec.Organisations)
       Sum += Each.Weight;
     const std::uint32_t Servers =
-        Mode == Access::Write ? 1 : How.Sizes.Targets - 1;
+        Mode == Access::Write ? 1 : Config.Sizes.Targets - 1;
     return std::make_unique<StaticSplitQueue>(
         [Share, Sum](const std::string &Name) { return Share(Name) / Sum; },
-        std::max(Servers * capacity().maxStatements() / How.Sizes.Proxies, 1U));
+        std::max(Servers * capacity().maxStatements() / Config.Sizes.Proxies,
+                 1U));
   }
   return std::make_unique<FairQueue>(Share, [this](const std::string &Name) {
-    for (const RequestKindPolicy &Each : What.Kinds)
+    for (const RequestKindPolicy &Each : Spec.Kinds)
       if (Each.Name == Name)
         return static_cast<double>(Each.Weight);
     return 1.0;
@@ -61,51 +62,51 @@
 }
 
 TargetCapacity ModelProxy::capacity() const {
-  return {How.Sizes.Slots, How.Sizes.Connections};
+  return {Config.Sizes.Slots, Config.Sizes.Connections};
 }
 
-void ModelProxy::look() {
-  if (Dead)
+void ModelProxy::shedPeriodically() {
+  if (Crashed)
     return;
   for (auto &Each : Admissions)
     refuse(Each->shedUnservable(Time.millis()));
-  Time.after(LookEvery, [this] { look(); });
+  Time.after(ShedInterval, [this] { shedPeriodically(); });
 }
 
-void ModelProxy::arrive(const StatementPtr &Request) {
+void ModelProxy::admitRequest(const StatementPtr &Request) {
   const std::uint64_t Id = NextId++;
   Waiting[Id] = Request;
   const Millis DeadlineAt =
       Millis(Request->Intended / 1000) + Request->Kind->Deadline;
   refuse(admission(Request->Database, Request->Kind->Mode)
-             .admit({Id, Request->Of->Organisation, Request->Kind->Name,
+             .admit({Id, Request->Source->Organisation, Request->Kind->Name,
                      Time.millis(), DeadlineAt, 0},
                     Time.millis()));
   dispatch(Request->Database);
 }
 
-void ModelProxy::refuse(const std::vector<Refusal> &All) {
-  for (const Refusal &Each : All) {
-    const StatementPtr Of = Waiting[Each.Request.Id];
+void ModelProxy::refuse(const std::vector<Refusal> &Refusals) {
+  for (const Refusal &Each : Refusals) {
+    const StatementPtr Refused = Waiting[Each.Request.Id];
     Waiting.erase(Each.Request.Id);
-    Of->Answer(false, Each.RetryAfter);
+    Refused->Answer(false, Each.RetryAfter);
   }
 }
 
-bool ModelProxy::isFit(std::uint32_t Target,
-                       const RequestKindPolicy &Kind) const {
-  const bool IsPrimary = Target % How.Sizes.Targets == 0;
+bool ModelProxy::isEligible(std::uint32_t Target,
+                            const RequestKindPolicy &Kind) const {
+  const bool IsPrimary = Target % Config.Sizes.Targets == 0;
   const bool NeedsPrimary =
-      Kind.Mode == Access::Write || Kind.MaxStaleness < How.Sizes.Lag;
+      Kind.Mode == Access::Write || Kind.MaxStaleness < Config.Sizes.Lag;
   return IsPrimary == NeedsPrimary;
 }
 
 std::optional<std::uint32_t>
 ModelProxy::freeTarget(const Statement &For) const {
   std::optional<std::uint32_t> Best;
-  const std::uint32_t First = For.Database * How.Sizes.Targets;
-  for (std::uint32_t At = First; At < First + How.Sizes.Targets; ++At) {
-    if (!isFit(At, *For.Kind) ||
+  const std::uint32_t First = For.Database * Config.Sizes.Targets;
+  for (std::uint32_t At = First; At < First + Config.Sizes.Targets; ++At) {
+    if (!isEligible(At, *For.Kind) ||
         Pools[At].Busy >= maxConcurrentStatements(Pools[At].Limit, capacity()))
       continue;
     if (!Best || Pools[At].Busy < Pools[*Best].Busy)
@@ -115,48 +116,48 @@
 }
 
 void ModelProxy::dispatch(std::uint32_t Database) {
-  if (Dead)
+  if (Crashed)
     return;
   const auto CanRun = [this](const QueuedRequest &Each) {
     return freeTarget(*Waiting.at(Each.Id)).has_value();
   };
   for (const Access Mode : {Access::Read, Access::Write}) {
-    std::vector<Refusal> GivenUp;
+    std::vector<Refusal> Expired;
     while (const auto Next =
-               admission(Database, Mode).next(CanRun, Time.millis(), GivenUp)) {
+               admission(Database, Mode).next(CanRun, Time.millis(), Expired)) {
       const StatementPtr Each = Waiting[Next->Id];
       Waiting.erase(Next->Id);
       send(Each, *Next);
     }
-    refuse(GivenUp);
+    refuse(Expired);
   }
 }
 
 void ModelProxy::send(const StatementPtr &Each, const QueuedRequest &Queued) {
   const std::uint32_t Target = *freeTarget(*Each);
-  Pool &Of = Pools[Target];
+  Pool &TargetPool = Pools[Target];
   const Micros SentAt = Time.now();
-  ++Of.Busy;
-  if (Of.Idle > 0) {
-    --Of.Idle;
-    runOn(Target, Each, Queued, SentAt);
+  ++TargetPool.Busy;
+  if (TargetPool.Idle > 0) {
+    --TargetPool.Idle;
+    execute(Target, Each, Queued, SentAt);
     return;
   }
-  ++Of.Open;
+  ++TargetPool.Open;
   Targets[Target].connect([this, Target, Each, Queued, SentAt] {
-    if (!Dead)
-      runOn(Target, Each, Queued, SentAt);
+    if (!Crashed)
+      execute(Target, Each, Queued, SentAt);
   });
 }
 
-void ModelProxy::runOn(std::uint32_t Target, const StatementPtr &Each,
-                       const QueuedRequest &Queued, Micros SentAt) {
+void ModelProxy::execute(std::uint32_t Target, const StatementPtr &Each,
+                         const QueuedRequest &Queued, Micros SentAt) {
   Targets[Target].execute(Each->Service, [this, Target, Each, Queued, SentAt] {
-    if (Dead)
+    if (Crashed)
       return;
     --Pools[Target].Busy;
     ++Pools[Target].Idle;
-    closeSpare(Target);
+    closeExcess(Target);
     admission(Each->Database, Each->Kind->Mode)
         .complete(Queued, static_cast<double>(Time.now() - SentAt) / PerMilli);
     Each->Answer(true, Millis());
@@ -164,51 +165,51 @@
   });
 }
 
-void ModelProxy::closeSpare(std::uint32_t Target) {
-  Pool &Of = Pools[Target];
-  while (Of.Idle > 0 && Of.Open > Of.Limit) {
-    --Of.Idle;
-    --Of.Open;
+void ModelProxy::closeExcess(std::uint32_t Target) {
+  Pool &TargetPool = Pools[Target];
+  while (TargetPool.Idle > 0 && TargetPool.Open > TargetPool.Limit) {
+    --TargetPool.Idle;
+    --TargetPool.Open;
     Targets[Target].disconnect(1);
   }
 }
 
 void ModelProxy::setLimit(std::uint32_t Target, std::uint32_t Connections) {
   Pools[Target].Limit = Connections;
-  closeSpare(Target);
+  closeExcess(Target);
 }
 
-std::map<std::string, ConnectionUse> ModelProxy::use() const {
+std::map<std::string, ConnectionUse> ModelProxy::connectionUse() const {
   std::map<std::string, ConnectionUse> Out;
-  const std::uint32_t Replicas = std::max(How.Sizes.Targets - 1, 1U);
+  const std::uint32_t Replicas = std::max(Config.Sizes.Targets - 1, 1U);
   for (std::uint32_t At = 0; At < Pools.size(); ++At) {
-    const std::uint32_t Database = At / How.Sizes.Targets;
-    const bool IsPrimary = At % How.Sizes.Targets == 0;
+    const std::uint32_t Database = At / Config.Sizes.Targets;
+    const bool IsPrimary = At % Config.Sizes.Targets == 0;
     const std::size_t Queued =
         Admissions[Database * 2 + (IsPrimary ? 1 : 0)]->queued();
-    const std::size_t Mine =
+    const std::size_t QueuedHere =
         IsPrimary ? Queued : (Queued + Replicas - 1) / Replicas;
     Out[targetName(At)] = {
         Pools[At].Open,
-        connectionsFor(Pools[At].Busy + static_cast<std::uint32_t>(Mine),
+        connectionsFor(Pools[At].Busy + static_cast<std::uint32_t>(QueuedHere),
                        capacity())};
   }
   return Out;
 }
 
-RightsRequest ModelProxy::askForRights() {
-  return Rights.request(use(), Time.millis());
+RightsRequest ModelProxy::makeRightsRequest() {
+  return Rights.request(connectionUse(), Time.millis());
 }
 
-void ModelProxy::take(const RightsGrant &Grant) {
+void ModelProxy::applyGrant(const RightsGrant &Grant) {
   Rights.apply(Grant);
   for (std::uint32_t At = 0; At < Pools.size(); ++At)
     setLimit(At, Rights.limit(targetName(At), Time.millis()));
-  for (std::uint32_t Index = 0; Index < How.Sizes.Databases; ++Index)
+  for (std::uint32_t Index = 0; Index < Config.Sizes.Databases; ++Index)
     dispatch(Index);
 }
 
-bool ModelProxy::isShort() const {
+bool ModelProxy::hasQueuedRequests() const {
   for (const auto &Each : Admissions)
     if (Each->queued() > 0)
       return true;
@@ -220,15 +221,15 @@
                      [](const Pool &Each) { return Each.Limit > 0; });
 }
 
-void ModelProxy::die() {
-  Dead = true;
+void ModelProxy::crash() {
+  Crashed = true;
   for (std::uint32_t At = 0; At < Pools.size(); ++At)
     Targets[At].disconnect(Pools[At].Open);
   Pools.assign(Pools.size(), Pool());
 }
 
-void ModelProxy::leave() {
-  die();
+void ModelProxy::shutDown() {
+  crash();
   Rights.relinquish();
 }
 
--- a/Utilities/Experiment/ModelProxy.h
+++ b/Utilities/Experiment/ModelProxy.h
@@ -1,5 +1,5 @@
 /// \file
-/// A proxy in an experiment: the modules under test between callers and
+/// Model of a proxy: connects the modules under test to modelled callers and
 /// targets.
 
 #ifndef CORIANDERDYKE_TESTS_EXPERIMENT_MODELPROXY_H
@@ -15,83 +15,84 @@
 
 namespace corianderdyke {
 
-/// One request on its way.
+/// A request that has not been answered yet.
 struct Statement {
-  const Load *Of = nullptr;
+  const Load *Source = nullptr;
   const RequestKindPolicy *Kind = nullptr;
   std::uint32_t Database = 0;
   Micros Intended = 0;
   Micros Service = 0;
-  std::uint32_t Returns = 0;
+  std::uint32_t Retries = 0;
   bool Answered = false;
-  /// Runs at the caller once; a refusal says when to come back.
+  /// Delivers the answer to the caller, once. \p RetryAfter is the delay that
+  /// a refusal asks for.
   std::function<void(bool IsServed, Millis RetryAfter)> Answer;
 };
 using StatementPtr = std::shared_ptr<Statement>;
 
 class ModelProxy {
 public:
-  ModelProxy(EventQueue &Time, const Scenario &What, const Variant &How,
+  ModelProxy(EventQueue &Time, const Scenario &Spec, const Variant &Config,
              std::vector<ModelTarget> &Targets, ProcessId Id);
 
-  void arrive(const StatementPtr &Request);
+  void admitRequest(const StatementPtr &Request);
 
-  /// Without an end, the limit of a policy that lends nothing by time.
+  /// Sets a limit that does not expire, for policies without timed rights.
   void setLimit(std::uint32_t Target, std::uint32_t Connections);
 
-  RightsRequest askForRights();
-  void take(const RightsGrant &Grant);
-  /// True where callers wait for connections that it has no right to.
-  bool isShort() const;
-  /// The balancer sends nothing to a proxy without a connection to each
-  /// target.
+  RightsRequest makeRightsRequest();
+  void applyGrant(const RightsGrant &Grant);
+  /// True if requests wait for connections that the proxy may not open.
+  bool hasQueuedRequests() const;
+  /// The load balancer sends requests only to proxies that may open a
+  /// connection to each target.
   bool hasConnections() const;
   const ProcessId &id() const { return Rights.id(); }
 
-  /// Dies at once: its connections close, its callers hear nothing.
-  void die();
-  bool isDead() const { return Dead; }
-  /// The balancer sends nothing new; what is here is still served.
+  /// Crashes: the connections close and the callers get no answer.
+  void crash();
+  bool hasCrashed() const { return Crashed; }
+  /// The load balancer sends no new requests; queued requests are served.
   void drain() { Draining = true; }
   bool isDraining() const { return Draining; }
-  /// Closes everything and gives its rights back.
-  void leave();
+  /// Closes all connections and gives the connection rights back.
+  void shutDown();
 
 private:
   struct Pool {
     std::uint32_t Limit = 0;
-    std::uint32_t Open = 0; ///< Also those being opened.
+    std::uint32_t Open = 0; ///< Includes connections that are being opened.
     std::uint32_t Idle = 0;
     std::uint32_t Busy = 0;
   };
 
-  std::unique_ptr<QueueDiscipline> order(Access Mode) const;
+  std::unique_ptr<QueueDiscipline> makeQueue(Access Mode) const;
   AdmissionController &admission(std::uint32_t Database, Access Mode) {
     return *Admissions[Database * 2 + (Mode == Access::Write ? 1 : 0)];
   }
   TargetCapacity capacity() const;
-  /// Targets that a statement may go to, in a database.
-  bool isFit(std::uint32_t Target, const RequestKindPolicy &Kind) const;
+  /// True if a statement of \p Kind may run on \p Target.
+  bool isEligible(std::uint32_t Target, const RequestKindPolicy &Kind) const;
   std::optional<std::uint32_t> freeTarget(const Statement &For) const;
   void dispatch(std::uint32_t Database);
   void send(const StatementPtr &Each, const QueuedRequest &Queued);
-  void runOn(std::uint32_t Target, const StatementPtr &Each,
-             const QueuedRequest &Queued, Micros SentAt);
-  void refuse(const std::vector<Refusal> &All);
-  void closeSpare(std::uint32_t Target);
-  std::map<std::string, ConnectionUse> use() const;
-  void look();
+  void execute(std::uint32_t Target, const StatementPtr &Each,
+               const QueuedRequest &Queued, Micros SentAt);
+  void refuse(const std::vector<Refusal> &Refusals);
+  void closeExcess(std::uint32_t Target);
+  std::map<std::string, ConnectionUse> connectionUse() const;
+  void shedPeriodically();
 
   EventQueue &Time;
-  const Scenario &What;
-  const Variant &How;
+  const Scenario &Spec;
+  const Variant &Config;
   std::vector<ModelTarget> &Targets;
   ConnectionRights Rights;
   std::vector<std::unique_ptr<AdmissionController>> Admissions;
   std::vector<Pool> Pools;
   std::map<std::uint64_t, StatementPtr> Waiting;
   std::uint64_t NextId = 1;
-  bool Dead = false;
+  bool Crashed = false;
   bool Draining = false;
 };
 
--- a/Utilities/Experiment/ModelTarget.h
+++ b/Utilities/Experiment/ModelTarget.h
@@ -1,5 +1,6 @@
 /// \file
-/// What a target can do: slots, connections and what it costs to open one.
+/// Model of a target: its slots, its connections and the cost of opening a
+/// connection.
 
 #ifndef CORIANDERDYKE_TESTS_EXPERIMENT_MODELTARGET_H
 #define CORIANDERDYKE_TESTS_EXPERIMENT_MODELTARGET_H
@@ -16,7 +17,8 @@
   ModelTarget(EventQueue &Time, const Deployment &Sizes)
       : Time(Time), Sizes(Sizes) {}
 
-  /// Takes up a connection; \p OnOpen runs at the caller's side.
+  /// Opens a connection; \p OnOpen runs when the proxy has received the
+  /// confirmation.
   void connect(std::function<void()> OnOpen) {
     ++Open;
     MostOpen = std::max(MostOpen, Open);
@@ -24,7 +26,8 @@
   }
   void disconnect(std::uint32_t Number) { Open -= Number; }
 
-  /// Runs a statement in the next free slot, first come first served.
+  /// Runs a statement in the next free slot. Waiting statements run in order
+  /// of arrival.
   void execute(Micros Service, std::function<void()> OnDone) {
     Time.after(Sizes.TargetHop,
                [this, Service, OnDone = std::move(OnDone)]() mutable {
--- a/Utilities/Experiment/Repeats.cmake
+++ b/Utilities/Experiment/Repeats.cmake
@@ -1,4 +1,4 @@
-# Runs a scenario twice and compares what it wrote.
+# Runs a scenario twice and checks that both runs write identical files.
 foreach(turn first second)
   file(MAKE_DIRECTORY ${FOLDER}/${turn})
   execute_process(COMMAND ${EXPERIMENT} ${SCENARIO} --out ${FOLDER}/${turn}
--- a/Utilities/Experiment/ReplicaShare.cpp
+++ b/Utilities/Experiment/ReplicaShare.cpp
@@ -1,7 +1,8 @@
 /// \file
-/// Measures the share of reads that replicas serve against the best possible
-/// for the same load, lags and manifest. The best is told by an oracle that
-/// sees the true logs of all targets at the moment of asking.
+/// Measures the share of reads that replicas serve, and compares it with the
+/// best possible share for the same load, lag and manifest. The best share is
+/// computed by an oracle that reads the logs of all targets at the time of the
+/// request.
 
 #include "FakeCluster.h"
 
@@ -66,32 +67,33 @@
 
 class Run {
 public:
-  Run(const Scenario &What, std::uint64_t Seed)
-      : What(What), Cluster(Seed, 3, What.Proxies), Random(Seed) {
-    Cluster.Net.LeastLatency = What.LeastLatency;
-    Cluster.Net.MostLatency = What.MostLatency;
-    Cluster.TargetOptions.Lag = What.Lag;
+  Run(const Scenario &Spec, std::uint64_t Seed)
+      : Spec(Spec), Cluster(Seed, 3, Spec.Proxies), Random(Seed) {
+    Cluster.Net.LeastLatency = Spec.LeastLatency;
+    Cluster.Net.MostLatency = Spec.MostLatency;
+    Cluster.TargetOptions.Lag = Spec.Lag;
     Cluster.startAndAwaitWritable(Manifest);
   }
 
-  void go() {
+  void run() {
     const Millis End = Cluster.Loop.now() + Duration;
     while (Cluster.Loop.now() < End) {
-      noteWrites();
-      if (draw(1000) < static_cast<std::size_t>(What.RequestsPerSecond))
-        act();
+      recordWrites();
+      if (draw(1000) < static_cast<std::size_t>(Spec.RequestsPerSecond))
+        sendRequest();
       Cluster.Loop.runFor(Millis(1));
-      collect();
+      collectResponses();
     }
     Cluster.Loop.runFor(Millis(6000));
-    collect();
+    collectResponses();
   }
 
   void print() const {
-    const double Share = ratio(ByReplica, Done);
+    const double Share = ratio(ByReplica, Completed);
     const double Best = ratio(Possible, Reads);
-    std::printf("%-22s %6zu %6zu %8.3f %8.3f %8.3f %8.1f\n", What.Name, Reads,
-                Reads - Done, Share, Best, Share / Best, ratio(Waited, Done));
+    std::printf("%-22s %6zu %6zu %8.3f %8.3f %8.3f %8.1f\n", Spec.Name, Reads,
+                Reads - Completed, Share, Best, Share / Best,
+                ratio(TotalLatencyMs, Completed));
   }
 
 private:
@@ -108,8 +110,8 @@
     return std::uniform_int_distribution<std::size_t>(0, Below - 1)(Random);
   }
 
-  /// Remembers when each position of each primary was written.
-  void noteWrites() {
+  /// Records the time at which each position of each primary was written.
+  void recordWrites() {
     for (const auto &[Name, Each] : Cluster.Targets)
       if (Each->isPrimary())
         while (WrittenAt[databaseOf(Name)].size() < Each->position())
@@ -120,13 +122,13 @@
     return Target.substr(0, Target.rfind('-'));
   }
 
-  /// True where some replica could serve the read at this moment.
-  bool isPossible(const Session &By, Millis AcceptedAge) {
+  /// True if some replica could serve the read at this moment.
+  bool canReplicaServe(const Session &Caller, Millis AcceptedAge) {
     for (const auto &[Name, Each] : Cluster.Targets) {
-      if (databaseOf(Name) != By.Database || Each->isPrimary() ||
-          Each->position() < By.Floor)
+      if (databaseOf(Name) != Caller.Database || Each->isPrimary() ||
+          Each->position() < Caller.Floor)
         continue;
-      const auto &Times = WrittenAt[By.Database];
+      const auto &Times = WrittenAt[Caller.Database];
       const bool Whole = Each->position() >= Times.size();
       if (Whole || Cluster.Loop.now() - Times[Each->position()] <= AcceptedAge)
         return true;
@@ -134,46 +136,48 @@
     return false;
   }
 
-  void act() {
-    Session &By = All[draw(Sessions)];
-    if (By.Open)
+  void sendRequest() {
+    Session &Caller = All[draw(Sessions)];
+    if (Caller.Open)
       return;
-    if (By.Database.empty())
-      By.Database = "ledger-" + std::to_string(1 + draw(3));
-    const std::string Proxy = "entry-" + std::to_string(1 + draw(What.Proxies));
-    By.Writes = draw(1000) < static_cast<std::size_t>(What.WritesPerMille);
-    By.AskedAt = Cluster.Loop.now();
-    CallerRequest Ask{
-        .Database = By.Database, .Body = "put a b", .Session = By.Token};
-    if (By.Writes) {
-      Ask.Key = "k" + std::to_string(++NextKey);
+    if (Caller.Database.empty())
+      Caller.Database = "ledger-" + std::to_string(1 + draw(3));
+    const std::string Proxy = "entry-" + std::to_string(1 + draw(Spec.Proxies));
+    Caller.Writes = draw(1000) < static_cast<std::size_t>(Spec.WritesPerMille);
+    Caller.AskedAt = Cluster.Loop.now();
+    CallerRequest Request{.Database = Caller.Database,
+                          .Body = "put a b",
+                          .Session = Caller.Token};
+    if (Caller.Writes) {
+      Request.Key = "k" + std::to_string(++NextKey);
     } else {
       const std::int64_t Age = Ages[draw(std::size(Ages))];
-      Ask.Kind = "within-" + std::to_string(Age);
-      Ask.Body = "get a";
+      Request.Kind = "within-" + std::to_string(Age);
+      Request.Body = "get a";
       ++Reads;
-      Possible += isPossible(By, Millis(Age)) ? 1 : 0;
+      Possible += canReplicaServe(Caller, Millis(Age)) ? 1 : 0;
     }
-    By.Open = Cluster.send(Proxy, Ask);
+    Caller.Open = Cluster.send(Proxy, Request);
   }
 
-  void collect() {
+  void collectResponses() {
     for (Session &Each : All) {
       if (!Each.Open || !Each.Open->Arrived)
         continue;
-      const CallerResponse Got = *std::exchange(Each.Open, nullptr);
-      if (Got.Outcome != "done")
+      const CallerResponse Response = *std::exchange(Each.Open, nullptr);
+      if (Response.Outcome != "done")
         continue;
       if (Each.Writes) {
-        Each.Token = Got.Session;
-        Each.Floor = verifyToken(Got.Session, FakeCluster::SharedKey)
+        Each.Token = Response.Session;
+        Each.Floor = verifyToken(Response.Session, FakeCluster::SharedKey)
                          ->floor(Each.Database)
                          ->Position;
         continue;
       }
-      ++Done;
-      ByReplica += Got.ServedBy == "replica" ? 1 : 0;
-      Waited += static_cast<std::size_t>((Got.At - Each.AskedAt).count());
+      ++Completed;
+      ByReplica += Response.ServedBy == "replica" ? 1 : 0;
+      TotalLatencyMs +=
+          static_cast<std::size_t>((Response.At - Each.AskedAt).count());
     }
   }
 
@@ -181,7 +185,7 @@
     return static_cast<double>(Part) / static_cast<double>(Whole);
   }
 
-  const Scenario &What;
+  const Scenario &Spec;
   FakeCluster Cluster;
   std::mt19937_64 Random;
   std::vector<Session> All{Sessions};
@@ -189,22 +193,22 @@
   std::size_t NextKey = 0;
   std::size_t Reads = 0;
   std::size_t Possible = 0;
-  std::size_t Done = 0;
+  std::size_t Completed = 0;
   std::size_t ByReplica = 0;
-  std::size_t Waited = 0; ///< Milliseconds of all reads that were done.
+  std::size_t TotalLatencyMs = 0; ///< Of completed reads.
 };
 
 } // namespace
 
-int main(int Count, char **Words) {
-  const std::uint64_t Seed = Count > 1 ? numberOr(Words[1], 1) : 1;
+int main(int ArgCount, char **Args) {
+  const std::uint64_t Seed = ArgCount > 1 ? numberOr(Args[1], 1) : 1;
   std::printf("seed %llu\n%-22s %6s %6s %8s %8s %8s %8s\n",
               static_cast<unsigned long long>(Seed), "scenario", "reads",
               "undone", "share", "best", "ratio", "mean ms");
   for (const Scenario &Each : Scenarios) {
-    Run Now(Each, Seed);
-    Now.go();
-    Now.print();
+    Run Current(Each, Seed);
+    Current.run();
+    Current.print();
   }
   return 0;
 }
--- a/Utilities/Experiment/Scenario.cpp
+++ b/Utilities/Experiment/Scenario.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads scenarios.
+/// Parses scenario files.
 
 #include "Scenario.h"
 
@@ -78,7 +78,7 @@
   return Keys;
 }
 
-/// The sizes that the brief gives.
+/// Returns the sizes of a known deployment.
 Expected<Deployment> deployment(const std::string &Name) {
   Deployment Out;
   Out.Name = Name;
@@ -139,7 +139,7 @@
   Out.Seed = In.count("seed");
   Out.Length = In.number("length_ms") * PerMilli;
   Out.CountFrom = In.number("count_from_ms") * PerMilli;
-  Out.Returns = In.count("returns");
+  Out.MaxRetries = In.count("returns");
   Out.QueueLimit = In.count("queue_per_database");
   for (const std::string &Name : In.stringList("deployments")) {
     const auto Known = deployment(Name);
--- a/Utilities/Experiment/Scenario.h
+++ b/Utilities/Experiment/Scenario.h
@@ -1,5 +1,5 @@
 /// \file
-/// One experiment: a pool of targets, the loads on it, and what fails.
+/// Definition of an experiment: its targets, its loads and its faults.
 
 #ifndef CORIANDERDYKE_TESTS_EXPERIMENT_SCENARIO_H
 #define CORIANDERDYKE_TESTS_EXPERIMENT_SCENARIO_H
@@ -11,8 +11,8 @@
 
 namespace corianderdyke {
 
-/// The experiment counts in microseconds, since a hop takes half a
-/// millisecond; the modules under test are given whole milliseconds.
+/// The experiment measures time in microseconds because a network hop takes
+/// half a millisecond. The modules under test work in whole milliseconds.
 using Micros = std::int64_t;
 
 /// The sizes of a deployment.
@@ -40,7 +40,7 @@
   bool Exponential = false;
   Micros From = 0;
   Micros Until = 0;
-  /// It comes in through this many of the proxies; 0 means all.
+  /// Number of proxies that receive the load; 0 means all.
   std::uint32_t Proxies = 0;
 
   auto operator<=>(const Load &) const = default;
@@ -62,10 +62,11 @@
   std::string Name;
   std::uint64_t Seed = 1;
   Micros Length = 0;
-  /// What is offered before isn't counted.
+  /// Requests that are offered earlier are not counted.
   Micros CountFrom = 0;
-  /// Refused callers come back this often, when they were told to.
-  std::uint32_t Returns = 0;
+  /// Number of times that a refused request is retried, each time after the
+  /// delay given in the refusal.
+  std::uint32_t MaxRetries = 0;
   std::uint32_t QueueLimit = 200;
   std::vector<Deployment> Deployments;
   std::vector<std::string> Orders;
@@ -78,7 +79,7 @@
   auto operator<=>(const Scenario &) const = default;
 };
 
-/// The scenario in \p Text, or all its faults.
+/// Returns the scenario defined by \p Text, or all errors in it.
 tl::expected<Scenario, Findings> parseScenario(const std::string &File,
                                                const std::string &Text);
 
--- a/Utilities/Experiment/plot.gp
+++ b/Utilities/Experiment/plot.gp
@@ -1,4 +1,5 @@
-# Draws served requests a second over time, one curve an organisation and way.
+# Plots served requests per second over time, with one curve for each
+# organisation and configuration.
 # Usage: gnuplot -e "folder='OUT'; scenario='flood'; deployment='riga'" plot.gp
 set datafile separator ","
 set terminal svg size 1000,500
