--- a/Utilities/Bench/BenchMain.cpp
+++ b/Utilities/Bench/BenchMain.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Measures one proxy on loopback against the direct path to its target:
-/// statements a second, latency, processor time and memory of connections.
+/// Compares one proxy on loopback with the direct path to its target:
+/// statements per second, latency, processor time and memory of connections.
 
 #include "Common/SystemClock.h"
 #include "Http/EventHttpConnector.h"
@@ -27,7 +27,7 @@
       .count();
 }
 
-/// Processor seconds that a process has used.
+/// Returns the processor time in seconds that a process has used.
 double processorSeconds(int Process) {
   std::ifstream In("/proc/" + std::to_string(Process) + "/stat");
   std::string Word;
@@ -40,7 +40,7 @@
   return Ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-/// Resident bytes of a process.
+/// Returns the resident memory of a process in bytes.
 double residentBytes(int Process) {
   std::ifstream In("/proc/" + std::to_string(Process) + "/statm");
   double Pages = 0;
@@ -64,13 +64,14 @@
   return Out;
 }
 
-/// Callers who each send the next statement when they have their answer.
+/// Callers that each send the next statement after the previous answer.
 class ClosedLoop {
 public:
   ClosedLoop(EventLoop &Loop, Endpoint To, bool IsDirect)
       : Loop(Loop), Connector(Loop), To(std::move(To)), IsDirect(IsDirect) {}
 
-  /// Answers within the span; the connections are opened before it begins.
+  /// Returns the number of answers within \p Span, which begins after the
+  /// connections are open.
   std::size_t run(std::size_t Callers, Millis Span) {
     Connections.clear();
     Latencies.clear();
@@ -78,34 +79,34 @@
       Connections.push_back(Connector.connect(To));
     for (const auto &Each : Connections)
       open(*Each);
-    Loop.after(Warmth, [this] { IsCounting = true; });
-    Loop.after(Warmth + Span, [this] { Loop.stop(); });
+    Loop.after(WarmUp, [this] { IsCounting = true; });
+    Loop.after(WarmUp + Span, [this] { Loop.stop(); });
     Loop.run();
     IsCounting = false;
     Connections.clear();
     return Latencies.size();
   }
 
-  double latency(double Part) {
+  double latency(double Quantile) {
     std::sort(Latencies.begin(), Latencies.end());
     return Latencies.empty()
                ? 0
                : static_cast<double>(Latencies[static_cast<std::size_t>(
-                     Part * static_cast<double>(Latencies.size() - 1))]);
+                     Quantile * static_cast<double>(Latencies.size() - 1))]);
   }
 
   std::size_t failures() const { return Failures; }
 
 private:
-  static constexpr Millis Warmth = Millis(300);
+  static constexpr Millis WarmUp = Millis(300);
 
   void open(HttpConnection &Each) {
     if (!IsDirect)
       return send(Each);
-    HttpRequest Hello;
-    Hello.Method = HttpMethod::Post;
-    Hello.Path = "/v1/connect";
-    Each.request(std::move(Hello), AnswerTimeout,
+    HttpRequest Connect;
+    Connect.Method = HttpMethod::Post;
+    Connect.Path = "/v1/connect";
+    Each.request(std::move(Connect), AnswerTimeout,
                  [this, &Each](const Expected<HttpResponse> &Answer) {
                    if (Answer)
                      Term = Answer->header("Target-Term");
@@ -136,23 +137,23 @@
   std::size_t Failures = 0;
 };
 
-/// Resident bytes that a process takes for each connection that was used
-/// once and is kept.
+/// Returns the resident memory in bytes that a process uses for each idle
+/// connection, after one request.
 double bytesPerConnection(EventLoop &Loop, const Endpoint &To, int Process,
                           std::size_t Number) {
   EventHttpConnector Connector(Loop);
-  std::vector<std::unique_ptr<HttpConnection>> Kept;
+  std::vector<std::unique_ptr<HttpConnection>> Connected;
   const double Before = residentBytes(Process);
   std::size_t Answered = 0;
   for (std::size_t Index = 0; Index < Number; ++Index) {
-    Kept.push_back(Connector.connect(To));
+    Connected.push_back(Connector.connect(To));
     HttpRequest Request;
     Request.Path = "/nothing";
-    Kept.back()->request(std::move(Request), AnswerTimeout,
-                         [&](const Expected<HttpResponse> &) {
-                           if (++Answered == Number)
-                             Loop.stop();
-                         });
+    Connected.back()->request(std::move(Request), AnswerTimeout,
+                              [&](const Expected<HttpResponse> &) {
+                                if (++Answered == Number)
+                                  Loop.stop();
+                              });
   }
   Loop.run();
   return (residentBytes(Process) - Before) / static_cast<double>(Number);
@@ -160,7 +161,7 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int ArgCount, char **Args) {
   CLI::App App("Measures a proxy on loopback", "bench-proxy");
   std::string Proxy;
   std::string Target;
@@ -174,7 +175,7 @@
   App.add_option("--seconds", Seconds, "Length of each of the four runs");
   App.add_option("--callers", Callers, "Callers at a time");
   App.add_option("--idle", Idle, "Idle connections to measure memory with");
-  CLI11_PARSE(App, Count, Words);
+  CLI11_PARSE(App, ArgCount, Args);
   const Endpoint ProxyAt = Endpoint::parse(Proxy).value_or(Endpoint());
   const Endpoint TargetAt = Endpoint::parse(Target).value_or(Endpoint());
   const Millis Span(Seconds * 1000);
@@ -189,12 +190,13 @@
     const double Before = processorSeconds(Process);
     const std::int64_t Start = micros();
     const std::size_t Done = Path.run(Number, Span);
-    const double Took = static_cast<double>(micros() - Start) / MicrosPerSecond;
+    const double Elapsed =
+        static_cast<double>(micros() - Start) / MicrosPerSecond;
     const double Used = processorSeconds(Process) - Before;
     std::cout << Name << "," << Number << ","
               << static_cast<double>(Done) / static_cast<double>(Seconds) << ","
               << Path.latency(Median) << "," << Path.latency(Tail) << ","
-              << Used / Took << "\n";
+              << Used / Elapsed << "\n";
   };
   Measure("direct", Direct, 1);
   Measure("proxy", Through, 1);
--- a/Utilities/Capacity/LoopbackMeasurements.cpp
+++ b/Utilities/Capacity/LoopbackMeasurements.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What watches, renewals and connections cost over real loopback sockets.
+/// Measures the cost of watches, lease renewals and connections over real
+/// loopback sockets.
 
 #include "Measurements.h"
 
@@ -21,8 +22,8 @@
 
 namespace {
 
-/// Answers every watch at once with a position that rises, as a busy target
-/// would, and counts the answers.
+/// Answers every watch immediately with an increasing position, as a busy
+/// target does, and counts the answers.
 class BusyTarget final : public HttpService {
 public:
   void handle(const HttpRequest &,
@@ -39,8 +40,9 @@
   std::uint64_t Answers = 0;
 };
 
-/// Microseconds of processor time a watch, both ends and the kernel's part of
-/// them together, with \p Targets watches under way.
+/// Returns the processor time of one watch in microseconds, for both ends
+/// together and with the time spent in the kernel, while \p Targets watches
+/// are active.
 double microsPerWatch(std::size_t Targets) {
   SystemClock Clock;
   EventLoop Loop;
@@ -62,39 +64,42 @@
   return (cpuMicros() - Before) / static_cast<double>(Target.Answers);
 }
 
-/// Microseconds of processor time a renewal of a lease that reports
-/// \p Reports targets: a request and a grant, both ends and the kernel's
-/// part together, without what control works out in between.
+/// Returns the processor time in microseconds of renewing a lease with reports
+/// on \p Reports targets: a request and a grant, for both ends together and
+/// with the time spent in the kernel, without the processing of the request
+/// in the control host.
 double microsPerRenewal(std::size_t Reports) {
   EventLoop Loop;
   const std::string Key = "a key for measuring renewals";
-  // A port that was free a moment ago; the measurement fails where it isn't.
-  const auto Ports = [&Loop, &Key](std::uint16_t First) {
+  // Listening fails if the port is in use; the search below then tries the
+  // next one.
+  const auto Listen = [&Loop, &Key](std::uint16_t First) {
     return SocketTransport::listen(Loop, {"127.0.0.1", First}, "name", Key);
   };
   constexpr std::uint16_t FirstPort = 24000;
   constexpr std::uint16_t LastPort = 32000;
-  std::vector<std::unique_ptr<SocketTransport>> Ends;
-  std::vector<Endpoint> At;
-  for (std::uint16_t Port = FirstPort; Port < LastPort && Ends.size() < 2;
+  std::vector<std::unique_ptr<SocketTransport>> Transports;
+  std::vector<Endpoint> Addresses;
+  for (std::uint16_t Port = FirstPort; Port < LastPort && Transports.size() < 2;
        ++Port) {
-    auto Made = Ports(Port);
-    if (!Made)
+    auto Listening = Listen(Port);
+    if (!Listening)
       continue;
-    Ends.push_back(std::move(*Made));
-    At.push_back({"127.0.0.1", Port});
+    Transports.push_back(std::move(*Listening));
+    Addresses.push_back({"127.0.0.1", Port});
   }
   const LeaseRequest Request = sampleRequest(Reports);
   std::uint64_t Renewals = 0;
-  Ends[0]->signalReceived().connect([&](const Envelope &) {
-    Ends[0]->send(At[1], Delivery::Datagram,
-                  LeaseGrant{Request.Proxy, 1, Millis(1), Millis(600), 10});
+  Transports[0]->signalReceived().connect([&](const Envelope &) {
+    Transports[0]->send(
+        Addresses[1], Delivery::Datagram,
+        LeaseGrant{Request.Proxy, 1, Millis(1), Millis(600), 10});
   });
-  Ends[1]->signalReceived().connect([&](const Envelope &) {
+  Transports[1]->signalReceived().connect([&](const Envelope &) {
     ++Renewals;
-    Ends[1]->send(At[0], Delivery::Datagram, Request);
+    Transports[1]->send(Addresses[0], Delivery::Datagram, Request);
   });
-  Ends[1]->send(At[0], Delivery::Datagram, Request);
+  Transports[1]->send(Addresses[0], Delivery::Datagram, Request);
   constexpr Millis Span(300);
   const double Before = cpuMicros();
   Loop.after(Span, [&Loop] { Loop.stop(); });
@@ -102,8 +107,9 @@
   return (cpuMicros() - Before) / static_cast<double>(Renewals);
 }
 
-/// Bytes of heap that \p Count idle callers' connections take at the server,
-/// each after one request. The kernel's socket buffers come on top.
+/// Returns the heap size in bytes that \p Count idle connections of callers
+/// use at the server, each after one request. Socket buffers of the kernel
+/// are not included.
 double connectionHeapBytes(std::size_t Count) {
   EventLoop Loop;
   BusyTarget Target;
@@ -124,20 +130,20 @@
   const double Before = heapBytes();
   for (std::size_t Number = 0; Number < Count; ++Number) {
     const int Socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const auto *Raw = reinterpret_cast<const sockaddr *>(&Address);
-    if (::connect(Socket, Raw, sizeof(Address)) != 0 ||
+    const auto *SocketAddress = reinterpret_cast<const sockaddr *>(&Address);
+    if (::connect(Socket, SocketAddress, sizeof(Address)) != 0 ||
         ::send(Socket, Request.data(), Request.size(), 0) < 0)
       std::abort();
     Sockets.push_back(Socket);
-    // The backlog of the listener is short.
+    // Accepts the connection now because the backlog of the listener is short.
     event_base_loop(Loop.base(), EVLOOP_NONBLOCK);
   }
   while (Target.Answers < Count)
     event_base_loop(Loop.base(), EVLOOP_ONCE);
-  const double Taken = heapBytes() - Before;
+  const double UsedBytes = heapBytes() - Before;
   for (const int Socket : Sockets)
     ::close(Socket);
-  return Taken;
+  return UsedBytes;
 }
 
 } // namespace
--- a/Utilities/Capacity/Main.cpp
+++ b/Utilities/Capacity/Main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Measures the slopes that docs/CAPACITY.md rests on and writes its tables.
+/// Measures the costs behind docs/CAPACITY.md and writes its tables.
 
 #include "Measurements.h"
 #include "TargetSize.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-std::string shown(double Value) {
+std::string formatValue(double Value) {
   char Text[32];
   const double Size = std::fabs(Value);
   const char *Format = Size >= 100 ? "%.0f" : Size >= 1 ? "%.1f" : "%.3f";
@@ -31,12 +31,12 @@
     Out << "| " << Name << " | ";
     const char *Separator = "";
     for (const Point &At : Each.points()) {
-      Out << Separator << shown(At.Size) << ": " << shown(At.Value);
+      Out << Separator << formatValue(At.Size) << ": " << formatValue(At.Value);
       Separator = ", ";
     }
-    Out << " | " << shown(Each.fixed()) << " " << Each.unit() << " | "
-        << shown(Each.each()) << " " << Each.unit() << " | " << Each.per()
-        << " | " << shown(Each.fit()) << " |\n";
+    Out << " | " << formatValue(Each.fixed()) << " " << Each.unit() << " | "
+        << formatValue(Each.each()) << " " << Each.unit() << " | " << Each.per()
+        << " | " << formatValue(Each.fit()) << " |\n";
   }
   return Out.str();
 }
@@ -49,14 +49,14 @@
   for (const CapacityLine &Line : capacityLines(Measured))
     Out << "| " << Line.Role << " | " << Line.What << " | " << Line.Formula
         << " | "
-        << (Line.Budget > 0 ? shown(Line.Budget) + " " + Line.Unit : "-")
-        << " | " << shown(Line.Today) << " " << Line.Unit << " | "
-        << shown(Line.Planned) << " " << Line.Unit << " | " << Line.Mechanism
-        << " |\n";
+        << (Line.Budget > 0 ? formatValue(Line.Budget) + " " + Line.Unit : "-")
+        << " | " << formatValue(Line.Today) << " " << Line.Unit << " | "
+        << formatValue(Line.Planned) << " " << Line.Unit << " | "
+        << Line.Mechanism << " |\n";
   return Out.str();
 }
 
-/// Puts a table between its two marker lines.
+/// Replaces the text between the two marker lines of a table.
 bool replaceTable(std::string &Page, const std::string &Name,
                   const std::string &Table) {
   const std::string Begin = "<!-- begin " + Name + " -->\n";
@@ -71,9 +71,9 @@
 
 int writePage(const std::string &Path, const Slopes &Measured) {
   std::ifstream In(Path);
-  std::ostringstream Read;
-  Read << In.rdbuf();
-  std::string Page = Read.str();
+  std::ostringstream Content;
+  Content << In.rdbuf();
+  std::string Page = Content.str();
   if (!replaceTable(Page, "slopes", slopeTable(Measured)) ||
       !replaceTable(Page, "target size", targetTable(Measured))) {
     std::cerr << Path << ": the marker lines of the tables are missing\n";
@@ -85,11 +85,11 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int ArgCount, char **Args) {
   CLI::App App("Measures the slopes of docs/CAPACITY.md", "measure-capacity");
   std::string Page;
-  App.add_option("--write", Page, "Page whose tables are written anew");
-  CLI11_PARSE(App, Count, Words);
+  App.add_option("--write", Page, "Page whose tables are replaced");
+  CLI11_PARSE(App, ArgCount, Args);
   Slopes Measured;
   measureMessages(Measured);
   measureDuties(Measured);
--- a/Utilities/Capacity/Measurements.cpp
+++ b/Utilities/Capacity/Measurements.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The slopes that docs/CAPACITY.md rests on.
+/// Measures the slopes used by docs/CAPACITY.md.
 
 #include "Measurements.h"
 
@@ -22,22 +22,22 @@
 
 constexpr const char *SealKey = "a key for measuring messages";
 
-/// Microseconds a call: the median of several runs of at least a few
-/// milliseconds each, so that a single disturbance doesn't show.
+/// Returns the microseconds per call: the median of several runs of a few
+/// milliseconds each, so that a single disturbance does not affect it.
 double microsPerCall(const std::function<void()> &Call) {
   constexpr int Runs = 7;
-  constexpr double LeastRun = 4000;
+  constexpr double MinRunMicros = 4000;
   std::vector<double> Results;
   for (int Run = 0; Run < Runs; ++Run) {
     const double Start = cpuMicros();
     double Calls = 0;
-    double Spent = 0;
-    while (Spent < LeastRun) {
+    double Elapsed = 0;
+    while (Elapsed < MinRunMicros) {
       Call();
       ++Calls;
-      Spent = cpuMicros() - Start;
+      Elapsed = cpuMicros() - Start;
     }
-    Results.push_back(Spent / Calls);
+    Results.push_back(Elapsed / Calls);
   }
   std::sort(Results.begin(), Results.end());
   return Results[Runs / 2];
@@ -73,11 +73,12 @@
   });
 }
 
-constexpr std::size_t MostSmall = 256;
-const std::vector<std::size_t> SmallSizes = {0, 8, 64, MostSmall};
-/// A view with MostSmall databases, the first \p Count with another policy.
+constexpr std::size_t MaxSmallSize = 256;
+const std::vector<std::size_t> SmallSizes = {0, 8, 64, MaxSmallSize};
+/// Returns a view with MaxSmallSize databases, of which the first \p Count
+/// have a changed policy.
 ClusterView withChangedPolicies(std::size_t Count) {
-  ClusterView Out = sampleView(MostSmall, 0);
+  ClusterView Out = sampleView(MaxSmallSize, 0);
   ++Out.CurrentManifest->Version;
   for (std::size_t Number = 0; Number < Count; ++Number)
     ++Out.CurrentManifest->Databases[Number].ConnectionsPerTarget;
@@ -145,8 +146,8 @@
       });
   add(Into, "delta-bytes-by-manifest", "B", "changed database", SmallSizes,
       [](std::size_t Size) {
-        return wireBytes(
-            computeDelta(sampleView(MostSmall, 0), withChangedPolicies(Size)));
+        return wireBytes(computeDelta(sampleView(MaxSmallSize, 0),
+                                      withChangedPolicies(Size)));
       });
   add(Into, "heartbeat-bytes", "B", "-", {1, 2, 3}, [](std::size_t) {
     return wireBytes(
@@ -168,8 +169,8 @@
       });
   add(Into, "delta-codec-micros", "us", "changed database", SmallSizes,
       [](std::size_t Size) {
-        return codecMicros(
-            computeDelta(sampleView(MostSmall, 0), withChangedPolicies(Size)));
+        return codecMicros(computeDelta(sampleView(MaxSmallSize, 0),
+                                        withChangedPolicies(Size)));
       });
   add(Into, "adopt-micros", "us", "database", DatabaseSizes,
       [](std::size_t Size) {
--- a/Utilities/Capacity/Measurements.h
+++ b/Utilities/Capacity/Measurements.h
@@ -1,5 +1,5 @@
 /// \file
-/// The slopes that docs/CAPACITY.md rests on, measured on the product's code.
+/// Measures the slopes used by docs/CAPACITY.md on the code of the product.
 
 #ifndef CORIANDERDYKE_UTILITIES_CAPACITY_MEASUREMENTS_H
 #define CORIANDERDYKE_UTILITIES_CAPACITY_MEASUREMENTS_H
@@ -13,20 +13,22 @@
 /// All slopes by name.
 using Slopes = std::map<std::string, Slope>;
 
-/// Bytes on the wire a message, by what it holds.
+/// Measures the encoded size of messages, by the number of their items.
 void measureMessages(Slopes &Into);
-/// Processor time of the control host's and the proxy's regular duties.
+/// Measures the processor time of the periodic work of control hosts and
+/// proxies.
 void measureDuties(Slopes &Into);
-/// Memory of the state, and bytes of journal and manifest.
+/// Measures the memory of the state and the size of journal entries.
 void measureState(Slopes &Into);
-/// Watches, renewals and callers' connections over real loopback sockets.
+/// Measures watches, lease renewals and callers' connections over real
+/// loopback sockets.
 void measureLoopback(Slopes &Into);
-/// A read through a proxy, without the caller's and the target's part.
+/// Measures a read through a proxy, without the cost of caller and target.
 void measureStatements(Slopes &Into);
 
-/// Processor time of this process in microseconds.
+/// Returns the processor time of this process in microseconds.
 double cpuMicros();
-/// Bytes that this process has taken from its heap.
+/// Returns the heap size in bytes that this process has allocated.
 double heapBytes();
 
 } // namespace corianderdyke
--- a/Utilities/Capacity/Samples.cpp
+++ b/Utilities/Capacity/Samples.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Views, manifests and requests of any size, shaped as in real use.
+/// Creates realistic views, manifests and requests of any size.
 
 #include "Samples.h"
 
@@ -11,11 +11,11 @@
 
 constexpr std::uint64_t SampleSequence = 1700000000000;
 
-std::string numbered(const std::string &Word, std::size_t Number) {
-  return Word + "-" + std::to_string(Number);
+std::string numbered(const std::string &Prefix, std::size_t Number) {
+  return Prefix + "-" + std::to_string(Number);
 }
 
-Locality samplePlace(std::size_t Number) {
+Locality sampleLocality(std::size_t Number) {
   constexpr std::size_t Regions = 5;
   constexpr std::size_t Domains = 13;
   return {numbered("region", Number % Regions),
@@ -67,7 +67,7 @@
       TargetAnnouncement Target;
       Target.Name = numbered(Policy.Name, Number);
       Target.Database = Policy.Name;
-      Target.TargetLocality = samplePlace(Number);
+      Target.TargetLocality = sampleLocality(Number);
       Target.Address = {"10.100.200.30", 5432};
       Target.Sequence = SampleSequence;
       Target.LogId = numbered("1234567890123456789", Number);
@@ -77,7 +77,7 @@
     }
   }
   for (std::size_t Number = 0; Number < Proxies; ++Number)
-    Out.Proxies[sampleProxy(Number)] = samplePlace(Number);
+    Out.Proxies[sampleProxy(Number)] = sampleLocality(Number);
   return Out;
 }
 
@@ -86,8 +86,8 @@
 }
 
 LeaseRequest sampleRequest(std::size_t Reports) {
-  LeaseRequest Out{sampleProxy(1),  samplePlace(1), 1000,
-                   Millis(1000000), 100000,         {}};
+  LeaseRequest Out{
+      sampleProxy(1), sampleLocality(1), 1000, Millis(1000000), 100000, {}};
   for (std::size_t Number = 0; Number < Reports; ++Number)
     Out.Reports.push_back(
         {numbered("bale-ledger-1000", Number), false, Millis(400)});
--- a/Utilities/Capacity/Samples.h
+++ b/Utilities/Capacity/Samples.h
@@ -1,5 +1,5 @@
 /// \file
-/// Views, manifests and requests of any size, shaped as in real use.
+/// Creates realistic views, manifests and requests of any size.
 
 #ifndef CORIANDERDYKE_UTILITIES_CAPACITY_SAMPLES_H
 #define CORIANDERDYKE_UTILITIES_CAPACITY_SAMPLES_H
@@ -9,12 +9,12 @@
 
 namespace corianderdyke {
 
-/// Targets that a database has in all samples.
+/// Number of targets of each database in all samples.
 constexpr std::size_t TargetsPerDatabase = 3;
 
 Manifest sampleManifest(std::size_t Databases);
 
-/// A view in which each database has a primary and its three targets.
+/// Returns a view in which each database has a primary among three targets.
 ClusterView sampleView(std::size_t Databases, std::size_t Proxies);
 
 LeaseRequest sampleRequest(std::size_t Reports);
--- a/Utilities/Capacity/Slope.cpp
+++ b/Utilities/Capacity/Slope.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A straight line through measured points.
+/// Computes a linear fit of measured points.
 
 #include "Slope.h"
 
@@ -18,17 +18,19 @@
     MeanSize += At.Size / Count;
     MeanValue += At.Value / Count;
   }
-  double Sizes = 0;
-  double Both = 0;
-  double Values = 0;
+  double SizeVariance = 0;
+  double Covariance = 0;
+  double ValueVariance = 0;
   for (const Point &At : this->Points) {
-    Sizes += (At.Size - MeanSize) * (At.Size - MeanSize);
-    Both += (At.Size - MeanSize) * (At.Value - MeanValue);
-    Values += (At.Value - MeanValue) * (At.Value - MeanValue);
+    SizeVariance += (At.Size - MeanSize) * (At.Size - MeanSize);
+    Covariance += (At.Size - MeanSize) * (At.Value - MeanValue);
+    ValueVariance += (At.Value - MeanValue) * (At.Value - MeanValue);
   }
-  Each = Sizes > 0 ? Both / Sizes : 0;
+  Each = SizeVariance > 0 ? Covariance / SizeVariance : 0;
   Fixed = MeanValue - Each * MeanSize;
-  Fit = Sizes > 0 && Values > 0 ? Both * Both / (Sizes * Values) : 1;
+  Fit = SizeVariance > 0 && ValueVariance > 0
+            ? Covariance * Covariance / (SizeVariance * ValueVariance)
+            : 1;
 }
 
 } // namespace corianderdyke
--- a/Utilities/Capacity/Slope.h
+++ b/Utilities/Capacity/Slope.h
@@ -1,5 +1,5 @@
 /// \file
-/// A straight line through measured points.
+/// A linear fit of measured points.
 
 #ifndef CORIANDERDYKE_UTILITIES_CAPACITY_SLOPE_H
 #define CORIANDERDYKE_UTILITIES_CAPACITY_SLOPE_H
@@ -16,12 +16,12 @@
   auto operator<=>(const Point &) const = default;
 };
 
-/// The least-squares line: what a thing costs at size zero, what each unit of
-/// size adds, and how well the line fits.
+/// The least-squares line: the cost at size zero, the cost of each unit of
+/// size, and the quality of the fit.
 class Slope {
 public:
-  /// \p Name is how formulas and the page call it; \p Unit is that of the
-  /// values and \p Per that of the sizes.
+  /// \p Name identifies the slope in formulas and on the page; \p Unit is the
+  /// unit of the values and \p Per that of the sizes.
   Slope(std::string Name, std::string Unit, std::string Per,
         std::vector<Point> Points);
 
@@ -33,7 +33,7 @@
   const std::vector<Point> &points() const { return Points; }
   double fixed() const { return Fixed; }
   double each() const { return Each; }
-  /// Share of the variation that the line explains, 0 to 1.
+  /// Returns the coefficient of determination, 0 to 1.
   double fit() const { return Fit; }
 
 private:
--- a/Utilities/Capacity/StatementMeasurement.cpp
+++ b/Utilities/Capacity/StatementMeasurement.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a statement costs a proxy over real loopback sockets.
+/// Measures the cost of a statement in a proxy over real loopback sockets.
 
 #include "Measurements.h"
 
@@ -18,7 +18,7 @@
 
 constexpr const char *SessionKey = "a key for measuring sessions";
 
-/// Answers statements at once, and watches after their hold.
+/// Answers statements immediately, and watches after the requested wait.
 class InstantTarget final : public HttpService {
 public:
   InstantTarget(EventLoop &Loop, std::string Role)
@@ -44,10 +44,10 @@
   std::string Role;
 };
 
-/// Stands for control: gives whatever is asked for.
-class GenerousControl final : public Transport {
+/// Replaces the control hosts: grants every request.
+class GrantingControl final : public Transport {
 public:
-  GenerousControl(EventLoop &Loop, ClusterView View)
+  GrantingControl(EventLoop &Loop, ClusterView View)
       : Loop(Loop), View(std::move(View)) {}
 
   void send(const Endpoint &, Delivery, Message Body) override {
@@ -59,11 +59,11 @@
                         View.Revision});
     }
     if (const auto *Asked = std::get_if<RightsRequest>(&Body))
-      answer(rightsFor(*Asked));
+      answer(makeRightsGrant(*Asked));
   }
 
 private:
-  RightsGrant rightsFor(const RightsRequest &Asked) const {
+  RightsGrant makeRightsGrant(const RightsRequest &Asked) const {
     constexpr std::uint64_t LeaderTerm = 1;
     RightsGrant Out{Asked.Proxy, Asked.Sequence, Asked.SentAt,
                     Millis(),    LeaderTerm,     {}};
@@ -87,7 +87,7 @@
   ClusterView View;
 };
 
-/// Callers that each send the next statement after the last answer.
+/// Callers that each send the next statement after the previous answer.
 class Callers {
 public:
   Callers(EventLoop &Loop, EventHttpConnector &Connector, const Endpoint &To,
@@ -95,7 +95,8 @@
       : Path(std::move(Path)) {
     for (std::size_t Number = 0; Number < Count; ++Number)
       Connections.push_back(Connector.connect(To));
-    // The proxy needs a moment for its lease, rights and first watches.
+    // The proxy first obtains its lease and its connection rights and starts
+    // its watches.
     constexpr Millis WarmUp(400);
     for (const auto &Each : Connections)
       Loop.after(WarmUp, [this, Raw = Each.get()] { ask(*Raw); });
@@ -109,7 +110,7 @@
     });
   }
 
-  /// Processor time of this process an answer, in microseconds.
+  /// Returns the processor time of this process per answer in microseconds.
   double micros() const { return Micros; }
 
 private:
@@ -136,8 +137,8 @@
   double Micros = 0;
 };
 
-/// Microseconds that a read through a proxy costs beyond the direct path: the
-/// proxy's part, with that of the kernel for its two sockets.
+/// Returns the processor time in microseconds that a read through a proxy adds
+/// to the direct path: that of the proxy and of the kernel for its two sockets.
 double microsPerStatement(std::size_t Count) {
   SystemClock Time;
   EventLoop Loop;
@@ -153,7 +154,7 @@
     Each.Address = Name == View.Groups.begin()->second.Primary
                        ? (*AtPrimary)->endpoint()
                        : (*AtReplica)->endpoint();
-  GenerousControl Control(Loop, View);
+  GrantingControl Control(Loop, View);
   Settings Options;
   Options.Name = sampleProxy(0).Name;
   Options.ControlHosts = {{"control-1", {"127.0.0.1", 1}}};
--- a/Utilities/Capacity/TargetSize.cpp
+++ b/Utilities/Capacity/TargetSize.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the measured slopes come to at the size to come.
+/// Computes costs at the target size from the measured slopes.
 
 #include "TargetSize.h"
 
@@ -17,15 +17,15 @@
 constexpr double Kilo = 1e3;
 constexpr double Mega = 1e6;
 
-// Today's mechanisms: every proxy knows and watches every database.
+// Current mechanisms: every proxy knows and watches every database.
 constexpr double RenewalSeconds = 0.12;
 constexpr double WatchesPerSecond = 20;
 constexpr double RightsSeconds = 0.5;
 constexpr double TicksPerSecond = 100;
 
-// Planned mechanisms. A database is served by a subset of the proxies, a
-// shard of control leads a quarter of the databases, and a lease of 3 s still
-// leaves 2 s of the 5 s that a change of primary may take.
+// Planned mechanisms. A database is served by a subset of the proxies. A shard
+// of the control hosts leads a quarter of the databases. A lease of 3 s leaves
+// 2 s of the 5 s that a change of primary may take.
 constexpr double ProxiesPerDatabase = 8;
 constexpr double Shards = 4;
 constexpr double PlannedRenewalSeconds = 0.6;
@@ -48,7 +48,8 @@
     return Measured.at(Name).at(Size);
   }
 
-  /// Changes besides manifests that every proxy hears of, a second.
+  /// Returns the changes per second, other than manifests, that are sent to
+  /// every proxy.
   static double smallChangesPerSecond() {
     return (2 * PrimaryChangesPerDay + 2 * RestartsPerDay +
             2 * HostFailuresPerDay) /
@@ -59,11 +60,12 @@
     return ManifestChangesPerDay / SecondsPerDay;
   }
 
-  /// Bytes of changes that one node gets a second. A change of the manifest
-  /// is taken to touch ten databases.
+  /// Returns the bytes per second of changes that are sent to one node. A
+  /// change of the manifest is assumed to affect ten databases.
   double changeBytesPerSecond() const {
-    constexpr double Touched = 10;
-    return manifestChangesPerSecond() * at("delta-bytes-by-manifest", Touched) +
+    constexpr double AffectedDatabases = 10;
+    return manifestChangesPerSecond() *
+               at("delta-bytes-by-manifest", AffectedDatabases) +
            smallChangesPerSecond() * at("delta-bytes-by-database", 1);
   }
 
--- a/Utilities/Capacity/TargetSize.h
+++ b/Utilities/Capacity/TargetSize.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the measured slopes come to at the size that the product is built
-/// for, with the mechanisms of today and with those to come.
+/// Computes costs at the size that the product is built for from the measured
+/// slopes, for the current and for the planned mechanisms.
 
 #ifndef CORIANDERDYKE_UTILITIES_CAPACITY_TARGETSIZE_H
 #define CORIANDERDYKE_UTILITIES_CAPACITY_TARGETSIZE_H
@@ -9,7 +9,8 @@
 
 namespace corianderdyke {
 
-/// The size about two years off, as the users' first letter states it.
+/// The size and the budgets that the requirements state for about two years
+/// ahead.
 namespace target_size {
 constexpr double Nodes = 1400;
 constexpr double Databases = 2600;
@@ -25,16 +26,16 @@
 constexpr double KilobytesPerSecond = 3;
 } // namespace target_size
 
-/// One line of the page: a cost of a role and how it was worked out.
+/// One line of the page: a cost of a role and its formula.
 struct CapacityLine {
   std::string Role;
   std::string What;
   std::string Formula;
   std::string Unit;
-  double Budget = 0; ///< 0 where the letter sets none.
+  double Budget = 0; ///< 0 where the requirements set none.
   double Today = 0;
   double Planned = 0;
-  std::string Mechanism; ///< What the planned figure rests on.
+  std::string Mechanism; ///< Mechanism behind the planned figure.
 };
 
 std::vector<CapacityLine> capacityLines(const Slopes &Measured);
