--- a/Utilities/Sanitizers/DefaultOptions.cpp
+++ b/Utilities/Sanitizers/DefaultOptions.cpp
@@ -1,13 +1,13 @@
 /// \file
-/// Options of the address sanitizer for a program that runs where system calls
-/// are intercepted.
+/// Default options of the address sanitizer for runs in which system calls are
+/// intercepted.
 
-/// Called by the sanitizer's runtime, which also gives the function its name.
+/// Called by the runtime of the sanitizer, which prescribes the name.
 extern "C" const char *__asan_default_options();  // NOLINT
 extern "C" const char *__asan_default_options() { // NOLINT
-  // Without leak detection, which traces the process, and without a signal
-  // stack, which the interception doesn't expect. The quarantine is small so
-  // that many processes fit one machine.
+  // Leak detection is off because it traces the process. The signal stack is
+  // off because the interception does not support it. The quarantine is small
+  // so that one machine can run many processes.
   return "detect_leaks=0:use_sigaltstack=0:allow_user_segv_handler=0:"
          "quarantine_size_mb=16";
 }
--- a/Utilities/bench.sh
+++ b/Utilities/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures a proxy on loopback against the direct path to its target: three
-# control hosts, two proxies and three stand-in targets that answer at once.
+# Compares a proxy on loopback with the direct path to its target, with three
+# control hosts, two proxies and three stand-in targets that answer immediately.
 # Prints CSV; takes about half a minute.
 #
 # Usage: Utilities/bench.sh BUILD_FOLDER [OPTIONS OF bench-proxy]
--- a/Utilities/check-docs.sh
+++ b/Utilities/check-docs.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Checks what the pages say against the program: relative links lead
-# somewhere, tables are those of the program, commands exist with the options
-# that are shown, example files parse, and tests that are named exist. Prints every fault; exits 1 if
-# there is one.
+# Checks the documentation against the program: targets of relative links exist,
+# tables match those of the program, commands and their options exist, example
+# files parse, and named tests exist. Prints every error; exits 1 if there is
+# one.
 #
 # Usage: Utilities/check-docs.sh BUILD_FOLDER
 set -euo pipefail
@@ -12,8 +12,8 @@
 tests=$build/Tests/corianderdyke-tests
 cd "$(dirname "$0")/.."
 pages=$(find README.md Help docs -name '*.md')
-faults=$(mktemp)
-trap 'rm -f "$faults"' EXIT
+errors=$(mktemp)
+trap 'rm -f "$errors"' EXIT
 
 check_links() { # page
   { grep -oE '\]\([^)#]+' "$1" || true; } | sed 's/^](//' | while read -r link; do
@@ -22,18 +22,18 @@
   done
 }
 
-# Every line of the program's table stands on the page, and no other row.
+# The table on the page must be identical to that of the program.
 check_table() { # page, name of the catalogue
   diff <("$program" catalogue "$2") <(grep '^|' "$1") >/dev/null ||
-    echo "$1: its table isn't that of 'corianderdyke catalogue $2'"
+    echo "$1: its table differs from the output of 'corianderdyke catalogue $2'"
 }
 
-# A command stands in code: between backticks or on an indented line.
+# Commands are code: between backticks or on an indented line.
 check_commands() { # page
   { grep -oE '(`|^    (\$ )?)corianderdyke [a-z]+( [a-z]+)?[^`]*' "$1" ||
       true; } | sed -E 's/^[` $]+//' | sort -u | while read -r _ first second rest; do
     help=$("$program" "$first" --help 2>/dev/null)
-    # For a word that it doesn't know, the program shows its own help.
+    # The program prints its general help for an unknown command.
     grep -q "^Usage: corianderdyke $first" <<<"$help" || {
       echo "$1: no such command: corianderdyke $first"
       continue
@@ -52,7 +52,7 @@
   done
 }
 
-# Each test that a page of proofs names is one of the test program's.
+# Each test named on the page must exist in the test program.
 check_test_names() { # page
   # The program's exit code is the number of tests.
   names=$("$tests" --list-test-names-only || true)
@@ -77,7 +77,7 @@
     [ "$(basename "$file")" = manifest.toml ] && option=(--manifest)
     "$program" check "${option[@]}" "$file" 2>&1 >/dev/null || true
   done
-} >"$faults"
+} >"$errors"
 
-cat "$faults"
-[ ! -s "$faults" ]
+cat "$errors"
+[ ! -s "$errors" ]
--- a/Utilities/check-specification.sh
+++ b/Utilities/check-specification.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Checks the models in Specification/ with spin: each as it stands, which must
-# pass, and once with each safeguard taken out, which spin must refute.
+# Checks the models in Specification/ with spin: each model unchanged, which
+# must pass, and once without each safeguard, which spin must refute.
 set -euo pipefail
 here=$(cd "$(dirname "$0")/.." && pwd)
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 cd "$folder"
 
-# Prints the number of errors and of states, as found by an exhaustive search.
+# Searches all states; prints the number of errors and the number of states.
 search() {
   local model=$1
   shift
--- a/Utilities/fuzz.sh
+++ b/Utilities/fuzz.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Builds the fuzz targets with clang and runs each for some seconds from its
-# kept corpus. New inputs stay in build/fuzz; an input that fails is printed
-# with its path. Inputs worth keeping go into Tests/Fuzz/Corpus by hand.
+# Builds the fuzz targets with clang and runs each for some seconds, starting
+# from its corpus. New inputs are stored in build/fuzz; the path of a failing
+# input is printed. Useful inputs are copied to Tests/Fuzz/Corpus manually.
 #
 # Usage: Utilities/fuzz.sh [SECONDS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seconds=${1:-5}
-# A decoder that allocates what a hostile length asks for fails here.
+# The limit detects decoders that allocate memory by an unchecked length field.
 memory_mb=1024
 longest_input=4096
 
--- a/Utilities/install-dependencies.sh
+++ b/Utilities/install-dependencies.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what a Debian 12 machine lacks to build and test the project.
+# Installs the missing packages to build and test the project on Debian 12.
 set -euo pipefail
 
 packages=(build-essential cmake ninja-build ccache pkg-config git
--- a/Utilities/lint.sh
+++ b/Utilities/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks the format and the rules of the linter. Needs the build folder of
-# the ci preset for the compile commands.
+# Checks the format and runs the linter. Requires the build folder of the ci
+# preset for the compile commands.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 git ls-files '*.h' '*.cpp' | xargs clang-format --dry-run --Werror
--- a/Utilities/loopback.sh
+++ b/Utilities/loopback.sh
@@ -1,4 +1,4 @@
-# Functions that run a small system on loopback: three control hosts, two
+# Functions to run a small system on loopback: three control hosts, two
 # proxies and up to three targets of one database. Sourced by main-job.sh and
 # the golden sessions; `build` names the build folder.
 
@@ -9,7 +9,7 @@
 processes=()
 declare -A process_of
 domains=(kundzinsala daugavgriva sarkandaugava)
-patience=30 # Seconds after which a condition counts as never met.
+patience=30 # Timeout in seconds for each condition.
 export CORIANDERDYKE_OPERATOR_KEY="a key for operators on loopback"
 
 stop_processes() {
@@ -25,8 +25,8 @@
 }
 trap finish EXIT
 
-# What control hosts waited for: tells late timers and slow disks from elections
-# that collide.
+# Prints metrics of the control hosts that distinguish late timers and slow
+# disks from colliding elections.
 show_delays() {
   uptime
   for each in "${port[@]:3:3}"; do
@@ -48,7 +48,7 @@
 wait_for() {
   local until=$((SECONDS + patience))
   until "$@" >/dev/null 2>&1; do
-    [ $SECONDS -lt $until ] || fail "never met: $*"
+    [ $SECONDS -lt $until ] || fail "condition not met within $patience s: $*"
     sleep 0.02
   done
 }
@@ -134,7 +134,8 @@
   process_of[ledger-1-$number]=$!
 }
 
-# One after another, so that the first primary is always the first target.
+# Starts one target after another, so that the first primary is always the first
+# target.
 start_targets() { # more options
   start_target 1 "$@"
   wait_for in_audit "target-joined +ledger-1-1"
@@ -144,8 +145,8 @@
   wait_for all_settled
 }
 
-# Only a target that has caught up counts when the next primary is chosen: if
-# the primary died before, the group would rightly wait.
+# Only targets that have caught up are candidates for promotion. If the primary
+# failed earlier, the group would correctly wait for them.
 all_settled() {
   "$program" status "${control[@]}" --json |
     jq -e '[.groups[].targets[] | select(.settled)] | length == 3'
@@ -182,7 +183,7 @@
   "$program" manifest apply "$1" "${control[@]}" "${@:2}"
 }
 
-# A statement of the port's clerks, sent until it's done.
+# Sends a statement of the organisation port-clerks until it succeeds.
 statement() { # proxy, kind, more options
   "$caller" send --proxy "$1" --database bale-ledger-1 \
     --organisation port-clerks --kind "${@:2}"
--- a/Utilities/own-ends.sh
+++ b/Utilities/own-ends.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Lists the days of journal entries in which processes ended by themselves: such
-# an end breaks no rule, so a hunt doesn't say so. Prints each with its crash
-# report where the entry kept one; exits 1 if there is any.
+# Lists the days of journal entries in which processes exited unexpectedly. Such
+# an exit violates no rule of the bench, so the result of a run does not show
+# it. Prints each day with its crash report if the entry has one; exits 1 if
+# there is any.
 #
 # Usage: Utilities/own-ends.sh [ENTRY...]
-# Without entries: those that aren't committed yet.
+# Without arguments, uses the entries that are not committed yet.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 entries=("$@")
@@ -23,5 +24,5 @@
     grep -E 'ended by itself|CD108|"event":108' | cut -c1-1000 | sed 's/^/  /' ||
     true
 done
-echo "${#entries[@]} entries looked at"
+echo "${#entries[@]} entries checked"
 exit $found
--- a/Utilities/sanitized-copy.sh
+++ b/Utilities/sanitized-copy.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Makes a copy of the tree whose deploy file builds the program with the address
-# and undefined sanitizers linked in, so that a bench which preloads a library
-# can run it. A process takes about 80 MB then; processor time isn't
+# Copies the tree and changes its deploy file to link the address and undefined
+# behaviour sanitizers statically, so that a bench that preloads a library can
+# run the program. A process then uses about 80 MB; its processor time is not
 # comparable.
 #
 # Usage: Utilities/sanitized-copy.sh FOLDER
--- a/Utilities/soak.sh
+++ b/Utilities/soak.sh
@@ -1,22 +1,22 @@
 #!/usr/bin/env bash
-# Runs the soak: real processes under drawn faults, some seeds at a time. Keeps
-# the logs of each seed that fails and exits 1 if one does.
+# Runs the soak test: real processes with random faults, several seeds at a
+# time. Keeps the logs of each failing seed; exits 1 if a seed fails.
 #
 # Usage: Utilities/soak.sh BUILD_FOLDER FIRST_SEED SEEDS [SECONDS] [AT_A_TIME]
 #        [OPTION...]
-# Further options go to the soak, such as --series and --limits.
+# Further options are passed to the soak test, such as --series and --limits.
 set -euo pipefail
 build=$(realpath "${1:?the build folder is missing}")
 first=${2:?the first seed is missing}
-seeds=${3:?how many seeds}
+seeds=${3:?the number of seeds is missing}
 seconds=${4:-10}
 at_a_time=${5:-2}
 options=${*:6}
-kept=$build/soak
-mkdir -p "$kept"
+logs_folder=$build/soak
+mkdir -p "$logs_folder"
 
-one() { # seed
-  folder=$kept/$1
+run_seed() { # seed
+  folder=$logs_folder/$1
   rm -rf "$folder"
   mkdir -p "$folder"
   if "$build/Tests/corianderdyke-soak" --program "$build/Source/corianderdyke" \
@@ -30,7 +30,7 @@
     return 1
   fi
 }
-export -f one
-export build kept seconds options
+export -f run_seed
+export build logs_folder seconds options
 seq "$first" $((first + seeds - 1)) |
-  xargs -P "$at_a_time" -I{} bash -c 'one {}'
+  xargs -P "$at_a_time" -I{} bash -c 'run_seed {}'
--- a/Utilities/test.sh
+++ b/Utilities/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds with warnings as errors and passes the
-# tests, then once more under the address and undefined sanitizers.
+# Installs missing packages, builds with warnings as errors and runs the tests,
+# then does the same with the address and undefined behaviour sanitizers.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Utilities/install-dependencies.sh
--- a/Utilities/try.sh
+++ b/Utilities/try.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds the program and runs the main job.
+# Installs missing packages, builds the program and runs the main use case.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Utilities/install-dependencies.sh
