--- a/Specification/Failover.pml
+++ b/Specification/Failover.pml
@@ -3,14 +3,14 @@
  *
  * Bounds: 3 targets, 2 copies, 2 readings; 1 proxy with callers on the side of
  * the former primary; 2 writes; terms 1 to 3, thus 2 failovers; 1 target that
- * may come back without its log. Messages are steps: any step that waits may
- * be overtaken by any other, which covers loss, delay and freezing. Time is
- * the single event "the lease ran out", which may come at any moment but is
- * known to control only after it came (LeaseRegistry counts it out later than
- * LeaseHolder, by the drift bound).
+ * may restart without its log. Messages are steps: any other step may run
+ * before a pending one, which covers loss, delay and frozen processes. Time is
+ * the single event that the lease expires, which may happen at any moment;
+ * control hosts learn of it only afterwards (in LeaseRegistry the lease expires
+ * later than in LeaseHolder, by the drift bound).
  *
- * Each of these macros takes one safeguard out; spin has to refute the model
- * then: NO_LEASE, NO_IN_FORCE, NO_COPIES, NO_READINGS, NO_LOG_TERM,
+ * Each of these macros removes one safeguard; spin must then refute the model:
+ * NO_LEASE, NO_IN_FORCE, NO_COPIES, NO_READINGS, NO_LOG_TERM,
  * NO_SETTLED.
  *
  * Checked: a write that was acknowledged is in the log of every primary of a
@@ -25,11 +25,11 @@
 #define LastTerm 3
 #define None 9
 
-byte Term = 1;        /* Of the group, by control. */
-byte Primary = 0;     /* Target that holds it; None while fencing. */
+byte Term = 1;        /* Of the group, in the control state. */
+byte Primary = 0;     /* Primary in that term; None while fencing. */
 byte Promoted = 1;    /* Latest term that has had a primary. */
-byte Obeyed[Targets] = 1;    /* Term that each target obeys. */
-bool Joined[Targets] = true; /* Follows, or is primary, in that term. */
+byte TargetTerm[Targets] = 1;    /* Latest term accepted by each target. */
+bool Joined[Targets] = true; /* Is follower or primary in that term. */
 bool Leads[Targets];         /* Is primary in that term. */
 
 /* A log is a set of writes in the order of their numbers. */
@@ -37,16 +37,16 @@
 byte LogTerm[Targets];
 byte Length[Targets];
 bool Settled[Targets] = true;
-bool Read[Targets];   /* Told its position after obeying the fence. */
+bool Read[Targets];   /* Reported its position after accepting the fence. */
 bool Lost;            /* Some target has lost its log. */
 
 byte NextWrite = 0;
-byte Pending = None;  /* Write that waits for its copies. */
+byte Pending = None;  /* Write that waits for copies. */
 byte WriteTerm[Writes];
 bool Acknowledged[Writes];
 
 bool LeaseHeld = true;
-byte ProxyTerm = 1;   /* By the view that the proxy has applied. */
+byte ProxyTerm = 1;   /* In the view that the proxy has applied. */
 byte ProxyPrimary = 0;
 
 /* Used within one step only. */
@@ -92,7 +92,7 @@
 #define IsBehind(L, R) (LogTerm[L] < LogTerm[R] || (LogTerm[L] == LogTerm[R] && Length[L] < Length[R]))
 #endif
 
-/* Length and term of the last entry follow from what the log holds. */
+/* Computes the length and the term of the last entry from the log. */
 inline recount(T) {
   Length[T] = 0; LogTerm[T] = 0; I = 0;
   do
@@ -116,7 +116,8 @@
   recount(To)
 }
 
-/* Drops what the primary's log hasn't, as an order to follow does. */
+/* Removes entries that the log of the primary lacks, as TargetOrderKind::Follow
+ * does. */
 inline truncate(From, To) {
   I = 0;
   do
@@ -126,19 +127,19 @@
   recount(To)
 }
 
-#define CanPull(From) (From != Self && Leads[From] && Joined[Self] && Obeyed[Self] == Obeyed[From] && Length[Self] < Length[From])
+#define CanPull(From) (From != Self && Leads[From] && Joined[Self] && TargetTerm[Self] == TargetTerm[From] && Length[Self] < Length[From])
 
 proctype Proxy() {
 end:
   do
   /* StatementService::send: a write reaches the primary the proxy knows. */
-  :: d_step { Pending == None && NextWrite < Writes && MayAct && ProxyPrimary != None && Leads[ProxyPrimary] && Obeyed[ProxyPrimary] == ProxyTerm ->
+  :: d_step { Pending == None && NextWrite < Writes && MayAct && ProxyPrimary != None && Leads[ProxyPrimary] && TargetTerm[ProxyPrimary] == ProxyTerm ->
        Pending = NextWrite;
        NextWrite++;
        WriteTerm[Pending] = ProxyTerm;
        At(ProxyPrimary, Pending) = true;
        recount(ProxyPrimary) }
-  /* DurabilityGate::durability, then StatementService::settleWrite. */
+  /* DurabilityGate::durability, then StatementService::finishWrite. */
   :: d_step { Pending != None && MayAct && WriteTerm[Pending] == ProxyTerm ->
        Count = 0; I = 0;
        do
@@ -152,13 +153,13 @@
           Pending = None
        :: else -> skip
        fi }
-  /* The caller learns "unknown": the deadline, or the term has ended. */
+  /* The caller receives "unknown" after the deadline or the end of the term. */
   :: d_step { Pending != None -> Pending = None }
-  /* ProxyNode::adopt. */
+  /* ProxyNode::applyView. */
   :: d_step { ProxyTerm != Term || ProxyPrimary != Primary ->
        ProxyTerm = Term; ProxyPrimary = Primary }
-  /* LeaseHolder::isHeld becomes false; a grant makes it true again, but only
-   * with the revision that it requires. */
+  /* LeaseHolder::isHeld becomes false. A grant makes it true again once the
+   * required revision is applied. */
   :: d_step { LeaseHeld -> LeaseHeld = false }
   :: d_step { !LeaseHeld && ProxyTerm == Term -> LeaseHeld = true }
   od
@@ -167,23 +168,24 @@
 proctype Target(byte Self) {
 end:
   do
-  /* Replication. A former primary that has heard of no later term goes on
-   * copying to those that haven't either. */
+  /* Replication. A former primary that has received no later term still
+   * replicates to targets that have received none either. */
   :: d_step { CanPull(0) -> replicate(0, Self) }
   :: d_step { CanPull(1) -> replicate(1, Self) }
   :: d_step { CanPull(2) -> replicate(2, Self) }
-  /* TargetOrder::Fence, answered by FailoverCoordinator::answered. */
+  /* TargetOrderKind::Fence; FailoverCoordinator::recordAnswer. */
   :: d_step { Primary == None && !Read[Self] ->
-       Obeyed[Self] = Term; Joined[Self] = false; Leads[Self] = false;
+       TargetTerm[Self] = Term; Joined[Self] = false; Leads[Self] = false;
        Read[Self] = true }
-  /* TargetOrder::Follow: what the term's log hasn't is dropped. */
-  :: d_step { Primary != None && Self != Primary && !(Joined[Self] && Obeyed[Self] == Term) ->
-       Obeyed[Self] = Term; Joined[Self] = true; Leads[Self] = false;
+  /* TargetOrderKind::Follow: entries that the log of the term lacks are
+   * removed. */
+  :: d_step { Primary != None && Self != Primary && !(Joined[Self] && TargetTerm[Self] == Term) ->
+       TargetTerm[Self] = Term; Joined[Self] = true; Leads[Self] = false;
        truncate(Primary, Self) }
-  /* FailoverCoordinator::settleJoining proposes SettleTarget. */
-  :: d_step { Primary != None && !Settled[Self] && Joined[Self] && Obeyed[Self] == Term && Length[Self] == Length[Primary] ->
+  /* FailoverCoordinator::confirmCaughtUpTargets proposes SettleTarget. */
+  :: d_step { Primary != None && !Settled[Self] && Joined[Self] && TargetTerm[Self] == Term && Length[Self] == Length[Primary] ->
        Settled[Self] = true }
-  /* It comes back without its log, under another LogId. */
+  /* The target restarts without its log, with another LogId. */
   :: d_step { !Lost && !Leads[Self] && Self != Primary ->
        Lost = true;
        I = 0;
@@ -192,7 +194,7 @@
        :: else -> break
        od;
        recount(Self);
-       Read[Self] = false; Joined[Self] = false; Obeyed[Self] = 0;
+       Read[Self] = false; Joined[Self] = false; TargetTerm[Self] = 0;
        Settled[Self] = KeptSettled }
   od
 }
@@ -235,7 +237,7 @@
           :: else -> break
           od;
           Primary = Best; Promoted = Term;
-          Obeyed[Best] = Term; Joined[Best] = true; Leads[Best] = true
+          TargetTerm[Best] = Term; Joined[Best] = true; Leads[Best] = true
        :: else -> skip
        fi }
   od
--- a/Specification/Keys.pml
+++ b/Specification/Keys.pml
@@ -1,16 +1,16 @@
-/* At most once: one statement with an idempotency key, tried through two
- * proxies while primaries change.
+/* At-most-once execution: one statement with an idempotency key is sent through
+ * two proxies while primaries change.
  *
- * What must hold: the log of the primary never has the statement twice.
+ * Invariant: the log of the primary never contains the statement twice.
  *
  * Bounds: 3 targets, 2 readings, 2 proxies, 3 tries, 3 terms. A log is the
- * number of times that it has the statement; a term's followers copy it in
- * one step. An answer may be lost at any time, so every try may be another's
- * repetition.
+ * number of times that it contains the statement; followers copy it in one
+ * step. An answer may be lost at any time, so every try may repeat an earlier
+ * one.
  *
- * Safeguards, each of which a macro takes out:
- *   NO_KEY_IN_LOG     the proxy remembers keys, and the target doesn't
- *   KEY_AFTER_WRITE   the target keeps the key in a step after the write
+ * Each macro removes one safeguard:
+ *   NO_KEY_IN_LOG     the proxy remembers keys, and the target does not
+ *   KEY_AFTER_WRITE   the target stores the key in a step after the write
  */
 
 #define TARGETS 3
@@ -18,10 +18,10 @@
 #define TRIES 3
 #define TERMS 3
 
-byte log[TARGETS];   /* how often the statement stands in it */
-bool key[TARGETS];   /* the target knows the key */
+byte log[TARGETS];   /* number of times that it contains the statement */
+bool key[TARGETS];   /* the target has stored the key */
 bool known[PROXIES]; /* the proxy has sent it before */
-bool late[TARGETS];  /* a key that is yet to be kept */
+bool unstored[TARGETS]; /* a key that is not stored yet */
 byte primary = 0;
 byte term = 1;
 byte tries = 0;
@@ -29,7 +29,7 @@
 inline write_once(t) {
   log[t]++;
 #ifdef KEY_AFTER_WRITE
-  late[t] = true;
+  unstored[t] = true;
 #else
   key[t] = true;
 #endif
@@ -52,10 +52,10 @@
 inline copy(from, to) {
   log[to] = log[from];
   key[to] = key[from];
-  late[to] = false
+  unstored[to] = false
 }
 
-/* Of two readings the longer log wins; the rest follow later. */
+/* Promotes the target with the longer of two logs; the others copy it later. */
 inline promote(a, b) {
   if
   :: log[a] >= log[b] -> primary = a
@@ -66,8 +66,8 @@
 
 #define CHECK assert(log[primary] <= 1)
 
-inline keep(t) {
-  late[t] = false;
+inline store_key(t) {
+  unstored[t] = false;
   key[t] = true
 }
 
@@ -75,9 +75,9 @@
   do
   :: atomic { tries < TRIES -> tries++; try_through(0); CHECK }
   :: atomic { tries < TRIES -> tries++; try_through(1); CHECK }
-  :: atomic { late[0] -> keep(0) }
-  :: atomic { late[1] -> keep(1) }
-  :: atomic { late[2] -> keep(2) }
+  :: atomic { unstored[0] -> store_key(0) }
+  :: atomic { unstored[1] -> store_key(1) }
+  :: atomic { unstored[2] -> store_key(2) }
   :: atomic { primary != 0 -> copy(primary, 0) }
   :: atomic { primary != 1 -> copy(primary, 1) }
   :: atomic { primary != 2 -> copy(primary, 2) }
--- a/Specification/Manifest.pml
+++ b/Specification/Manifest.pml
@@ -1,14 +1,14 @@
-/* Adoption of a manifest: a control host that was cut off for long, proxies
- * that restart, and "in force" as operators are told it.
+/* Adoption of a manifest, with a control host that is partitioned for a long
+ * time, proxies that restart, and the "in force" status reported to operators.
  *
- * Bounds: 3 control hosts, 2 proxies, 3 versions, 3 leaderships. The agreement
- * itself is one step: an entry is committed when the leader and one more host
- * have it. A host that isn't told of a later leadership goes on believing that
- * it leads, for any time. Grants and views may be late by any time; leases end
- * at any moment, known to control only after it came.
+ * Bounds: 3 control hosts, 2 proxies, 3 versions, 3 leaderships. Consensus is
+ * one step: an entry is committed when the leader and one more host have it. A
+ * host that has received no message of a later leader may act as leader for any
+ * time. Grants and views may be delayed for any time. A lease may end at any
+ * moment; control hosts learn of the end only afterwards.
  *
- * Each of these macros takes one safeguard out; spin has to refute the model
- * then: NO_QUORUM_READ, NO_REQUIRED_REVISION, NO_MONOTONE, NO_WAIT_OUT,
+ * Each of these macros removes one safeguard; spin must then refute the model:
+ * NO_QUORUM_READ, NO_REQUIRED_REVISION, NO_MONOTONE, NO_WAIT_OUT,
  * NO_UP_TO_DATE_VOTE.
  *
  * Checked: once a version is in force no proxy serves by an earlier one, and
@@ -21,7 +21,7 @@
 #define LastTerm 3
 
 byte Accepted = 1;   /* Latest committed version. */
-byte InForce = 1;    /* Latest version that operators were told is in force. */
+byte InForce = 1;    /* Latest version reported to operators as in force. */
 byte MaxTerm = 1;
 byte HostTerm[Hosts] = 1;
 bool Leads[Hosts];
@@ -29,7 +29,7 @@
 
 byte Applied[Proxies] = 1;
 bool Held[Proxies];  /* A lease whose revision is applied. */
-byte Grant[Proxies]; /* Required version of a grant under way; 0: none. */
+byte Grant[Proxies]; /* Required version of a pending grant; 0: none. */
 byte Granter[Proxies];
 
 hidden byte I;
@@ -65,7 +65,7 @@
 #define MayVote(H, K) (Known[H] >= Known[K])
 #endif
 
-/* Consensus::receive of votes: H is elected by itself and K. */
+/* Consensus::receive of votes: H is elected by H and K. */
 inline elect(H, K) {
   MaxTerm++;
   HostTerm[H] = MaxTerm; HostTerm[K] = MaxTerm;
@@ -89,8 +89,8 @@
   Grant[P] = Known[H]; Granter[P] = H
 }
 
-/* LeaseRegistry::isInForce, asked by OperatorService through the quorum. */
-inline tellInForce(H) {
+/* LeaseRegistry::isInForce, called by OperatorService after a quorum read. */
+inline reportInForce(H) {
   Reached = true; I = 0;
   do
   :: I < Proxies ->
@@ -120,22 +120,22 @@
   :: d_step { Leads[Self] && HostTerm[Other(2)] <= HostTerm[Self] && Known[Other(2)] < Known[Self] -> learn(Self, Other(2)) }
   :: d_step { Leads[Self] && (Confirms(Self, Other(1)) || Confirms(Self, Other(2))) && Grant[0] == 0 -> grant(Self, 0) }
   :: d_step { Leads[Self] && (Confirms(Self, Other(1)) || Confirms(Self, Other(2))) && Grant[1] == 0 -> grant(Self, 1) }
-  :: d_step { Leads[Self] && (HostTerm[Other(1)] <= HostTerm[Self] || HostTerm[Other(2)] <= HostTerm[Self]) -> tellInForce(Self) }
+  :: d_step { Leads[Self] && (HostTerm[Other(1)] <= HostTerm[Self] || HostTerm[Other(2)] <= HostTerm[Self]) -> reportInForce(Self) }
   od
 }
 
 proctype Proxy(byte Self) {
 end:
   do
-  /* ProxyNode::adopt, from any host, also one that was cut off. */
+  /* ProxyNode::applyView, from any host, including a partitioned one. */
   :: d_step { MayAdopt(Self, 0) -> Applied[Self] = Known[0] }
   :: d_step { MayAdopt(Self, 1) -> Applied[Self] = Known[1] }
   :: d_step { MayAdopt(Self, 2) -> Applied[Self] = Known[2] }
-  /* LeaseHolder::grant and apply. */
+  /* LeaseHolder::applyGrant and LeaseHolder::applyRevision. */
   :: d_step { Grant[Self] > 0 && Reaches(Self) -> Held[Self] = true; Grant[Self] = 0 }
   :: d_step { Held[Self] -> Held[Self] = false }
   :: d_step { Grant[Self] > 0 -> Grant[Self] = 0 }
-  /* A new life knows no version and holds no lease. */
+  /* A new incarnation has no version and no lease. */
   :: d_step { Applied[Self] > 0 -> Applied[Self] = 0; Held[Self] = false; Grant[Self] = 0 }
   /* StatementService: a caller is served. */
   :: d_step { Held[Self] -> assert(Applied[Self] >= InForce) }
