--- a/Utilities/Bench/BenchMain.cpp
+++ b/Utilities/Bench/BenchMain.cpp
@@ -181,7 +181,7 @@
   const Millis Span(Seconds * 1000);
   EventLoop Loop;
   ClosedLoop Direct(Loop, TargetAt, true);
-  ClosedLoop Through(Loop, ProxyAt, false);
+  ClosedLoop Proxied(Loop, ProxyAt, false);
   constexpr double Median = 0.5;
   constexpr double Tail = 0.99;
   std::cout << "path,callers,per_second,p50_us,p99_us,proxy_cores\n";
@@ -199,11 +199,11 @@
               << Used / Elapsed << "\n";
   };
   Measure("direct", Direct, 1);
-  Measure("proxy", Through, 1);
+  Measure("proxy", Proxied, 1);
   Measure("direct", Direct, Callers);
-  Measure("proxy", Through, Callers);
+  Measure("proxy", Proxied, Callers);
   std::cout << "bytes_per_idle_connection,"
             << bytesPerConnection(Loop, ProxyAt, Process, Idle) << "\n"
-            << "failures," << Direct.failures() + Through.failures() << "\n";
-  return Direct.failures() + Through.failures() == 0 ? 0 : 1;
+            << "failures," << Direct.failures() + Proxied.failures() << "\n";
+  return Direct.failures() + Proxied.failures() == 0 ? 0 : 1;
 }
--- a/Utilities/Capacity/StatementMeasurement.cpp
+++ b/Utilities/Capacity/StatementMeasurement.cpp
@@ -114,7 +114,7 @@
   double micros() const { return Micros; }
 
 private:
-  void ask(HttpConnection &By) {
+  void ask(HttpConnection &Connection) {
     HttpRequest Request;
     Request.Method = HttpMethod::Post;
     Request.Path = Path;
@@ -123,11 +123,12 @@
                        {caller_header::Kind, "kind-0"}};
     Request.Body = "get bale";
     constexpr Millis Timeout(5000);
-    By.request(std::move(Request), Timeout,
-               [this, &By](const Expected<HttpResponse> &Answer) {
-                 Answered += Answer && Answer->Status == 200 ? 1U : 0U;
-                 ask(By);
-               });
+    Connection.request(
+        std::move(Request), Timeout,
+        [this, &Connection](const Expected<HttpResponse> &Answer) {
+          Answered += Answer && Answer->Status == 200 ? 1U : 0U;
+          ask(Connection);
+        });
   }
 
   std::string Path;
--- a/Utilities/Experiment/Experiment.cpp
+++ b/Utilities/Experiment/Experiment.cpp
@@ -210,19 +210,19 @@
     if (Each->Answered)
       return;
     Each->Answered = true;
-    const Micros Took = Time.now() - Each->Intended;
+    const Micros Latency = Time.now() - Each->Intended;
     if (IsServed) {
       if (!Counts)
         return;
       ++Results.Served;
       if (Time.now() < Spec.Length)
         ++Results.ServedMeanwhile;
-      Results.ServedAfter.push_back(Took);
+      Results.ServedAfter.push_back(Latency);
       ++Results.Timeline[Time.now() / Tenth];
       return;
     }
     if (Counts) {
-      Results.RefusedAfter.push_back(Took);
+      Results.RefusedAfter.push_back(Latency);
       Results.RetryDelays.push_back(RetryAfter.count() * 1000);
     }
     if (Each->Retries >= Spec.MaxRetries) {
@@ -241,9 +241,9 @@
   /// home of the database if there are homes.
   void routeRequest(const StatementPtr &Each) {
     const std::uint32_t Count = static_cast<std::uint32_t>(Proxies.size());
-    const std::uint32_t Open =
+    const std::uint32_t EntryProxies =
         Each->Source->Proxies == 0 ? Count : Each->Source->Proxies;
-    std::uint32_t At = static_cast<std::uint32_t>(Random() % Open);
+    std::uint32_t At = static_cast<std::uint32_t>(Random() % EntryProxies);
     for (std::uint32_t Step = 0; Step < Count && !isServing(At); ++Step)
       At = (At + 1) % Count;
     if (homes() == 0 || isHome(At, Each->Database)) {
--- a/Utilities/Experiment/Experiment.h
+++ b/Utilities/Experiment/Experiment.h
@@ -2,8 +2,8 @@
 /// Runs a scenario: an open-loop load, the modules under test, and a model of
 /// the targets' capacity.
 
-#ifndef CORIANDERDYKE_TESTS_EXPERIMENT_EXPERIMENT_H
-#define CORIANDERDYKE_TESTS_EXPERIMENT_EXPERIMENT_H
+#ifndef CORIANDERDYKE_UTILITIES_EXPERIMENT_EXPERIMENT_H
+#define CORIANDERDYKE_UTILITIES_EXPERIMENT_EXPERIMENT_H
 
 #include "Scenario.h"
 
--- a/Utilities/Experiment/FailoverGap.cpp
+++ b/Utilities/Experiment/FailoverGap.cpp
@@ -61,12 +61,12 @@
 
 using Parts = std::array<std::int64_t, PartCount>;
 
-std::string manifestOf(const Deployment &Of) {
+std::string manifestOf(const Deployment &Sizes) {
   std::string Out = "version = 1\n[[organisation]]\nname = \"port-clerks\"\n";
   for (int Index = 1; Index <= 3; ++Index)
-    Out += "[[database]]\nname = \"" + std::string(Of.Databases) +
+    Out += "[[database]]\nname = \"" + std::string(Sizes.Databases) +
            std::to_string(Index) +
-           "\"\nconnections_per_target = " + std::to_string(Of.Connections) +
+           "\"\nconnections_per_target = " + std::to_string(Sizes.Connections) +
            "\n";
   return Out + "[[kind]]\nname = \"handover\"\naccess = \"write\"\n"
                "repeatable = false\n";
@@ -75,47 +75,50 @@
 /// One failover of one cluster.
 class Run {
 public:
-  Run(const Deployment &Of, std::uint64_t Seed)
-      : Database(std::string(Of.Databases) + "1"),
+  Run(const Deployment &Sizes, std::uint64_t Seed)
+      : Database(std::string(Sizes.Databases) + "1"),
         Cluster(Seed, ControlHosts, Proxies), Random(Seed) {
-    Cluster.Net.LeastLatency = Cluster.Net.MostLatency = Of.Between;
-    Cluster.Net.ClientLatency["caller"] = Of.ToCallers;
+    Cluster.Net.LeastLatency = Cluster.Net.MostLatency = Sizes.Between;
+    Cluster.Net.ClientLatency["caller"] = Sizes.ToCallers;
     Cluster.TargetOptions.Connections =
-        static_cast<std::size_t>(Of.Connections);
-    Cluster.startAndAwaitWritable(manifestOf(Of));
+        static_cast<std::size_t>(Sizes.Connections);
+    Cluster.startAndAwaitWritable(manifestOf(Sizes));
   }
 
   std::optional<Parts> measure(const std::string &Fault) {
     const Millis WarmUp(std::uniform_int_distribution<int>(500, 1000)(Random));
     const Millis FaultAt = Cluster.Loop.now() + WarmUp;
-    Old = primaryOf(Cluster, Database);
+    FormerPrimary = primaryOf(Cluster, Database);
     while (Cluster.Loop.now() < FaultAt)
       advance();
     injectFault(Fault);
     const Millis End = Cluster.Loop.now() + RunTimeout;
-    while (!FirstNew && Cluster.Loop.now() < End) {
+    while (!FirstNewSuccess && Cluster.Loop.now() < End) {
       advance();
       recordPhases();
     }
-    if (!FirstNew || !Suspected || !Fenced || !Revoked || !Promoted)
+    if (!FirstNewSuccess || !Suspected || !Fenced || !Revoked || !Promoted)
       return std::nullopt;
     const auto Between = [](Millis From, Millis To) {
       return (To - From).count();
     };
-    return Parts{Between(LastOld, *Suspected),  Between(*Suspected, *Fenced),
-                 Between(*Fenced, *Revoked),    Between(*Revoked, *Promoted),
-                 Between(*Promoted, *FirstNew), Between(LastOld, *FirstNew)};
+    return Parts{Between(LastFormerSuccess, *Suspected),
+                 Between(*Suspected, *Fenced),
+                 Between(*Fenced, *Revoked),
+                 Between(*Revoked, *Promoted),
+                 Between(*Promoted, *FirstNewSuccess),
+                 Between(LastFormerSuccess, *FirstNewSuccess)};
   }
 
 private:
   void injectFault(const std::string &Fault) {
     if (Fault == "kill")
-      Cluster.kill(Old);
+      Cluster.kill(FormerPrimary);
     if (Fault == "freeze")
-      Cluster.Hosts[Old]->freeze();
+      Cluster.Hosts[FormerPrimary]->freeze();
     if (Fault == "cut")
       for (const auto &[Name, Host] : Cluster.Hosts)
-        Cluster.Net.cutBoth(Name, Old);
+        Cluster.Net.cutBoth(Name, FormerPrimary);
   }
 
   void advance() {
@@ -130,10 +133,10 @@
     Cluster.Loop.runFor(Step);
     std::erase_if(Pending, [this](const std::shared_ptr<CallerResponse> &Each) {
       if (Each->Arrived && Each->Outcome == "done") {
-        if (Each->Target == Old)
-          LastOld = Cluster.Loop.now();
-        else if (!FirstNew)
-          FirstNew = Cluster.Loop.now();
+        if (Each->Target == FormerPrimary)
+          LastFormerSuccess = Cluster.Loop.now();
+        else if (!FirstNewSuccess)
+          FirstNewSuccess = Cluster.Loop.now();
       }
       return Each->Arrived;
     });
@@ -146,12 +149,12 @@
     const Millis Now = Cluster.Loop.now();
     const ClusterView &View = Leader->appliedState().view();
     const GroupRecord &Group = *View.group(Database);
-    const bool Ended = Group.Primary != Old;
+    const bool IsReplaced = Group.Primary != FormerPrimary;
     if (!Suspected &&
-        (Ended || isSuspected(Old, Leader->leases(),
-                              View.CurrentManifest->Failover, Now)))
+        (IsReplaced || isSuspected(FormerPrimary, Leader->leases(),
+                                   View.CurrentManifest->Failover, Now)))
       Suspected = Now;
-    if (!Fenced && Ended) {
+    if (!Fenced && IsReplaced) {
       Fenced = Now;
       FenceRevision = View.Revision;
     }
@@ -165,42 +168,42 @@
   std::string Database;
   FakeCluster Cluster;
   std::mt19937_64 Random;
-  std::string Old;
+  std::string FormerPrimary;
   std::deque<std::shared_ptr<CallerResponse>> Pending;
   std::size_t Sent = 0;
   Millis NextSend;
-  Millis LastOld;
+  Millis LastFormerSuccess;
   std::uint64_t FenceRevision = 0;
   std::optional<Millis> Suspected;
   std::optional<Millis> Fenced;
   std::optional<Millis> Revoked;
   std::optional<Millis> Promoted;
-  std::optional<Millis> FirstNew;
+  std::optional<Millis> FirstNewSuccess;
 };
 
 /// Returns the quantile \p Share of the values.
-std::int64_t quantile(std::vector<std::int64_t> Of, double Share) {
-  std::sort(Of.begin(), Of.end());
+std::int64_t quantile(std::vector<std::int64_t> Values, double Share) {
+  std::sort(Values.begin(), Values.end());
   const auto Index =
-      static_cast<std::size_t>(Share * static_cast<double>(Of.size() - 1));
-  return Of[Index];
+      static_cast<std::size_t>(Share * static_cast<double>(Values.size() - 1));
+  return Values[Index];
 }
 
-void printRow(const Deployment &Of, const std::string &Fault,
-              const std::vector<Parts> &All, int Failed) {
-  std::cout << std::left << std::setw(10) << Of.Name << std::setw(8) << Fault
+void printRow(const Deployment &Sizes, const std::string &Fault,
+              const std::vector<Parts> &Runs, int Failed) {
+  std::cout << std::left << std::setw(10) << Sizes.Name << std::setw(8) << Fault
             << std::right;
   for (std::size_t Each = 0; Each < PartCount; ++Each) {
     std::vector<std::int64_t> Values;
-    Values.reserve(All.size());
-    for (const Parts &One : All)
-      Values.push_back(One[Each]);
+    Values.reserve(Runs.size());
+    for (const Parts &Sample : Runs)
+      Values.push_back(Sample[Each]);
     std::cout << std::setw(7) << quantile(Values, 0.5);
     if (Each == Gap)
       std::cout << std::setw(7) << quantile(Values, 0.99) << std::setw(7)
                 << quantile(Values, 1);
   }
-  std::cout << std::setw(7) << All.size() << std::setw(7) << Failed << "\n";
+  std::cout << std::setw(7) << Runs.size() << std::setw(7) << Failed << "\n";
 }
 
 } // namespace
@@ -224,27 +227,27 @@
                "in ms; runs; runs without an end.\n"
             << "deployment fault  detect  fence revoke promot notice    gap"
                "    p99  worst   runs failed\n";
-  for (const Deployment &Of : Deployments)
+  for (const Deployment &Sizes : Deployments)
     for (const std::string Fault : Faults) {
-      std::vector<Parts> All;
+      std::vector<Parts> Runs;
       int Failed = 0;
       for (int Seed = 1; Seed <= Seeds; ++Seed) {
         const auto Result =
-            Run(Of, static_cast<std::uint64_t>(Seed)).measure(Fault);
+            Run(Sizes, static_cast<std::uint64_t>(Seed)).measure(Fault);
         if (!Result) {
           ++Failed;
           continue;
         }
-        All.push_back(*Result);
-        Lines << Of.Name << "," << Fault << "," << Seed;
+        Runs.push_back(*Result);
+        Lines << Sizes.Name << "," << Fault << "," << Seed;
         for (const std::int64_t Each : *Result)
           Lines << "," << Each;
         Lines << "\n";
       }
-      if (!All.empty())
-        printRow(Of, Fault, All, Failed);
+      if (!Runs.empty())
+        printRow(Sizes, Fault, Runs, Failed);
       else
-        std::cout << Of.Name << " " << Fault << ": no run ended\n";
+        std::cout << Sizes.Name << " " << Fault << ": no run ended\n";
     }
   return 0;
 }
--- a/Utilities/Experiment/ModelProxy.h
+++ b/Utilities/Experiment/ModelProxy.h
@@ -2,8 +2,8 @@
 /// Model of a proxy: connects the modules under test to modelled callers and
 /// targets.
 
-#ifndef CORIANDERDYKE_TESTS_EXPERIMENT_MODELPROXY_H
-#define CORIANDERDYKE_TESTS_EXPERIMENT_MODELPROXY_H
+#ifndef CORIANDERDYKE_UTILITIES_EXPERIMENT_MODELPROXY_H
+#define CORIANDERDYKE_UTILITIES_EXPERIMENT_MODELPROXY_H
 
 #include "Admission/AdmissionController.h"
 #include "Admission/Concurrency.h"
--- a/Utilities/Experiment/ModelTarget.h
+++ b/Utilities/Experiment/ModelTarget.h
@@ -2,8 +2,8 @@
 /// Model of a target: its slots, its connections and the cost of opening a
 /// connection.
 
-#ifndef CORIANDERDYKE_TESTS_EXPERIMENT_MODELTARGET_H
-#define CORIANDERDYKE_TESTS_EXPERIMENT_MODELTARGET_H
+#ifndef CORIANDERDYKE_UTILITIES_EXPERIMENT_MODELTARGET_H
+#define CORIANDERDYKE_UTILITIES_EXPERIMENT_MODELTARGET_H
 
 #include "EventQueue.h"
 
--- a/Utilities/Experiment/ReplicaShare.cpp
+++ b/Utilities/Experiment/ReplicaShare.cpp
@@ -90,7 +90,7 @@
 
   void print() const {
     const double Share = ratio(ByReplica, Completed);
-    const double Best = ratio(Possible, Reads);
+    const double Best = ratio(ReplicaPossible, Reads);
     std::printf("%-22s %6zu %6zu %8.3f %8.3f %8.3f %8.1f\n", Spec.Name, Reads,
                 Reads - Completed, Share, Best, Share / Best,
                 ratio(TotalLatencyMs, Completed));
@@ -101,7 +101,7 @@
     std::string Database;
     std::string Token;
     std::uint64_t Floor = 0;
-    std::shared_ptr<CallerResponse> Open;
+    std::shared_ptr<CallerResponse> Pending;
     bool Writes = false;
     Millis AskedAt;
   };
@@ -129,16 +129,17 @@
           Each->position() < Caller.Floor)
         continue;
       const auto &Times = WrittenAt[Caller.Database];
-      const bool Whole = Each->position() >= Times.size();
-      if (Whole || Cluster.Loop.now() - Times[Each->position()] <= AcceptedAge)
+      const bool IsUpToDate = Each->position() >= Times.size();
+      if (IsUpToDate ||
+          Cluster.Loop.now() - Times[Each->position()] <= AcceptedAge)
         return true;
     }
     return false;
   }
 
   void sendRequest() {
-    Session &Caller = All[draw(Sessions)];
-    if (Caller.Open)
+    Session &Caller = CallerSessions[draw(Sessions)];
+    if (Caller.Pending)
       return;
     if (Caller.Database.empty())
       Caller.Database = "ledger-" + std::to_string(1 + draw(3));
@@ -155,16 +156,16 @@
       Request.Kind = "within-" + std::to_string(Age);
       Request.Body = "get a";
       ++Reads;
-      Possible += canReplicaServe(Caller, Millis(Age)) ? 1 : 0;
+      ReplicaPossible += canReplicaServe(Caller, Millis(Age)) ? 1 : 0;
     }
-    Caller.Open = Cluster.send(Proxy, Request);
+    Caller.Pending = Cluster.send(Proxy, Request);
   }
 
   void collectResponses() {
-    for (Session &Each : All) {
-      if (!Each.Open || !Each.Open->Arrived)
+    for (Session &Each : CallerSessions) {
+      if (!Each.Pending || !Each.Pending->Arrived)
         continue;
-      const CallerResponse Response = *std::exchange(Each.Open, nullptr);
+      const CallerResponse Response = *std::exchange(Each.Pending, nullptr);
       if (Response.Outcome != "done")
         continue;
       if (Each.Writes) {
@@ -181,18 +182,18 @@
     }
   }
 
-  static double ratio(std::size_t Part, std::size_t Whole) {
-    return static_cast<double>(Part) / static_cast<double>(Whole);
+  static double ratio(std::size_t Part, std::size_t Total) {
+    return static_cast<double>(Part) / static_cast<double>(Total);
   }
 
   const Scenario &Spec;
   FakeCluster Cluster;
   std::mt19937_64 Random;
-  std::vector<Session> All{Sessions};
+  std::vector<Session> CallerSessions{Sessions};
   std::map<std::string, std::vector<Millis>> WrittenAt;
   std::size_t NextKey = 0;
   std::size_t Reads = 0;
-  std::size_t Possible = 0;
+  std::size_t ReplicaPossible = 0;
   std::size_t Completed = 0;
   std::size_t ByReplica = 0;
   std::size_t TotalLatencyMs = 0; ///< Of completed reads.
--- a/Utilities/Experiment/Scenario.h
+++ b/Utilities/Experiment/Scenario.h
@@ -1,8 +1,8 @@
 /// \file
 /// Definition of an experiment: its targets, its loads and its faults.
 
-#ifndef CORIANDERDYKE_TESTS_EXPERIMENT_SCENARIO_H
-#define CORIANDERDYKE_TESTS_EXPERIMENT_SCENARIO_H
+#ifndef CORIANDERDYKE_UTILITIES_EXPERIMENT_SCENARIO_H
+#define CORIANDERDYKE_UTILITIES_EXPERIMENT_SCENARIO_H
 
 #include "Common/Finding.h"
 #include "Manifest/Manifest.h"
