--- a/Tests/Support/FailoverSupport.h
+++ b/Tests/Support/FailoverSupport.h
@@ -1,5 +1,5 @@
 /// \file
-/// Shorthands of the failover tests.
+/// Helper functions for the failover tests.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_FAILOVERSUPPORT_H
 #define CORIANDERDYKE_TESTS_SUPPORT_FAILOVERSUPPORT_H
@@ -23,7 +23,8 @@
   return Out;
 }
 
-/// Runs until another target than \p Old is primary.
+/// Runs until a target other than \p Old is a writable primary; false if none
+/// is within \p Timeout.
 inline bool awaitNewPrimary(FakeCluster &Cluster, const std::string &Old,
                             Millis Timeout = Millis(5000)) {
   return Cluster.Loop.runUntilTrue(
@@ -33,7 +34,8 @@
       Timeout);
 }
 
-/// Asks again, as callers are told to, while the answer is "not run".
+/// Sends \p Question and retries it while the outcome is "not-run", as the
+/// protocol asks of callers.
 inline CallerResponse sendWithRetries(FakeCluster &Cluster,
                                       const std::string &Proxy,
                                       const CallerRequest &Question,
@@ -47,7 +49,8 @@
   return Out;
 }
 
-/// Why the last action of a kind was taken; empty where there was none.
+/// Returns the reason of the last audit record with \p Action, or its new value
+/// if it has no reason; empty if there is no such record.
 inline std::string lastAuditReason(FakeCluster &Cluster,
                                    const std::string &Action) {
   std::string Out;
--- a/Tests/Support/FakeCluster.cpp
+++ b/Tests/Support/FakeCluster.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Control hosts, proxies and stand-in targets on the fakes.
+/// Implements a cluster of control hosts, proxies and stand-in targets on the
+/// simulated network.
 
 #include "FakeCluster.h"
 
@@ -32,8 +33,8 @@
 
 FakeCluster::~FakeCluster() {
   Loop.clear();
-  while (!Kept.empty())
-    Kept.pop_back();
+  while (!RetainedObjects.empty())
+    RetainedObjects.pop_back();
   Loop.clear();
 }
 
@@ -49,7 +50,7 @@
 
 FakeHost &FakeCluster::newHost(const std::string &Name) {
   auto Made = std::make_shared<FakeHost>(Loop, Name);
-  Kept.push_back(Made);
+  RetainedObjects.push_back(Made);
   Hosts[Name] = Made.get();
   return *Made;
 }
@@ -92,7 +93,7 @@
       NextNumber++);
   Controls[Name] = All->Node.get();
   All->Node->start();
-  Kept.push_back(All);
+  RetainedObjects.push_back(All);
 }
 
 void FakeCluster::startProxy(const std::string &Name) {
@@ -112,7 +113,7 @@
   Proxies[Name] = All->Node.get();
   Net.serve(Host, endpoint(Name, CallersPort), *All->Node);
   All->Node->start();
-  Kept.push_back(All);
+  RetainedObjects.push_back(All);
 }
 
 void FakeCluster::startTarget(const std::string &Name,
@@ -137,7 +138,7 @@
   Targets[Name] = All->Node.get();
   Net.serve(Host, Options.Address, *All->Node);
   All->Node->start();
-  Kept.push_back(All);
+  RetainedObjects.push_back(All);
 }
 
 void FakeCluster::kill(const std::string &Name) {
@@ -160,7 +161,7 @@
   if (!Parsed)
     throw std::runtime_error(refusalText(Parsed.error()));
   if (!Loop.runUntilTrue([this] { return leader() != nullptr; }, Millis(10000)))
-    throw std::runtime_error("no leader");
+    throw std::runtime_error("no control host became leader within 10 s");
   auto Done = std::make_shared<bool>(false);
   leader()->propose("test", ApplyManifest{*Parsed, Text},
                     [Done](const Expected<ApplyResult> &) { *Done = true; });
@@ -182,7 +183,7 @@
     return true;
   };
   if (!Loop.runUntilTrue(Ready, Millis(20000)))
-    throw std::runtime_error("the cluster didn't come up");
+    throw std::runtime_error("the cluster did not become ready within 20 s");
 }
 
 ControlNode *FakeCluster::leader() {
@@ -217,7 +218,7 @@
 std::shared_ptr<CallerResponse>
 FakeCluster::send(const std::string &Proxy, const CallerRequest &Question) {
   const auto Connection = connectTo(Proxy);
-  Kept.push_back(Connection);
+  RetainedObjects.push_back(Connection);
   return sendOver(*Connection, Question);
 }
 
--- a/Tests/Support/FakeCluster.h
+++ b/Tests/Support/FakeCluster.h
@@ -1,6 +1,7 @@
 /// \file
-/// Control hosts, proxies and stand-in targets on the fakes, wired as the
-/// processes are. Only wiring: what happens is the product's own code.
+/// A cluster of control hosts, proxies and stand-in targets on the simulated
+/// network, connected as the real processes are. It only connects them: all
+/// behaviour is that of the production code.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_FAKECLUSTER_H
 #define CORIANDERDYKE_TESTS_SUPPORT_FAKECLUSTER_H
@@ -13,7 +14,7 @@
 
 namespace corianderdyke {
 
-/// What a caller got.
+/// Response to a caller.
 struct CallerResponse {
   std::string Outcome;
   std::string Body;
@@ -23,69 +24,72 @@
   std::string Transaction;
   int Status = 0;
   Millis RetryAfter;
-  Millis At; ///< When it arrived.
+  Millis At; ///< Time of arrival.
   bool Arrived = false;
 
   bool operator==(const CallerResponse &) const = default;
 };
 
-/// What a caller asks.
+/// Request of a caller.
 struct CallerRequest {
   std::string Database = "bale-ledger-1";
   std::string Organisation = "port-clerks";
   std::string Kind = "handover";
-  std::string Key = {}; ///< A name for one; see idempotencyKey().
+  std::string Key = {}; ///< Passed to idempotencyKey().
   std::string Body = {};
   std::string Session = {};
   std::string Transaction = {};
   std::string Path = "/statement";
-  std::int64_t DeadlineMs = 0; ///< 0 leaves it to the kind.
+  std::int64_t DeadlineMs = 0; ///< 0 uses the deadline of the kind.
 };
 
 class FakeCluster {
 public:
   explicit FakeCluster(std::uint64_t Seed, std::size_t Controls = 3,
                        std::size_t Proxies = 2);
-  /// Destroys in the reverse order of making.
+  /// Destroys the objects in reverse order of their creation.
   ~FakeCluster();
   FakeCluster(const FakeCluster &) = delete;
   FakeCluster &operator=(const FakeCluster &) = delete;
 
-  /// Starts (again) a process with the disk that its name had before.
+  /// Starts or restarts a control host with the disk it had before, if any.
   void startControl(const std::string &Name);
   void startProxy(const std::string &Name);
   void startTarget(const std::string &Name, const std::string &Database);
-  /// Kills a process of any kind; unsynced bytes of its disk are gone.
+  /// Kills a process of any kind; its disk loses all unsynced bytes.
   void kill(const std::string &Name);
-  /// Loses a killed control host's disk.
+  /// Discards the disk of a killed control host.
   void loseDisk(const std::string &Name) { Disks.erase(Name); }
 
-  /// Three targets for each database of the manifest.
+  /// Starts the number of targets that the manifest sets for each database.
   void startTargets(const Manifest &For);
   void applyManifest(const std::string &Text);
-  /// Applies \p Text, starts the targets and waits until all can be written.
+  /// Applies \p Text, starts the targets and waits until all databases are
+  /// writable and all proxies are ready.
   void startAndAwaitWritable(const std::string &Text);
 
-  /// The leading control host; null where none leads.
+  /// Returns the leader of the control group; null if there is none.
   ControlNode *leader();
   const GroupRecord *group(const std::string &Database);
   bool isWritable(const std::string &Database);
 
-  /// Sends a statement to a proxy. The answer comes into the result later;
-  /// its Arrived tells.
+  /// Sends a statement to a proxy. The result is filled in later; its Arrived
+  /// is true from then on.
   std::shared_ptr<CallerResponse> send(const std::string &Proxy,
                                        const CallerRequest &Question);
-  /// Sends it and runs until the answer is there.
+  /// Sends a statement and runs until the answer arrives or \p Timeout has
+  /// passed.
   CallerResponse sendAndWait(const std::string &Proxy,
                              const CallerRequest &Question,
                              Millis Timeout = Millis(20000));
 
-  /// A caller's kept connection to a proxy; letting go of it hangs up.
+  /// Opens a persistent connection from a caller to a proxy. Destroying it
+  /// closes the connection.
   std::shared_ptr<HttpConnection> connectTo(const std::string &Proxy);
-  /// The key that a caller issues when it first uses a name for one; the same
-  /// for the same name from then on.
+  /// Returns the idempotency key for a name: issued at its first use and the
+  /// same afterwards. A name that is empty or a valid key is returned as it is.
   std::string idempotencyKey(const std::string &Name);
-  /// The same over a kept connection.
+  /// Sends a statement over a persistent connection.
   std::shared_ptr<CallerResponse> sendOver(HttpConnection &Connection,
                                            const CallerRequest &Question);
   CallerResponse sendOverAndWait(HttpConnection &Connection,
@@ -94,15 +98,15 @@
 
   FakeLoop Loop;
   FakeNetwork Net;
-  /// The latest process of each name.
+  /// The most recently started process of each name.
   std::map<std::string, FakeHost *> Hosts;
   std::map<std::string, ControlNode *> Controls;
   std::map<std::string, ProxyNode *> Proxies;
   std::map<std::string, StandInTarget *> Targets;
-  /// What targets are started with; change it before they start.
+  /// Options of targets that are started from now on.
   StandInOptions TargetOptions;
 
-  /// Every key of the cluster.
+  /// Used for the peer, session and target keys of the cluster.
   static constexpr const char *SharedKey = "a key for the cluster in memory";
 
   static constexpr const char *BaseManifest = R"(
@@ -130,9 +134,10 @@
   std::vector<std::string> ControlNames;
   std::vector<std::string> ProxyNames;
   std::map<std::string, std::shared_ptr<FakeDisk>> Disks;
-  /// All processes that ever ran, so that late events find their objects.
-  std::vector<std::shared_ptr<void>> Kept;
-  /// Addresses that were given out, by name.
+  /// All processes and connections ever created: pending events may still refer
+  /// to them.
+  std::vector<std::shared_ptr<void>> RetainedObjects;
+  /// Assigned address numbers, by host name.
   mutable std::map<std::string, std::size_t> Addresses;
   std::map<std::string, std::string> IssuedKeys;
   std::uint64_t NextNumber = 1;
--- a/Tests/Support/FakeControlGroup.cpp
+++ b/Tests/Support/FakeControlGroup.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Consensus objects on fake disks, and what must hold among them.
+/// Implements a group of consensus nodes on simulated disks and checks its
+/// invariants.
 
 #include "FakeControlGroup.h"
 
@@ -38,7 +39,7 @@
   crash(Old);
   loseDisk(Old);
   std::replace(Names.begin(), Names.end(), Old, New);
-  // The list that the settings are written from has followed.
+  // The seed list in the settings is updated as well.
   Seeds.clear();
   for (const std::string &Each : Names)
     if (Each != New && Seeds.size() < 3)
@@ -69,11 +70,12 @@
   Made->Records = std::make_unique<Journal>(*Disk);
   Made->Log = std::make_unique<ReplicatedLog>(*Made->Records);
   const auto Loaded = Made->Log->load("disk-" + std::to_string(NextDisk++));
-  // Power may go again while a start completes what the last one began.
+  // Power may fail again while this start completes an interrupted operation
+  // of the previous one.
   if (Disk->hasLostPower())
     return;
-  require(Loaded.has_value(),
-          Name + " doesn't start: " + (Loaded ? "" : Loaded.error().Message));
+  require(Loaded.has_value(), Name + " cannot load its log: " +
+                                  (Loaded ? "" : Loaded.error().Message));
   const bool IsOpen = Membership == MembershipMode::Open;
   ConsensusOptions Options{Name, IsOpen ? Seeds : Names};
   Options.Membership = Membership;
@@ -171,7 +173,7 @@
 void FakeControlGroup::step() {
   Now = Now + Step;
   deliver();
-  std::vector<std::string> Dead;
+  std::vector<std::string> FailedHosts;
   for (auto &[Name, Each] : Hosts) {
     if (Frozen.count(Name) != 0)
       continue;
@@ -179,15 +181,15 @@
       Each->Node->receive(Late, Now);
     Each->Node->tick(Now);
     collect(Name);
-    // A host whose disk refused a sync goes on and waits for it.
+    // A host whose disk refused a sync keeps running until the disk works.
     if (Each->Node->failure() &&
         (Each->Disk->hasLostPower() || Each->Disk->FailedSyncs == 0)) {
       require(Each->Disk->hasLostPower(),
               Name + " failed: " + Each->Node->failure()->Message);
-      Dead.push_back(Name);
+      FailedHosts.push_back(Name);
     }
   }
-  for (const std::string &Name : Dead)
+  for (const std::string &Name : FailedHosts)
     crash(Name, Random() % 40);
 }
 
@@ -228,7 +230,7 @@
     At.Applied = At.Log->snapshotIndex();
     At.State = *Out.RestoredState;
     require(States.count(At.Applied) != 0 && States[At.Applied] == At.State,
-            Name + " restored another state than was agreed on");
+            Name + " restored a state that differs from the committed one");
   }
   for (const Entry &Each : Out.Committed)
     apply(Name, At, Each);
@@ -253,7 +255,8 @@
 
 void FakeControlGroup::apply(const std::string &Name, Host &At,
                              const Entry &Each) {
-  require(Each.Index == At.Applied + 1, Name + " skips an entry");
+  require(Each.Index == At.Applied + 1,
+          Name + " applies an entry out of order");
   const auto Known = Committed.try_emplace(Each.Index, Each).first;
   require(Known->second == Each, "entry " + std::to_string(Each.Index) +
                                      " differs on " + Name +
--- a/Tests/Support/FakeControlGroup.h
+++ b/Tests/Support/FakeControlGroup.h
@@ -1,6 +1,6 @@
 /// \file
-/// Consensus objects on fake disks, with a bad network between them, and what
-/// must hold among them whatever happens.
+/// A group of consensus nodes on simulated disks with an unreliable network,
+/// and the invariants that must hold in every run.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_FAKECONTROLGROUP_H
 #define CORIANDERDYKE_TESTS_SUPPORT_FAKECONTROLGROUP_H
@@ -12,7 +12,7 @@
 
 namespace corianderdyke {
 
-/// Rates out of a thousand messages, and the longest delay of one.
+/// Message loss and duplication per thousand, and the maximum delay.
 struct MessageFaults {
   int Lost = 0;
   int Duplicated = 0;
@@ -21,48 +21,50 @@
 
 class FakeControlGroup {
 public:
-  /// In an open group the first three hosts are the seeds.
+  /// In MembershipMode::Open the first three hosts are the seeds.
   FakeControlGroup(std::uint64_t Seed, std::size_t Hosts,
                    MembershipMode Membership = MembershipMode::Listed);
 
-  /// Lets time pass in steps of some milliseconds and checks after each that
-  /// a term has one leader, that all hosts apply the same entries and that
-  /// confirmed reads are up to date. Throws with what was broken.
+  /// Advances time in steps of 5 ms and checks after each step that no term has
+  /// two leaders, that all hosts apply the same entries and that confirmed
+  /// reads are up to date. Throws std::runtime_error on a violation.
   void run(Millis Span);
-  /// Runs until the condition holds; false where it doesn't within \p Timeout.
+  /// Runs until \p Condition holds; false if it does not within \p Timeout.
   bool runUntil(const std::function<bool()> &Condition,
                 Millis Timeout = Millis(20000));
-  /// Entries with the same index and term must be the same on all hosts.
+  /// Throws std::runtime_error if entries with the same index and term differ
+  /// between hosts.
   void checkLogs() const;
 
-  /// Starts a host, with the disk that its name had before if any.
+  /// Starts a host with the disk it had before, if any.
   void start(const std::string &Name);
-  /// Ends a host; of its unsynced bytes \p Torn stay.
+  /// Stops a host; the first \p Torn unsynced bytes of each file survive.
   void crash(const std::string &Name, std::size_t Torn = 0);
   void loseDisk(const std::string &Name) { Disks.erase(Name); }
-  /// Ends a host for good and starts another, which knows the seeds alone.
+  /// Stops a host permanently and starts another one, which knows only the
+  /// seeds.
   void replace(const std::string &Old, const std::string &New);
-  /// Proposes through the leader and runs until it outlives the loss of so
-  /// many disks; the index, 0 where that doesn't come about.
+  /// Proposes \p Text through the leader and runs until the entry survives the
+  /// loss of \p LostDisks disks. Returns its index, 0 if that is not reached.
   std::uint64_t proposeDurably(const std::string &Text, std::size_t LostDisks);
 
-  /// The settled leader that the most hosts follow; null where there's none.
+  /// Returns the ready leader with the highest term; null if there is none.
   Consensus *leader();
   Consensus *host(const std::string &Name);
-  /// True once every running host has applied what the leader has committed,
-  /// and every seat belongs to a running disk.
+  /// True once every running host has applied all entries that the leader has
+  /// committed and every voter runs with the disk of its membership record.
   bool isSettled();
-  /// A line a host, for a test that fails.
+  /// Returns one line of state for each host, for failure messages.
   std::string describe();
-  /// Lets the state stand for the log on a host, as a long journal does.
+  /// Replaces the applied part of the log of a host by a snapshot.
   void compact(const std::string &Name);
-  /// Begins a read at a host that takes itself for the leader.
+  /// Begins a read at a host if it considers itself the leader.
   void read(const std::string &Name);
 
   std::vector<std::string> Names;
   std::map<std::string, std::shared_ptr<FakeDisk>> Disks;
   std::set<std::string> Frozen;
-  /// Ordered pairs of which the second hears nothing from the first.
+  /// Pairs (from, to) between which all messages are lost.
   std::set<std::pair<std::string, std::string>> Cuts;
   MessageFaults Faults;
   std::mt19937_64 Random;
@@ -78,7 +80,7 @@
     std::unique_ptr<Consensus> Node;
     std::uint64_t Applied = 0;
     std::string State;
-    /// Highest index committed anywhere when a read began, by ticket.
+    /// Highest index committed on any host when the read began, by ticket.
     std::map<std::uint64_t, std::uint64_t> Reads;
     std::vector<ConsensusMessage> WhileFrozen;
   };
@@ -95,11 +97,11 @@
   int chance() { return static_cast<int>(Random() % 1000); }
 
   MembershipMode Membership;
-  std::vector<std::string> Seeds; ///< Of an open group.
-  bool IsFounding = true;         ///< The hosts start for the first time.
+  std::vector<std::string> Seeds; ///< Used in MembershipMode::Open.
+  bool IsFounding = true;         ///< True during the first start.
   std::map<std::string, std::unique_ptr<Host>> Hosts;
   std::multimap<Millis, InFlight> Network;
-  /// What any host has applied, and the state after it, by index.
+  /// Entries applied by any host and the state after each, by index.
   std::map<std::uint64_t, Entry> Committed;
   std::map<std::uint64_t, std::string> States;
   std::map<std::uint64_t, Member> Leaders;
--- a/Tests/Support/FakeDisk.h
+++ b/Tests/Support/FakeDisk.h
@@ -1,5 +1,5 @@
 /// \file
-/// A disk in memory that forgets what wasn't synced when it crashes.
+/// A disk in memory that loses unsynced data in a crash.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_FAKEDISK_H
 #define CORIANDERDYKE_TESTS_SUPPORT_FAKEDISK_H
@@ -49,7 +49,7 @@
     return outcome(Lost);
   }
 
-  /// Two operations: power may go before the rename or right after it.
+  /// Counts as two operations: power may fail before or right after the rename.
   Expected<void> writeAtomically(const std::string &Name,
                                  const std::string &Bytes) override {
     if (losesPower())
@@ -59,7 +59,7 @@
     return outcome(Lost);
   }
 
-  /// Loses power: unsynced bytes are gone but for the first \p Torn.
+  /// Loses power: only the first \p Torn unsynced bytes of each file survive.
   void crash(std::size_t Torn = 0) {
     for (auto &[Name, Each] : Files)
       if (Each.Content.size() > Each.Synced + Torn)
@@ -67,13 +67,13 @@
     PowerLostAt = Never;
   }
 
-  /// Power goes at the \p Count-th operation from now; it and all later ones
-  /// fail until crash().
+  /// Power fails at the \p Count-th operation from now; that operation and all
+  /// later ones fail until crash().
   void losePowerAfter(std::size_t Count) {
     if (!hasLostPower())
       PowerLostAt = Operations + Count;
   }
-  /// Takes back a loss that hasn't come yet.
+  /// Cancels a power loss that has not happened yet.
   void cancelPowerLoss() {
     if (!hasLostPower())
       PowerLostAt = Never;
@@ -84,7 +84,7 @@
   std::string &content(const std::string &Name) { return Files[Name].Content; }
 
   bool FailSyncs = false;
-  /// Syncs that FailSyncs refused.
+  /// Number of syncs that failed because of FailSyncs.
   std::size_t FailedSyncs = 0;
 
 private:
--- a/Tests/Support/FakeFleet.h
+++ b/Tests/Support/FakeFleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// Control hosts, proxies and a group of targets where targets enforce their
-/// leadership, on a network in memory.
+/// Control hosts, proxies and a group of targets that enforce their leadership
+/// themselves, on a simulated network.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_FAKEFLEET_H
 #define CORIANDERDYKE_TESTS_SUPPORT_FAKEFLEET_H
@@ -18,15 +18,15 @@
 constexpr std::uint16_t PeerPort = 7000;
 constexpr std::uint16_t RelayPort = 7001;
 
-/// Targets as control meets them: their positions, and who leads.
+/// Targets as the control hosts see them: their positions and the primary.
 class FakeTargets final : public TargetCommandPort, public PromotionPort {
 public:
   struct Target {
     bool IsUp = true;
     bool IsBusy = false;
     bool IsReplicating = true;
-    bool RefusesConnections = false; ///< Nothing listens there any more.
-    bool IsCutFromControl = false;   ///< But its heartbeats come through.
+    bool RefusesConnections = false; ///< No process listens.
+    bool IsCutFromControl = false;   ///< Heartbeats still arrive.
     bool IsPrimary = false;
     LogPosition Received{1, 10};
     std::uint64_t BornAt = 1000;
@@ -101,8 +101,8 @@
   std::unique_ptr<ControlClient> Feed;
 };
 
-/// Five control hosts, some proxies, one group of three targets whose
-/// heartbeats go to whoever leads.
+/// Five control hosts by default, some proxies and one group of three targets,
+/// which send heartbeats to the leader.
 class FakeFleet {
 public:
   explicit FakeFleet(std::uint64_t Seed, std::size_t Proxies = 3,
@@ -202,22 +202,23 @@
         Millis(10000));
   }
 
-  /// Targets speak to the leader as they do on their own, every second.
+  /// Sends one heartbeat from each running target to the leader, as targets do
+  /// every second.
   void sendHeartbeats() {
     ++Sequence;
     for (const auto &[Id, Each] : Targets.Targets) {
       if (!Each.IsUp || leader() == nullptr)
         continue;
-      TargetRecord Said;
-      Said.Id = Id;
-      Said.Group = "ledger";
-      Said.Address = {Id, 5000};
-      Said.FailureDomain = "here";
-      Said.Incarnation = Each.BornAt;
-      Said.Sequence = Sequence;
-      Said.IsPrimary = Each.IsPrimary;
-      Said.IsLeaving = Leaving.count(Id) != 0;
-      leader()->applyHeartbeat(Said, [](const Expected<void> &) {});
+      TargetRecord Record;
+      Record.Id = Id;
+      Record.Group = "ledger";
+      Record.Address = {Id, 5000};
+      Record.FailureDomain = "here";
+      Record.Incarnation = Each.BornAt;
+      Record.Sequence = Sequence;
+      Record.IsPrimary = Each.IsPrimary;
+      Record.IsLeaving = Leaving.count(Id) != 0;
+      leader()->applyHeartbeat(Record, [](const Expected<void> &) {});
     }
   }
 
@@ -248,7 +249,7 @@
     return true;
   }
 
-  /// What proxies see of a target.
+  /// Makes the first \p Count proxies report \p Target as unreachable.
   void reportFailure(const std::string &Target, std::size_t Count) {
     for (auto &[Name, Each] : Proxies)
       if (Count-- > 0)
@@ -267,7 +268,7 @@
   std::vector<ControlHostParts> KilledControls;
   std::vector<ProxyParts> KilledProxies;
   std::map<std::string, ProxyParts> Proxies;
-  /// Lengths of the lists that each proxy was told.
+  /// Lengths of the proxy lists that each proxy received, by name.
   std::map<std::string, std::vector<std::size_t>> ProxyLists;
   std::set<std::string> Leaving;
   std::uint64_t Sequence = 0;
--- a/Tests/Support/FakeGroup.cpp
+++ b/Tests/Support/FakeGroup.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A group of targets in memory that enforce their leadership themselves.
+/// Implements the simulated group of targets.
 
 #include "FakeGroup.h"
 
@@ -27,7 +27,7 @@
 
 } // namespace
 
-/// A connection: the target's side of the session lives here too.
+/// A connection, including the session state at the target.
 class FakeGroup::Link final : public TargetLink {
 public:
   Link(FakeGroup &Owner, const TargetAddress &To, Events Handlers)
@@ -52,7 +52,7 @@
   }
 
   const std::string &target() const { return Name; }
-  /// The target is gone or has dropped the connection.
+  /// Handles the loss of the target or of the connection.
   void drop() {
     leave();
     later(Owner.Latency, [this] { end(std::nullopt); });
@@ -118,9 +118,9 @@
     const bool IsCallers = !Command.Id.empty();
     if (IsCallers && server().ConnectionsToMute > 0) {
       --server().ConnectionsToMute;
-      IsDeaf = true;
+      IsMuted = true;
     }
-    if (IsDeaf)
+    if (IsMuted)
       return;
     if (IsCallers && server().AnswersToDrop > 0) {
       --server().AnswersToDrop;
@@ -130,7 +130,7 @@
       --server().AnswersToCut;
       return drop();
     }
-    // Answers stay in order.
+    // Answers keep their order.
     const Millis Now = Owner.Loop.now();
     AnswerAt =
         std::max(AnswerAt, Now + (IsCallers ? Owner.ExecutionTime : Millis(0)));
@@ -233,7 +233,7 @@
   std::uint64_t Number;
   bool IsOpen = false;
   bool IsEnded = false;
-  bool IsDeaf = false; ///< Its answers are lost from now on.
+  bool IsMuted = false; ///< All further answers are lost.
   bool InTransaction = false;
   bool Plain = false;
   bool HasFailed = false;
@@ -333,7 +333,7 @@
   const bool Arrived = Loop.runUntilTrue(
       [&] { return On.Caller->Answers.size() > Before; }, Millis(5000));
   if (!Arrived)
-    throw std::runtime_error("a statement was never answered");
+    throw std::runtime_error("a statement was not answered in time");
   return On.Caller->last();
 }
 
--- a/Tests/Support/FakeGroup.h
+++ b/Tests/Support/FakeGroup.h
@@ -1,11 +1,11 @@
 /// \file
-/// A group of targets in memory that enforce their leadership themselves, and
-/// callers that record what they got.
+/// A simulated group of targets that enforce their leadership themselves, and
+/// callers that record their answers.
 ///
-/// Only what the product relies on is modelled: positions, terms, sessions'
-/// values and prepared names, transactions, refusals, and answers that are
-/// lost or cut off. Every run is written down, so that a test can say what a
-/// caller's success stands for.
+/// It models only the behaviour that the production code relies on: positions,
+/// terms, session values and prepared names, transactions, refusals, and
+/// answers that are lost or cut off. Every execution is recorded, so that a
+/// test can compare a reported success with the executions behind it.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_FAKEGROUP_H
 #define CORIANDERDYKE_TESTS_SUPPORT_FAKEGROUP_H
@@ -18,17 +18,17 @@
 
 namespace corianderdyke {
 
-/// One statement as a target ran it.
+/// Record of one statement that a target executed.
 struct FakeExecution {
   std::string Id;
   std::string Target;
   std::string Text;         ///< With the shape in place of a prepared name.
-  std::string Organisation; ///< As the target was told on opening.
+  std::string Organisation; ///< As sent when the connection opened.
   SessionValues Values;
   std::uint64_t Connection = 0;
   bool InTransaction = false;
   bool IsWrite = false;
-  LogPosition At; ///< Where the target's log stood.
+  LogPosition At; ///< Position of the target log.
   Millis When;
 };
 
@@ -37,17 +37,17 @@
   struct Server {
     bool IsPrimary = false;
     bool IsUp = true;
-    bool IsUnresponsive = false; ///< Takes everything and answers nothing.
-    bool IsBusy = false;         ///< Refuses statements as busy.
-    bool IsReplicating = true;   ///< Gets what its primary commits.
-    std::size_t ConnectionsToMute = 0; ///< Runs so many more and tells nobody.
-    std::size_t AnswersToDrop = 0;     ///< Leaves so many out and goes on.
-    std::size_t BeginsToRefuse = 0;    ///< Opens so many transactions fewer.
-    std::size_t AnswersToCut = 0;      ///< Closes in place of so many answers.
+    bool IsUnresponsive = false;       ///< Accepts input without answering.
+    bool IsBusy = false;               ///< Refuses statements as busy.
+    bool IsReplicating = true;         ///< Receives the commits of its primary.
+    std::size_t ConnectionsToMute = 0; ///< Executes, then never answers again.
+    std::size_t AnswersToDrop = 0;     ///< Answers lost on an open connection.
+    std::size_t BeginsToRefuse = 0;    ///< Number of transactions not opened.
+    std::size_t AnswersToCut = 0;      ///< Connections closed before answering.
     std::size_t MaxConnections = 16;
     LogPosition Log{1, 1};
     std::size_t OpenConnections = 0;
-    std::size_t ConnectionAttempts = 0; ///< That it took or refused.
+    std::size_t ConnectionAttempts = 0; ///< Accepted and refused.
     std::uint64_t BornAt = 1000;
   };
 
@@ -56,18 +56,18 @@
   std::unique_ptr<TargetLink> open(const TargetAddress &To,
                                    TargetLink::Events Events) override;
 
-  /// The platform's part of a change of primary: from now on \p Name leads
-  /// with what it has, and nobody else.
+  /// Makes \p Name the only primary, with the log that it has, as the platform
+  /// does in a failover.
   void promote(const std::string &Name);
-  /// What targets would say of themselves.
+  /// Returns the directory that the targets would report.
   TargetDirectory directory() const;
-  /// The run of a caller's statement; null where it never ran.
+  /// Returns an execution of a statement; null if it was never executed.
   const FakeExecution *run(const std::string &Id) const;
   std::size_t runs(const std::string &Id) const;
 
   std::map<std::string, Server> Servers;
   std::vector<FakeExecution> Runs;
-  /// Ids of writes that are in a log for good, with their position.
+  /// Positions of committed writes, by statement id.
   std::map<std::string, LogPosition> Committed;
   Millis Latency = Millis(1);
   Millis ExecutionTime = Millis(3);
@@ -77,7 +77,7 @@
   friend class Link;
 
   FakeLoop &Loop;
-  std::uint64_t Changes = 1; ///< Of the primary.
+  std::uint64_t Changes = 1; ///< Number of changes of primary plus 1.
   std::uint64_t NextConnection = 1;
   std::set<Link *> Links;
 };
@@ -100,7 +100,7 @@
   std::vector<StatementAnswer> Answers;
 };
 
-/// One proxy's pipeline before a group, and callers to go with it.
+/// The session pipeline of one proxy in front of a group, and its callers.
 class FakePipeline {
 public:
   FakePipeline(FakeLoop &Loop, FakeGroup &Group);
@@ -111,16 +111,18 @@
   };
 
   Session connect(const std::string &Database, const std::string &Key = "");
-  /// Sends a statement; its answer comes as time passes.
+  /// Sends a statement; the answer arrives when the loop runs.
   void send(const Session &On, StatementKind Kind, const std::string &Id = "",
             const std::string &Text = "");
-  /// Sends it and runs until it's answered; fails the test where it isn't.
+  /// Sends a statement and runs until it is answered; throws
+  /// std::runtime_error if it is not.
   StatementAnswer ask(const Session &On, StatementKind Kind,
                       const std::string &Id = "", const std::string &Text = "");
   StatementAnswer ask(const Session &On, Statement What);
-  /// Lets the pipeline know what targets say of themselves now.
+  /// Updates the target directory of the pipeline from the current target
+  /// state.
   void updateDirectory();
-  /// The same from somebody who still takes \p Primary for the primary.
+  /// Applies a stale directory that still has \p Primary as the primary.
   void updateDirectoryWithStalePrimary(const std::string &Primary);
 
   FakeLoop &Loop;
@@ -130,12 +132,12 @@
   SessionPipeline Pipeline;
 };
 
-/// A plan with one route of each kind to one group: "primary", "bounded" and
-/// "own".
+/// Returns a plan with one route of each kind to one group: "primary",
+/// "bounded" and "own".
 RoutePlan planOfThreeRoutes(std::uint64_t Version = 1);
 
-/// The same with organisations, each with one key: the name and "-key". Proxies
-/// get it without the keys.
+/// Returns the same plan with organisations, each with one key: its name and
+/// "-key". Proxies receive the plan without the keys.
 RoutePlan planOfOrganisations(std::uint64_t Version,
                               const std::vector<std::string> &Names);
 
--- a/Tests/Support/FakeLoop.h
+++ b/Tests/Support/FakeLoop.h
@@ -1,6 +1,6 @@
 /// \file
-/// Virtual time for tests: a scheduler that runs only when told to, and hosts
-/// on it that can be frozen or killed and whose clocks can run wrong.
+/// Virtual time for tests: a scheduler that the test advances, and hosts that
+/// can be frozen or killed and whose clocks can drift.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_FAKELOOP_H
 #define CORIANDERDYKE_TESTS_SUPPORT_FAKELOOP_H
@@ -18,7 +18,7 @@
 
 namespace corianderdyke {
 
-/// Runs actions in the order of their times, then of their making.
+/// Runs actions in order of time, then of scheduling.
 class FakeLoop {
 public:
   using Id = std::pair<Millis, std::uint64_t>;
@@ -33,13 +33,14 @@
 
   void cancel(const Id &Key) { Actions.erase(Key); }
 
-  /// Drops what is still to run, while what it refers to is there.
+  /// Drops all pending actions. To be called while the objects that they refer
+  /// to still exist.
   void clear() {
     const auto Dropped = std::exchange(Actions, {});
     (void)Dropped;
   }
 
-  /// Runs everything up to and at \p Until.
+  /// Runs all actions due at or before \p Until.
   void runUntil(Millis Until) {
     while (!Actions.empty() && Actions.begin()->first.first <= Until)
       runNext();
@@ -48,7 +49,7 @@
 
   void runFor(Millis Span) { runUntil(Time + Span); }
 
-  /// Runs until the condition holds; false where it didn't within \p Timeout.
+  /// Runs until \p Condition holds; false if it does not within \p Timeout.
   bool runUntilTrue(const std::function<bool()> &Condition, Millis Timeout) {
     const Millis Last = Time + Timeout;
     while (!Condition()) {
@@ -71,9 +72,9 @@
   std::map<Id, std::function<void()>> Actions;
 };
 
-/// Time that a process loses at readings of its clock, the same for a seed: of
-/// \p Among readings about one takes 30 ms, and one in twenty a millisecond.
-/// Copies draw from one sequence.
+/// Returns a generator of the time that a process loses at each clock reading,
+/// deterministic for a seed: about one of \p Among readings takes 30 ms, and
+/// one in twenty takes 1 ms. Copies share one sequence.
 inline std::function<Millis()> randomPauses(std::uint64_t Seed,
                                             std::uint64_t Among) {
   return [Random = std::make_shared<std::mt19937_64>(Seed), Among] {
@@ -82,8 +83,8 @@
   };
 }
 
-/// One host: its clock and its timers. A frozen host runs nothing until it's
-/// thawed, and its clock goes on meanwhile, as CLOCK_BOOTTIME does.
+/// Clock and timers of one host. A frozen host runs nothing until it is thawed;
+/// its clock advances meanwhile, as CLOCK_BOOTTIME does.
 class FakeHost final : public Clock, public Scheduler {
 public:
   FakeHost(FakeLoop &Loop, std::string Name)
@@ -118,9 +119,10 @@
     Timers.erase(Found);
   }
 
-  /// Runs an action as this host: now, after the thaw, or never.
+  /// Runs an action on this host: immediately, after the thaw if it is frozen,
+  /// or not at all if it was killed.
   void run(const std::function<void()> &Action) {
-    if (Dead)
+    if (IsDead)
       return;
     if (Frozen)
       Delayed.push_back(Action);
@@ -134,25 +136,26 @@
     for (const auto &Each : std::exchange(Delayed, {}))
       run(Each);
   }
-  /// Ends the process for good; its successor is another FakeHost.
+  /// Ends the process permanently; a restart is another FakeHost.
   void kill() {
-    Dead = true;
+    IsDead = true;
     for (const auto &[Id, Key] : Timers)
       Loop.cancel(Key);
     Timers.clear();
     Delayed.clear();
-    for (const auto &Each : std::exchange(AtDeath, {}))
+    for (const auto &Each : std::exchange(KillHandlers, {}))
       Each();
   }
-  /// Runs an action when the process dies, such as closing its sockets.
+  /// Registers an action for when the process is killed, such as closing its
+  /// sockets.
   void onKill(std::function<void()> Action) {
-    AtDeath.push_back(std::move(Action));
+    KillHandlers.push_back(std::move(Action));
   }
-  bool isKilled() const { return Dead; }
+  bool isKilled() const { return IsDead; }
   bool isFrozen() const { return Frozen; }
 
-  /// How much time passes at each reading of the clock: a process may lose the
-  /// processor between any two. Empty: none.
+  /// Returns the time that passes at a clock reading: a process may be
+  /// preempted between any two. No time passes if it is empty.
   std::function<Millis()> OnClockRead;
   std::int64_t DriftPpm = 0;
   Millis WallOffset = Millis(1700000000000);
@@ -161,12 +164,12 @@
   FakeLoop &Loop;
   std::string Name;
   bool Frozen = false;
-  bool Dead = false;
-  mutable Millis Passed; ///< At readings.
+  bool IsDead = false;
+  mutable Millis Passed; ///< In clock readings, in total.
   TimerId NextId = 1;
   std::map<TimerId, FakeLoop::Id> Timers;
   std::vector<std::function<void()>> Delayed;
-  std::vector<std::function<void()>> AtDeath;
+  std::vector<std::function<void()>> KillHandlers;
 };
 
 } // namespace corianderdyke
--- a/Tests/Support/FakeNetwork.cpp
+++ b/Tests/Support/FakeNetwork.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A network in memory.
+/// Implements the simulated network.
 
 #include "FakeNetwork.h"
 
@@ -35,12 +35,12 @@
   Endpoint At;
 };
 
-/// One request under way. Whoever of the two ends first settles it.
+/// One request in flight. The first of answer, timeout and close completes it.
 struct FakeNetwork::Call {
   HttpConnection::Handler OnAnswer;
   FakeHost *Client = nullptr;
   FakeLoop::Id Timeout;
-  /// What the server wants to know should the client leave.
+  /// Notifies the server if the client disconnects.
   std::function<void()> HangUp;
 
   void finish(Expected<HttpResponse> Answer) {
@@ -61,7 +61,7 @@
   ~Connection() override { *Closed ? void() : close(); }
 
   void request(HttpRequest Request, Millis Timeout, Handler OnAnswer) override {
-    // A process's death closes its connections; its kernel sees to that.
+    // The kernel closes the connections of a killed process.
     if (!std::exchange(Used, true))
       Client.onKill([this, Gone = Closed] { *Gone ? void() : close(); });
     Request.Peer = Peer;
@@ -80,7 +80,7 @@
   }
 
 private:
-  /// Tells the server, as the end of a TCP connection does.
+  /// Notifies the server, as the end of a TCP connection does.
   void close() {
     *Closed = true;
     if (Current)
@@ -98,7 +98,7 @@
     });
   }
 
-  /// The way back; an answer is lost where the way is cut by then.
+  /// The path of the answer; the answer is lost if the path is cut by then.
   struct Exchange final : HttpExchange {
     FakeNetwork *Wire = nullptr;
     FakeHost *Server = nullptr;
@@ -124,7 +124,7 @@
     const auto Found = Wire.Services.find(At);
     const bool Listens =
         Found != Wire.Services.end() && !Found->second.Host->isKilled();
-    // A dead process's kernel still answers, with a refusal.
+    // The kernel of a killed process still refuses connections.
     if (!Listens) {
       const bool Lost = Found != Wire.Services.end() &&
                         Wire.isCut(From.name(), Found->second.Host->name());
@@ -142,12 +142,12 @@
     Back->Each = Each;
     Server.Host->run(
         [Server, Request, Back] { Server.Handler->handle(Request, Back); });
-    // The death of the server closes its connections.
-    watchForDeath(Wire, Server.Host, Each);
+    // Killing the server closes its connections.
+    resetWhenKilled(Wire, Server.Host, Each);
   }
 
-  static void watchForDeath(FakeNetwork &Wire, FakeHost *Server,
-                            const std::shared_ptr<Call> &Each) {
+  static void resetWhenKilled(FakeNetwork &Wire, FakeHost *Server,
+                              const std::shared_ptr<Call> &Each) {
     constexpr Millis Step(1);
     if (!Each->OnAnswer)
       return;
@@ -156,8 +156,9 @@
       return;
     }
     FakeNetwork *Held = &Wire;
-    Wire.Loop.at(Wire.Loop.now() + Step,
-                 [Held, Server, Each] { watchForDeath(*Held, Server, Each); });
+    Wire.Loop.at(Wire.Loop.now() + Step, [Held, Server, Each] {
+      resetWhenKilled(*Held, Server, Each);
+    });
   }
 
   FakeNetwork &Net;
@@ -220,7 +221,7 @@
     if (Found == Receivers.end() || isCut(Sender, Found->second.Host->name()))
       return;
     Found->second.Host->run([this, To, Bytes] {
-      // Through the real codec, so that tests meet its faults too.
+      // The real codec is used, so that tests cover its faults as well.
       const auto Opened = verifyAndDecode(Bytes, Key);
       const auto Again = Receivers.find(To);
       if (Opened && Again != Receivers.end())
--- a/Tests/Support/FakeNetwork.h
+++ b/Tests/Support/FakeNetwork.h
@@ -1,6 +1,6 @@
 /// \file
-/// A network in memory: messages between processes and HTTP, with latency,
-/// loss and cuts, all drawn from one seed.
+/// A simulated network for peer messages and HTTP, with latency, loss and
+/// partitions. All randomness comes from one seed.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_FAKENETWORK_H
 #define CORIANDERDYKE_TESTS_SUPPORT_FAKENETWORK_H
@@ -19,16 +19,17 @@
 public:
   FakeNetwork(FakeLoop &Loop, std::uint64_t Seed) : Loop(Loop), Random(Seed) {}
 
-  /// A host's end for messages. It stays good after the host's death.
+  /// Creates a peer message transport for a host. It remains valid after the
+  /// host is killed.
   std::unique_ptr<Transport> attach(FakeHost &Host, const Endpoint &At);
-  /// A host's way to HTTP services.
+  /// Creates an HTTP client for a host.
   std::unique_ptr<HttpConnector> connector(FakeHost &Host);
-  /// Puts a service on a host's port, in place of any before.
+  /// Binds a service to an endpoint of a host and replaces any earlier one.
   void serve(FakeHost &Host, const Endpoint &At, HttpService &Service);
-  /// Nothing listens there any more: connections are refused.
+  /// Stops listening: connections to \p At are refused.
   void close(const Endpoint &At) { Services.erase(At); }
 
-  /// Loses everything that goes from one host to the other.
+  /// Loses all traffic from one host to the other.
   void cut(const std::string &From, const std::string &To) {
     Cuts.insert({From, To});
   }
@@ -42,17 +43,18 @@
     Cuts.erase({Other, One});
   }
 
-  /// One way, in whole milliseconds, uniform between the two.
+  /// Bounds of the one-way latency, which is uniform in whole milliseconds.
   Millis LeastLatency = Millis(1);
   Millis MostLatency = Millis(2);
-  /// In place of these, to and from the HTTP requests of some hosts.
+  /// Fixed one-way latency of HTTP requests of some client hosts, by name.
   std::map<std::string, Millis> ClientLatency;
-  /// Datagrams lost, out of a thousand.
+  /// Lost datagrams per thousand.
   int LossPerMille = 0;
-  /// Messages and their sealed bytes by index of Message, for measurements.
+  /// Number of messages and their signed bytes, by index of Message, for
+  /// measurements.
   std::map<std::size_t, std::pair<std::uint64_t, std::uint64_t>> Traffic;
-  /// Messages that a sender made, by index of Message; one that goes to many
-  /// is made once.
+  /// Messages that senders built, by index of Message; a message to several
+  /// receivers counts once.
   std::map<std::size_t, std::uint64_t> BuiltMessages;
 
 private:
@@ -88,7 +90,8 @@
   std::map<Endpoint, Receiver> Receivers;
   std::map<Endpoint, Service> Services;
   std::set<std::pair<std::string, std::string>> Cuts;
-  /// Streams stay in order: the earliest time for the next message.
+  /// Earliest delivery time of the next message of a stream, which keeps the
+  /// order.
   std::map<std::pair<std::string, Endpoint>, Millis> StreamTimes;
   std::uint16_t NextPeer = 1;
 };
--- a/Tests/Support/FakeRelay.cpp
+++ b/Tests/Support/FakeRelay.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Streams between proxies in memory, and a system of proxies.
+/// Implements the simulated streams between proxies and the proxy system.
 
 #include "FakeRelay.h"
 
@@ -7,7 +7,7 @@
 
 namespace corianderdyke {
 
-/// What both ends of a stream share.
+/// State shared by both ends of a stream.
 struct FakePeerStreams::Pipe {
   struct Side {
     FakeHost *Host = nullptr;
@@ -34,7 +34,7 @@
     });
   }
 
-  /// One side is gone: the other learns after the latency.
+  /// Closes one side; the other side is notified after the latency.
   static void close(FakePeerStreams &Net, const std::shared_ptr<Pipe> &Of,
                     int Which) {
     if (!std::exchange(Of->Sides[Which].IsOpen, false))
@@ -45,10 +45,10 @@
       Pipe::Side &To = Of->Sides[Other];
       if (To.Host != nullptr && To.IsOpen)
         To.Host->run([Of, Other] {
-          Pipe::Side &To = Of->Sides[Other];
-          if (!std::exchange(To.IsOpen, false))
+          Pipe::Side &Peer = Of->Sides[Other];
+          if (!std::exchange(Peer.IsOpen, false))
             return;
-          const auto Handler = std::exchange(To.Events, {}).OnClose;
+          const auto Handler = std::exchange(Peer.Events, {}).OnClose;
           if (Handler)
             Handler();
         });
@@ -254,7 +254,7 @@
   const bool Arrived = Loop.runUntilTrue(
       [&] { return On.Caller->Answers.size() > Before; }, Millis(5000));
   if (!Arrived)
-    throw std::runtime_error("a statement was never answered");
+    throw std::runtime_error("a statement was not answered in time");
   return On.Caller->last();
 }
 
--- a/Tests/Support/FakeRelay.h
+++ b/Tests/Support/FakeRelay.h
@@ -1,6 +1,6 @@
 /// \file
-/// Streams between proxies in memory, and a system of proxies before one group
-/// that takes fewer connections than there are proxies.
+/// Simulated streams between proxies, and a system of proxies in front of one
+/// group that accepts fewer connections than there are proxies.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_FAKERELAY_H
 #define CORIANDERDYKE_TESTS_SUPPORT_FAKERELAY_H
@@ -11,13 +11,13 @@
 
 namespace corianderdyke {
 
-/// Streams of frames with a latency. A killed host's streams close, a frozen
-/// host's stay open and silent.
+/// Streams of frames with a latency. The streams of a killed host close; those
+/// of a frozen host stay open without traffic.
 class FakePeerStreams {
 public:
   explicit FakePeerStreams(FakeLoop &Loop) : Loop(Loop) {}
 
-  /// A host's end; it stays good after the host's death.
+  /// Creates the streams of a host; they remain valid after it is killed.
   std::unique_ptr<PeerStreams> attach(FakeHost &Host, const Endpoint &At);
 
   Millis Latency = Millis(1);
@@ -31,7 +31,7 @@
   std::map<Endpoint, End *> Listening;
 };
 
-/// One proxy's way to the targets: those in Cut refuse it.
+/// Target connections of one proxy. Connections to the targets in Cut fail.
 class FakeTargetConnector final : public TargetConnector {
 public:
   FakeTargetConnector(FakeLoop &Loop, TargetConnector &Targets)
@@ -47,7 +47,7 @@
   TargetConnector &Targets;
 };
 
-/// One proxy with everything that shares connections.
+/// One proxy with all components that share connections.
 struct FakeProxy {
   FakeHost Host;
   FakeTargetConnector Access;
@@ -63,11 +63,11 @@
             const std::string &Name);
 };
 
-/// Proxies "p0", "p1" and so on before one group.
+/// Proxies "p0", "p1" and so on in front of one group.
 class FakeRelaySystem {
 public:
-  /// Where \p KnowsList is false the proxies have a plan and know the targets,
-  /// but not each other, as when everything starts at the same moment.
+  /// If \p KnowsList is false the proxies have a plan and the target directory
+  /// but no proxy list, as when all processes start at the same moment.
   FakeRelaySystem(FakeLoop &Loop, FakeGroup &Group, std::size_t Count,
                   std::uint32_t MaxConnections, bool KnowsList = true);
   ~FakeRelaySystem();
@@ -84,17 +84,18 @@
             const std::string &Text = "");
   StatementAnswer ask(const Session &On, StatementKind Kind,
                       const std::string &Id = "", const std::string &Text = "");
-  /// All get a plan; the group takes as many connections as before.
+  /// Applies a plan at all proxies; the connection limit of the group stays.
   void applyPlan(RoutePlan New);
-  /// All learn what targets say of themselves now.
+  /// Updates the target directory of all proxies from the current target state.
   void updateDirectories();
-  /// All learn that only these proxies are there.
+  /// Sets the proxy list of all proxies to \p Present.
   void setProxyList(const std::vector<std::size_t> &Present);
   void resetProxyList() { setProxyList(Listed); }
   FakeProxy &proxy(std::size_t Index) { return *Proxies[Index]; }
-  /// Proxies that hold a connection to any target.
+  /// Returns the proxies that hold a connection to any target.
   std::vector<std::size_t> proxiesWithConnections() const;
-  /// A proxy that isn't a gateway of the target, and those that are.
+  /// Return a proxy that is not a gateway of the target, and the proxies that
+  /// are.
   std::size_t nonGateway(const std::string &Target) const;
   std::vector<std::size_t> gateways(const std::string &Target) const;
 
@@ -118,8 +119,8 @@
     Loop.runFor(Millis(50));
   }
 
-  /// Opens so many sessions, at all proxies in turn, and sends a write on each:
-  /// "w0", "w1" and so on.
+  /// Opens \p Count sessions, round-robin over the proxies, and sends a write
+  /// on each: "w0", "w1" and so on.
   std::vector<FakeRelaySystem::Session> sendWrites(std::size_t Count);
 
   std::size_t Proxies;
--- a/Tests/Support/LoopbackNetwork.cpp
+++ b/Tests/Support/LoopbackNetwork.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Claims a range by listening at one address in it that nothing else uses.
+/// Claims a range by listening at an address in it that is used for nothing
+/// else.
 
 #include "LoopbackNetwork.h"
 
@@ -15,11 +16,11 @@
 
 namespace {
 
-/// Below the ports that the kernel gives to outgoing connections.
+/// Below the ephemeral ports of the kernel.
 constexpr std::uint16_t ClaimPort = 4999;
 
-// Without SO_REUSEADDR, so that no second process can have it. Closed on exec:
-// the range is the soak's, not that of the programs it starts.
+// SO_REUSEADDR is not set, so that no second process can bind the address.
+// SOCK_CLOEXEC: the range belongs to the soak test, not to its child processes.
 int listenAt(const std::string &Address) {
   const int Socket = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (Socket < 0)
--- a/Tests/Support/LoopbackNetwork.h
+++ b/Tests/Support/LoopbackNetwork.h
@@ -1,5 +1,5 @@
 /// \file
-/// A range of loopback addresses, 127.N.0.0/16, that one process has to itself.
+/// A range of loopback addresses, 127.N.0.0/16, reserved for one process.
 
 #ifndef CORIANDERDYKE_TESTS_SUPPORT_LOOPBACKNETWORK_H
 #define CORIANDERDYKE_TESTS_SUPPORT_LOOPBACKNETWORK_H
@@ -8,18 +8,19 @@
 
 namespace corianderdyke {
 
-/// Two processes that listen at fixed ports meet where they picked the same
-/// addresses: the later one can't listen. A number drawn for each, by process
-/// id or at random, only makes that rare. Here the range is claimed by a socket
-/// that listens in it, so the kernel lets one process have it, and lets it go
-/// when that process ends, however it ends.
+/// Processes that listen at fixed ports conflict if they use the same
+/// addresses: the later one cannot bind. Deriving N from the process id or at
+/// random only makes conflicts rare. A listening socket therefore claims the
+/// range: the kernel grants it to one process and releases it whenever that
+/// process ends.
 class LoopbackNetwork {
 public:
-  static constexpr unsigned First = 20; ///< Below it are hand-picked addresses.
+  static constexpr unsigned First =
+      20; ///< Lower numbers are used by fixed addresses.
   static constexpr unsigned Count = 200;
 
-  /// Takes the first range that is free, from \p Preferred on (any number).
-  /// Throws std::runtime_error if all are taken.
+  /// Claims the first free range, searching from \p Preferred (any number).
+  /// Throws std::runtime_error if all ranges are in use.
   static LoopbackNetwork claim(unsigned Preferred);
 
   LoopbackNetwork(LoopbackNetwork &&Other) noexcept;
@@ -28,7 +29,7 @@
   LoopbackNetwork &operator=(LoopbackNetwork &&) = delete;
   ~LoopbackNetwork();
 
-  /// The first two numbers of its addresses: "127.N".
+  /// Returns the first two octets of the addresses: "127.N".
   const std::string &prefix() const { return Prefix; }
 
 private:
@@ -36,7 +37,7 @@
       : Prefix(std::move(Prefix)), Socket(Socket) {}
 
   std::string Prefix;
-  int Socket; ///< Listens as long as the range is held; -1 once moved from.
+  int Socket; ///< Listens while the range is claimed; -1 once moved from.
 };
 
 } // namespace corianderdyke
