--- a/Tests/StandIn/CallerMain.cpp
+++ b/Tests/StandIn/CallerMain.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A caller for tests and demonstrations: sends one statement, or writes
-/// steadily and measures the failover gap.
+/// A caller for tests and demonstrations: sends one statement, measures the
+/// failover gap under continuous writes, or finds free ports.
 
 #include "Common/SystemClock.h"
 #include "Http/EventHttpConnector.h"
@@ -31,14 +31,14 @@
   std::int64_t PauseMs = 2;
 };
 
-/// A key issued now; one that was issued before stays as it is.
+/// Returns \p Name if it is an issued idempotency key, else a key issued now.
 std::string issuedKey(const std::string &Name) {
   if (Name.empty() || IdempotencyKey::parse(Name))
     return Name;
   return std::to_string(SystemClock().wallTime().count()) + "-" + Name;
 }
 
-/// Sends one statement to one proxy and waits for its answer.
+/// Sends one statement to one proxy and waits for the answer.
 Expected<HttpResponse> call(EventLoop &Loop, const std::string &Proxy,
                             const CallerOptions &Options,
                             const std::string &Key) {
@@ -81,8 +81,8 @@
   Loop.run();
 }
 
-/// Repeats a statement with the same key until it's done.
-int untilDone(const CallerOptions &Options) {
+/// Retries a statement with the same key until its outcome is "done".
+int sendUntilDone(const CallerOptions &Options) {
   const SystemClock Time;
   EventLoop Loop;
   const Millis Until = Time.now() + Millis(Options.PatienceMs);
@@ -104,7 +104,7 @@
   return 1;
 }
 
-/// Sends a statement a single time and prints whatever came.
+/// Sends a statement once and prints the answer or the error.
 int sendOnce(const CallerOptions &Options) {
   EventLoop Loop;
   const auto Answer =
@@ -119,7 +119,8 @@
   return 0;
 }
 
-/// Writes steadily until a gap between two successes was seen and ended.
+/// Writes continuously until the primary changes, then prints the time between
+/// the last success before the change and the first one after it.
 int measureGap(const CallerOptions &Options) {
   const SystemClock Time;
   EventLoop Loop;
@@ -146,15 +147,15 @@
     }
     pause(Loop, Options.PauseMs);
   }
-  std::cerr << "no change of primary was seen\n";
+  std::cerr << "the primary did not change within the time limit\n";
   return 1;
 }
 
-/// The kernel gives outgoing connections ports from 32768 on. One of those that
-/// is free now may be anybody's a moment later, before its listener has
-/// started.
+/// Below the ephemeral ports of the kernel, which start at 32768: a free
+/// ephemeral port may be assigned to an outgoing connection before the listener
+/// starts.
 constexpr int FirstPort = 12000;
-/// Sessions that start together look in blocks of their own, by process.
+/// Concurrent sessions search different blocks, selected by process id.
 constexpr int PortsInBlock = 20;
 constexpr int Blocks = 1000;
 
@@ -173,7 +174,7 @@
   return Out;
 }
 
-/// Prints port numbers that are free for TCP and UDP at this moment.
+/// Prints \p Wanted port numbers that are currently free for TCP and UDP.
 int freePorts(int Wanted) {
   int Port = FirstPort + PortsInBlock * (getpid() % Blocks);
   for (int Found = 0; Found < Wanted; ++Port) {
@@ -205,9 +206,10 @@
     To.add_option("--patience-ms", Options.PatienceMs);
     To.add_option("--pause-ms", Options.PauseMs);
   };
-  CLI::App *Send = App.add_subcommand("send", "Sends until it's done");
+  CLI::App *Send =
+      App.add_subcommand("send", "Retries until the outcome is done");
   Common(*Send);
-  Send->callback([&] { Result = untilDone(Options); });
+  Send->callback([&] { Result = sendUntilDone(Options); });
   CLI::App *Once = App.add_subcommand("once", "Sends a single time");
   Common(*Once);
   Once->callback([&] { Result = sendOnce(Options); });
--- a/Tests/StandIn/LineTarget.cpp
+++ b/Tests/StandIn/LineTarget.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A stand-in for one target of the users' platform, on a real socket.
+/// Implements the simulated target for the platform's line protocol.
 
 #include "LineTarget.h"
 
@@ -18,7 +18,7 @@
   LineTarget *Owner = nullptr;
   bufferevent *Buffer = nullptr;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
-  std::string Out; ///< Not written yet.
+  std::string Out; ///< Output that is not written yet.
   char State = 'I';
   bool HasWritten = false;
 
@@ -101,9 +101,9 @@
   };
   if (Word == "STARTUP") {
     std::string Wanted;
-    std::string Who;
+    std::string Caller;
     std::string Expected;
-    In >> Wanted >> Who >> Expected;
+    In >> Wanted >> Caller >> Expected;
     if (Wanted != Group || (!Expected.empty() && Expected != Id))
       return "ERROR MISROUTED " + Id + "\r\n";
     return Ready();
--- a/Tests/StandIn/LineTarget.h
+++ b/Tests/StandIn/LineTarget.h
@@ -1,5 +1,6 @@
 /// \file
-/// A stand-in for one target of the users' platform, on a real socket.
+/// A simulated target that speaks the platform's line protocol on a real
+/// socket.
 
 #ifndef CORIANDERDYKE_TESTS_STANDIN_LINETARGET_H
 #define CORIANDERDYKE_TESTS_STANDIN_LINETARGET_H
@@ -15,9 +16,9 @@
 
 namespace corianderdyke {
 
-/// Speaks the lines that the platform's pages tell, as far as the tests need
-/// them: sessions, transactions, positions, status and stepping down. Its
-/// answers leave a few bytes at a time, so that readers meet every split.
+/// Implements the part of the platform's line protocol that the tests need:
+/// sessions, transactions, positions, status and stepping down. It sends its
+/// answers a few bytes at a time, so that readers see every possible split.
 class LineTarget {
 public:
   LineTarget(EventLoop &Loop, std::string Group, std::string Id,
@@ -31,7 +32,7 @@
   bool IsPrimary;
   LogPosition Log{1, 1};
   std::size_t PieceBytes = 3;
-  std::vector<std::string> Received; ///< Lines, in the order of arrival.
+  std::vector<std::string> Received; ///< Lines in order of arrival.
 
 private:
   struct Connection;
--- a/Tests/StandIn/StandInTarget.cpp
+++ b/Tests/StandIn/StandInTarget.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A small stand-in for a database target.
+/// Implements the simulated database target.
 
 #include "StandInTarget.h"
 
@@ -20,10 +20,10 @@
 constexpr Millis PullTimeout(1000);
 constexpr Millis PullHold(200);
 
-/// Stands in the log for a key whose transaction will never commit.
+/// Log entry body of a key whose transaction can no longer commit.
 const std::string GivenUp = "(given up)";
 
-/// Keys begin with the milliseconds of their issue and sort by it.
+/// Returns the issue time in milliseconds, with which each key begins.
 std::uint64_t issueTime(const std::string &Key) {
   return numberOr(Key.substr(0, Key.find('-')), 0);
 }
@@ -90,7 +90,7 @@
     serveLog(Request, std::move(Exchange));
   else if (Request.Path == "/v1/fence" || Request.Path == "/v1/promote" ||
            Request.Path == "/v1/follow")
-    obey(Request, *Exchange);
+    applyOrder(Request, *Exchange);
   else
     Exchange->respond(answer(StatusNotFound, "no such path\n"));
 }
@@ -139,7 +139,7 @@
 
 void StandInTarget::execute(const HttpRequest &Request,
                             HttpExchange &Exchange) {
-  // The sender may have left while its statement waited for a slot.
+  // The sender may have disconnected while its statement waited for a slot.
   if (Connected.count(Request.Peer) == 0)
     return Exchange.respond(refusal("not connected"));
   if (Request.Path == "/v1/rollback")
@@ -185,12 +185,12 @@
     return Exchange.respond(answer(200, "ok"));
   }
   const std::string &Key = Request.header("Statement-Key");
-  forgetOldKeys();
+  expireKeys();
   if (replay(Key, Request.Body, Exchange))
     return;
   append(Key, Request.Body);
   Exchange.respond(written(Log.size()));
-  wakeWatchers();
+  notifyWatchers();
 }
 
 void StandInTarget::begin(const HttpRequest &Request, HttpExchange &Exchange) {
@@ -204,15 +204,15 @@
   if (!Primary)
     return Exchange.respond(refusal("not primary"));
   const std::string &Key = Request.header("Statement-Key");
-  forgetOldKeys();
+  expireKeys();
   const auto Known = Keys.find(Key);
   if (Known != Keys.end() && Log[Known->second - 1].Body == GivenUp)
     return Exchange.respond(refusal("the key was given up"));
   const auto Open = Transactions.find(Request.Peer);
   const bool IsOpen = Open != Transactions.end();
-  // Whoever asks without the transaction asks what became of it. From here
-  // on the answer is settled: a first try that is still under way finds the
-  // key taken.
+  // A commit without an open transaction queries the outcome of an earlier
+  // attempt. The key is recorded, so that the outcome is final: an earlier
+  // attempt that is still in flight finds the key in use.
   const std::string Body = IsOpen ? Open->second : GivenUp;
   if (IsOpen)
     Transactions.erase(Open);
@@ -225,7 +225,7 @@
   append(Key, Body);
   Exchange.respond(IsOpen ? written(Log.size())
                           : refusal("the key was given up"));
-  wakeWatchers();
+  notifyWatchers();
 }
 
 void StandInTarget::rollback(const HttpRequest &Request,
@@ -259,8 +259,8 @@
   return Out;
 }
 
-void StandInTarget::forgetOldKeys() {
-  const std::int64_t Horizon = (Time.wallTime() - Options.KeepKeys).count();
+void StandInTarget::expireKeys() {
+  const std::int64_t Horizon = (Time.wallTime() - Options.KeyRetention).count();
   KeyHorizon =
       std::max(KeyHorizon,
                static_cast<std::uint64_t>(std::max<std::int64_t>(Horizon, 0)));
@@ -316,7 +316,7 @@
   Each.Exchange->respond(std::move(Out));
 }
 
-void StandInTarget::wakeWatchers() {
+void StandInTarget::notifyWatchers() {
   const auto Woken = std::exchange(Watchers, {});
   for (const auto &Each : Woken)
     answerWatch(*Each);
@@ -333,7 +333,7 @@
   };
   if (After < Log.size())
     return Respond();
-  // Reuses the watchers: the pull is answered when something is written.
+  // The pull is registered as a watcher and answered at the next write.
   auto Each = std::make_shared<Watcher>();
   struct LogExchange final : HttpExchange {
     std::function<void()> Send;
@@ -353,7 +353,8 @@
   });
 }
 
-void StandInTarget::obey(const HttpRequest &Request, HttpExchange &Exchange) {
+void StandInTarget::applyOrder(const HttpRequest &Request,
+                               HttpExchange &Exchange) {
   const std::uint64_t Ordered = numberOr(Request.parameter("term"), 0);
   if (Ordered < Term)
     return Exchange.respond(refusal("later term known"));
@@ -365,8 +366,8 @@
     return Exchange.respond(answer(200, ""));
   if (Ordered == Term && Primary)
     return Exchange.respond(refusal("primary of this term"));
-  // A fence that was sent twice may arrive after the order to follow. Obeyed
-  // again it would end the following, and nobody would notice.
+  // A duplicate fence may arrive after the order to follow. Applying it again
+  // would stop replication without any report.
   const bool IsFence = Request.Path == "/v1/fence";
   if (Ordered == Term && (IsFence || (!Fenced && isFollowing(Request))))
     return Exchange.respond(answer(200, ""));
@@ -386,7 +387,7 @@
     pull(Generation);
   }
   Exchange.respond(answer(200, ""));
-  wakeWatchers();
+  notifyWatchers();
 }
 
 bool StandInTarget::isFollowing(const HttpRequest &Order) const {
@@ -433,7 +434,7 @@
                           numberOr(Answer->header("Target-Term"), 0) == Term;
         if (Good && Answer->Body != "[]")
           Timers.after(Options.Lag, [this, OfGeneration, Body = Answer->Body] {
-            take(Body, OfGeneration);
+            appendReplicated(Body, OfGeneration);
           });
         else
           Timers.after(Good ? Millis(0) : PullAgainAfter,
@@ -441,14 +442,15 @@
       });
 }
 
-void StandInTarget::take(const std::string &Body, std::uint64_t OfGeneration) {
+void StandInTarget::appendReplicated(const std::string &Body,
+                                     std::uint64_t OfGeneration) {
   if (OfGeneration != Generation)
     return;
   for (const auto &Each : nlohmann::json::parse(Body)) {
     Log.push_back({Each[0], Each[1], Each[2]});
     applyToData(Log.back(), Log.size());
   }
-  wakeWatchers();
+  notifyWatchers();
   pull(OfGeneration);
 }
 
--- a/Tests/StandIn/StandInTarget.h
+++ b/Tests/StandIn/StandInTarget.h
@@ -1,6 +1,6 @@
 /// \file
-/// A small stand-in for a database target: a log, a term, slots, a limit of
-/// connections and asynchronous replication with a lag.
+/// A simulated database target with a log, a term, execution slots, a
+/// connection limit and asynchronous replication with a configurable lag.
 
 #ifndef CORIANDERDYKE_TESTS_STANDIN_STANDINTARGET_H
 #define CORIANDERDYKE_TESTS_STANDIN_STANDINTARGET_H
@@ -22,19 +22,19 @@
   std::string Database;
   Locality Where;
   Endpoint Address;
-  std::vector<Endpoint> Proxies; ///< What the balancer stands before.
+  std::vector<Endpoint> Proxies; ///< Announced to in turn.
   std::string TargetKey;
   std::size_t Slots = 2;
   std::size_t Connections = 16;
   Millis ConnectCost = Millis(12);
   Millis ServiceTime = Millis(1);
   Millis Lag = Millis(5);
-  /// How long keys are kept: the longest retention of any manifest and twice
-  /// the tolerance for clocks.
-  Millis KeepKeys = Millis(86400000 + 120000);
+  /// Retention of idempotency keys: the longest retention that a manifest can
+  /// set plus twice the clock tolerance.
+  Millis KeyRetention = Millis(86400000 + 120000);
 };
 
-/// One statement that changed something.
+/// One committed write.
 struct LogEntry {
   std::uint64_t Term = 0;
   std::string Key;  ///< Idempotency key; may be empty.
@@ -47,7 +47,7 @@
                 HttpConnector &Connector);
 
   void start();
-  /// Announces from now on that it leaves.
+  /// Announces that the target is leaving from now on.
   void leave();
 
   void handle(const HttpRequest &Request,
@@ -67,7 +67,7 @@
     std::uint64_t After = 0;
     std::uint64_t Term = 0;
     std::shared_ptr<HttpExchange> Exchange;
-    Millis Since; ///< When the question came.
+    Millis Since; ///< Arrival of the request.
     bool Done = false;
   };
 
@@ -82,25 +82,26 @@
   void begin(const HttpRequest &Request, HttpExchange &Exchange);
   void commit(const HttpRequest &Request, HttpExchange &Exchange);
   void rollback(const HttpRequest &Request, HttpExchange &Exchange);
-  /// Answers for a key that was used before; false where it wasn't.
+  /// Answers a request whose key was used before; returns false if the key is
+  /// new.
   bool replay(const std::string &Key, const std::string &Body,
               HttpExchange &Exchange);
-  void forgetOldKeys();
+  void expireKeys();
   void append(const std::string &Key, const std::string &Body);
   HttpResponse written(std::uint64_t Position) const;
   void watch(const HttpRequest &Request,
              std::shared_ptr<HttpExchange> Exchange);
   void serveLog(const HttpRequest &Request,
                 std::shared_ptr<HttpExchange> Exchange);
-  void obey(const HttpRequest &Request, HttpExchange &Exchange);
+  void applyOrder(const HttpRequest &Request, HttpExchange &Exchange);
   bool isFollowing(const HttpRequest &Order) const;
   void truncateToForks(const std::vector<Fork> &Forks);
   void rebuild();
   void applyToData(const LogEntry &Entry, std::uint64_t Position);
-  void wakeWatchers();
+  void notifyWatchers();
   void answerWatch(Watcher &Each);
   void pull(std::uint64_t Generation);
-  void take(const std::string &Body, std::uint64_t Generation);
+  void appendReplicated(const std::string &Body, std::uint64_t Generation);
   void announce();
   HttpResponse answer(int Status, std::string Body) const;
   HttpResponse refusal(const std::string &Reason) const;
@@ -110,29 +111,30 @@
   Scheduler &Timers;
   HttpConnector &Connector;
   std::uint64_t Sequence = 0;
-  /// Made with the log, which lives in memory: each life has another.
+  /// Identifies the log. The log is in memory, so each start creates a new id.
   std::string LogId;
   bool Leaving = false;
   std::uint64_t Term = 0;
   bool Primary = false;
-  /// Obeys Term without having been promoted or told whom to follow in it.
+  /// True while the target has accepted Term but was neither promoted nor
+  /// ordered to follow a primary in it.
   bool Fenced = true;
   std::vector<LogEntry> Log;
   std::map<std::string, std::string> Data;
-  /// Position of the write that a key stands for.
+  /// Positions of writes by idempotency key.
   std::map<std::string, std::uint64_t> Keys;
-  /// Keys issued before this are forgotten and never accepted again.
+  /// Keys issued before this time are expired and never accepted again.
   std::uint64_t KeyHorizon = 0;
   std::set<std::string> Connected;
-  /// What the open transactions will write, by their connection.
+  /// Pending writes of open transactions by connection.
   std::map<std::string, std::string> Transactions;
   std::size_t Running = 0;
   std::deque<std::function<void()>> Waiting;
   std::vector<std::shared_ptr<Watcher>> Watchers;
   Endpoint Followed;
   std::unique_ptr<HttpConnection> FollowLink;
-  /// Counts up with each order, so that answers for an earlier one are
-  /// recognised and thrown away.
+  /// Incremented with each order, so that answers to requests from before it
+  /// are detected and discarded.
   std::uint64_t Generation = 0;
   std::unique_ptr<HttpConnection> AnnounceLink;
   std::size_t NextProxy = 0;
--- a/Tests/StandIn/TargetMain.cpp
+++ b/Tests/StandIn/TargetMain.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Runs one stand-in target as a process of its own.
+/// Runs one simulated target as a separate process.
 
 #include "Common/SystemClock.h"
 #include "Http/EventHttpConnector.h"
