--- a/Tests/Golden/CrashingProgram.cpp
+++ b/Tests/Golden/CrashingProgram.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Ends by a real crash of the kind that it's told, behind some calls.
+/// Crashes in the way that the first argument names: by a bad access, by stack
+/// exhaustion or by abort.
 
 #include "App/CrashReport.h"
 #include "Logs/LogEvents.h"
@@ -10,18 +11,18 @@
 
 namespace {
 
-/// Nothing is ever mapped here.
+/// An address that is never mapped.
 constexpr std::uintptr_t Unmapped = 0x1234;
 
 __attribute__((noinline)) int readAt(std::uintptr_t Address) {
-  // There is no object to take the address of.
+  // No object exists at this address.
   // NOLINTNEXTLINE(performance-no-int-to-ptr)
   return *reinterpret_cast<const volatile int *>(Address);
 }
 
 __attribute__((noinline)) int exhaustStack(const char *Caller) {
   volatile char Used[4096] = {};
-  // Never true, which the compiler can't tell.
+  // Never true; the compiler cannot prove it and keeps the recursion.
   if (Caller == nullptr)
     return 0;
   return exhaustStack(const_cast<const char *>(Used)) + Used[0];
--- a/Tests/Golden/crash-report.sh
+++ b/Tests/Golden/crash-report.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# A process that a fatal signal ends writes one log line with the signal, the
-# address accessed and the calls that led to it, and still ends by that signal:
-# whoever watches it must not take the end for a planned one.
+# Checks that a process that receives a fatal signal writes one log line with
+# the signal, the accessed address and the call stack, and then ends by that
+# signal, so that a supervisor does not take the crash for a planned stop.
 #
 # Usage: crash-report.sh BUILD_FOLDER
 set -euo pipefail
@@ -10,7 +10,7 @@
 crashing=$build/Tests/crashing-program
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
-# Without it the sanitizers' own report takes the signal.
+# Otherwise the sanitizer runtime handles the signal and writes its own report.
 export ASAN_OPTIONS=handle_segv=0:handle_abort=0:allow_user_segv_handler=1
 
 fail() {
@@ -26,25 +26,25 @@
 
 check_line() { # signal's name
   [ "$(grep -c "CD108 crashed" "$folder/output")" -eq 1 ] ||
-    fail "isn't one line of the event"
+    fail "expected exactly one line of event CD108"
   grep -q "CD108 crashed signal=\"$(kill -l "$1")\"" "$folder/output" ||
-    fail "names another signal"
+    fail "the report does not name signal SIG$1"
   [ "$(grep -oE '[" ]0x[0-9a-f]+' <<<"$(sed 's/.*calls=//' "$folder/output")" |
-    wc -l)" -ge 2 ] || fail "doesn't say which calls led to it"
+    wc -l)" -ge 2 ] || fail "the report has fewer than two call addresses"
 }
 
-# What one of the offsets belongs to, as the report is used.
+# Resolves the offsets of the report and expects the function among them.
 check_call() { # program, function
   local offsets
   offsets=$(sed 's/.*counter=//' "$folder/output" |
     grep -oE '[" ]0x[0-9a-f]+' | tr -d '" ')
   grep -q "$2" <<<"$(addr2line -f -C -e "$1" $offsets)" ||
-    fail "$2 isn't among the calls"
+    fail "function $2 is not among the calls"
 }
 
 crash() { # kind, option
   status=0
-  # The shell says itself how it ended.
+  # The group hides the message of the shell about the signal.
   { "$crashing" "$@" >"$folder/output" 2>"$folder/errors"; } 2>/dev/null ||
     status=$?
 }
@@ -52,7 +52,7 @@
 crash access
 check_end $status SEGV
 check_line SEGV
-grep -q 'address="0x1234"' "$folder/output" || fail "names another address"
+grep -q 'address="0x1234"' "$folder/output" || fail "the report does not name address 0x1234"
 check_call "$crashing" main
 
 crash stack
@@ -68,13 +68,13 @@
 crash access --json
 check_end $status SEGV
 jq -e '.event == 108 and .name == "crashed" and .address == "0x1234"' \
-  "$folder/output" >/dev/null || fail "isn't a JSON line of the event"
+  "$folder/output" >/dev/null || fail "expected a JSON line of event CD108"
 
-# The program itself, while it waits for its settings.
+# The real program, while it waits for its settings.
 mkfifo "$folder/settings.toml"
 "$program" run "$folder/settings.toml" >"$folder/output" 2>"$folder/errors" &
 process=$!
-# Opens once the process reads its settings.
+# Blocks until the process opens the pipe to read its settings.
 exec 3>"$folder/settings.toml"
 kill -SEGV "$process"
 status=0
--- a/Tests/Golden/drain/steps.sh
+++ b/Tests/Golden/drain/steps.sh
@@ -1,6 +1,6 @@
-# A planned stop cuts nothing: the statement in flight gets its answer, the
-# balancer turns away at once, and the process ends by itself. A drained
-# target gets nothing new.
+# A planned stop aborts no statement: the statement in flight is answered, the
+# load balancer stops sending at once, and the process exits. A drained target
+# receives no new statements.
 start_all --service-ms 400 >/dev/null
 key() { echo "$(date +%s%3N)-$1"; }
 
--- a/Tests/Golden/failover/steps.sh
+++ b/Tests/Golden/failover/steps.sh
@@ -1,5 +1,5 @@
-# The primary dies. Nobody orders anything: the next write succeeds at
-# another target with a higher term, and what was acknowledged is still there.
+# The primary is killed. Without any operator command the next write succeeds at
+# another target with a higher term, and acknowledged writes are preserved.
 say "Everything starts"
 start_all
 
--- a/Tests/Golden/free-ports.sh
+++ b/Tests/Golden/free-ports.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# A session picks its ports and starts its processes a moment later. A port that
-# the kernel gives to outgoing connections may be taken in between: a target then
-# can't listen, and the session waits for it until its time is over.
+# Checks that the ports chosen for sessions are not ephemeral ports. A session
+# chooses its ports before it starts its processes; an outgoing connection may
+# take an ephemeral port in between, so that a target cannot listen and the
+# session waits for it until the timeout.
 #
 # Usage: Tests/Golden/free-ports.sh BUILD_FOLDER
 set -euo pipefail
@@ -11,7 +12,7 @@
 [ "${#port[@]}" -eq 18 ]
 for each in "${port[@]}"; do
   if [ "$each" -ge "$first_outgoing" ]; then
-    echo "port $each may be taken by an outgoing connection"
+    echo "port $each is in the range of ephemeral ports, from $first_outgoing"
     exit 1
   fi
 done
--- a/Tests/Golden/members/steps.sh
+++ b/Tests/Golden/members/steps.sh
@@ -1,10 +1,10 @@
-# Operators take a control host out of the group and back in; then one loses
-# its disk, and gets its seat back without anyone's command.
+# Operators remove a control host from the group and add it again; then a host
+# loses its disk and rejoins as a voter without any operator command.
 seats() {
   "$program" status "${control[@]}" --json |
     jq -c '.control_hosts | map(.seat | select(. != "learner"))'
 }
-# A host that leads may step down; the command then finds the next leader.
+# A removed leader may step down; the command then finds the next leader.
 say "Everything starts; one that doesn't belong to it can't be removed"
 start_control
 apply "$(write_manifest 1 4)"
--- a/Tests/Golden/normal/steps.sh
+++ b/Tests/Golden/normal/steps.sh
@@ -1,5 +1,5 @@
-# A clerk writes at one proxy and reads its write at the other; operators
-# look, and change the manifest.
+# A caller writes at one proxy and reads its write at the other; operators query
+# the state and change the manifest.
 say "Everything starts and the manifest is in force"
 start_all
 
--- a/Tests/Golden/race/steps.sh
+++ b/Tests/Golden/race/steps.sh
@@ -1,6 +1,6 @@
-# Two operators apply different manifests of one version at the same moment.
-# One is accepted, the other learns of the conflict; sending the accepted one
-# again gives the same answer, as after an answer that was lost.
+# Two operators concurrently apply different manifests with the same version.
+# One is accepted, the other is refused with a conflict; a retry of the accepted
+# one, as after a lost answer, returns the same answer.
 start_all >/dev/null
 left=$(write_manifest 2 5)
 right=$(write_manifest 2 6)
--- a/Tests/Golden/refusal/steps.sh
+++ b/Tests/Golden/refusal/steps.sh
@@ -1,4 +1,4 @@
-# Bad input of every kind gets a clear error and changes nothing.
+# Invalid input of each kind is refused with a clear error and has no effect.
 start_all >/dev/null
 once() { "$caller" once --proxy "$proxy_1" "$@"; }
 clerk=(--database bale-ledger-1 --organisation port-clerks)
@@ -45,8 +45,8 @@
 audit --subject manifest --json | jq -c '.[] | [.action, .from[0:9], .to[0:9]]'
 
 say "Garbage on each port is answered with an error or closed"
-# In one write: the shell writes a line at a time, and a line that comes after
-# the port was closed would be met with a reset in place of the answer.
+# Sent in a single write: the shell writes line by line, and a line that arrives
+# after the port was closed would cause a reset instead of the answer.
 printf '\xff\xff\xff\xffgarbage\r\n\r\n' >garbage
 garbage() { # port
   exec 9<>"/dev/tcp/127.0.0.1/$1"
--- a/Tests/Golden/run.sh
+++ b/Tests/Golden/run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs one golden session and compares what it prints with expected.txt next
-# to its steps. What varies from run to run is masked: addresses, times,
-# folders, session tokens and revisions.
+# Runs one golden session and compares its output with expected.txt next to its
+# steps. Values that vary between runs are masked: addresses, times, folders,
+# session tokens, revisions, terms and names of control hosts.
 #
 # Usage: Tests/Golden/run.sh BUILD_FOLDER CASE [--update]
 set -euo pipefail
@@ -29,7 +29,8 @@
     -e 's/\b[0-9]+ ms\b/N ms/g' -e 's/ +/ /g'
 }
 
-# In a shell of its own, whose exit on error isn't masked by a test of it.
+# Runs in a subshell whose status is read afterwards: in a condition, errexit
+# would be disabled.
 set +e
 (
   trap stop_processes EXIT
--- a/Tests/Golden/start-signals.sh
+++ b/Tests/Golden/start-signals.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# A process that is asked to stop while it starts stops as planned, with exit
-# code 0; one that is asked to reload goes on. Guards against ends by these
-# signals before their handlers are there.
+# Checks that a process that receives a stop signal during startup stops in
+# order with exit code 0, and that one that receives a reload signal continues.
+# Guards against the default action of these signals ending the process before
+# the handlers are installed.
 #
 # Usage: start-signals.sh BUILD_FOLDER
 set -euo pipefail
@@ -38,12 +39,12 @@
   exit 1
 }
 
-# Starts a process that waits for the content of its settings.
+# Starts a process that blocks while it reads its settings.
 start() {
   "$build/Source/corianderdyke" run "$folder/settings.toml" \
     >"$folder/output" 2>&1 &
   process=$!
-  # Opens once the process reads them.
+  # Blocks until the process opens the pipe to read them.
   exec 3>"$folder/settings.toml"
 }
 
@@ -55,8 +56,8 @@
 check_stop() {
   local status=0
   wait "$process" || status=$?
-  [ $status -eq 0 ] || fail "ended with $status"
-  grep -q "CD101 stopped" "$folder/output" || fail "didn't stop as planned"
+  [ $status -eq 0 ] || fail "expected exit code 0, got $status"
+  grep -q "CD101 stopped" "$folder/output" || fail "no event CD101 stopped in the output"
 }
 
 start
@@ -69,12 +70,12 @@
 give_settings
 until=$((SECONDS + patience))
 until grep -q "CD100 started" "$folder/output"; do
-  kill -0 "$process" 2>/dev/null || fail "ended on its own"
-  [ $SECONDS -lt $until ] || fail "never started"
+  kill -0 "$process" 2>/dev/null || fail "the process ended before it started"
+  [ $SECONDS -lt $until ] || fail "the process did not start within $patience s"
   sleep 0.02
 done
 # The reload reads the settings again.
 timeout "$patience" cat "$folder/good.toml" >"$folder/settings.toml" ||
-  fail "never reloaded"
+  fail "the process did not reload within $patience s"
 kill -TERM "$process"
 check_stop
--- a/Tests/Golden/start/steps.sh
+++ b/Tests/Golden/start/steps.sh
@@ -1,5 +1,5 @@
-# A process that can't start says why, and starts nothing. One that runs
-# takes in what it may of changed settings.
+# A process that cannot start reports the reason and starts nothing. A running
+# process applies those changed settings that can change at run time.
 start_control >/dev/null
 
 say "Settings with findings: all of them, with their places"
