--- a/Tests/Fuzz/EnvelopeFuzz.cpp
+++ b/Tests/Fuzz/EnvelopeFuzz.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Messages between processes: any bytes under a good seal.
+/// Fuzzes the decoder of messages between processes: arbitrary bytes with a
+/// valid signature.
 
 #include "Common/Codec.h"
 #include "Common/Cryptography.h"
@@ -13,7 +14,7 @@
   const auto Opened = verifyAndDecode(truncatedHmac(Key, Input) + Input, Key);
   if (!Opened)
     return;
-  // What was read is written and read again as the same.
+  // A decoded message encodes and decodes to the same message.
   const auto Again = verifyAndDecode(signAndEncode(*Opened, Key), Key);
   expect(Again.has_value() && *Again == *Opened);
 }
--- a/Tests/Fuzz/FuzzSupport.cpp
+++ b/Tests/Fuzz/FuzzSupport.cpp
@@ -3,7 +3,7 @@
 
 #include "FuzzSupport.h"
 
-// The name is the library's.
+// libFuzzer requires this name.
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *Data,
                                       std::size_t Size) {
--- a/Tests/Fuzz/FuzzSupport.h
+++ b/Tests/Fuzz/FuzzSupport.h
@@ -1,5 +1,5 @@
 /// \file
-/// What all fuzz targets share: the entry point and a check.
+/// Entry point and check shared by all fuzz targets.
 
 #ifndef CORIANDERDYKE_TESTS_FUZZ_FUZZSUPPORT_H
 #define CORIANDERDYKE_TESTS_FUZZ_FUZZSUPPORT_H
@@ -8,10 +8,10 @@
 #include <cstdlib>
 #include <string>
 
-/// One input of a target, defined by its file.
+/// Processes one input. Each fuzz target defines it.
 void fuzzOne(const std::string &Input);
 
-/// Ends the run with the input kept where something doesn't hold.
+/// Aborts if \p Holds is false, so that libFuzzer saves the input.
 inline void expect(bool Holds) {
   if (!Holds)
     std::abort();
--- a/Tests/Fuzz/JournalFuzz.cpp
+++ b/Tests/Fuzz/JournalFuzz.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The disk of a control host: any bytes for a journal and a snapshot, and
-/// any records with good checksums.
+/// Fuzzes the loading of the disk of a control host: arbitrary bytes as journal
+/// and snapshot, and arbitrary records with valid checksums.
 
 #include "Consensus/ReplicatedLog.h"
 #include "FakeDisk.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A disk that loads once loads again to the same.
+/// Checks that a disk that loads once loads again with the same result.
 void loadTwice(FakeDisk &Disk) {
   Journal Records(Disk);
   ReplicatedLog Log(Records);
@@ -23,7 +23,7 @@
          Again.diskId() == Log.diskId() && Again.voters() == Log.voters());
 }
 
-/// Cuts the input at its first zero byte, which goes.
+/// Splits the input at its first zero byte, which is dropped.
 std::pair<std::string, std::string> split(const std::string &Input) {
   const std::size_t At = Input.find('\0');
   if (At == std::string::npos)
@@ -45,7 +45,7 @@
   FakeDisk Sealed;
   Journal Records(Sealed);
   std::vector<std::string> All;
-  // Each record is headed by its size.
+  // Each record is preceded by one byte with its size.
   for (std::size_t At = 1; At < Input.size();) {
     const auto Size = static_cast<unsigned char>(Input[At]);
     All.push_back(Input.substr(At + 1, Size));
--- a/Tests/Fuzz/LineProtocolFuzz.cpp
+++ b/Tests/Fuzz/LineProtocolFuzz.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The adapter's decoders: lines of callers, answers of targets, and the
-/// operators' documents.
+/// Fuzzes the decoders of the platform adapter: lines of callers, answers of
+/// targets, and plan documents of operators.
 
 #include "FuzzSupport.h"
 #include "LineProtocol.h"
--- a/Tests/Fuzz/ManifestFuzz.cpp
+++ b/Tests/Fuzz/ManifestFuzz.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The manifest file.
+/// Fuzzes the parser of the manifest file.
 
 #include "Common/Codec.h"
 #include "FuzzSupport.h"
@@ -12,7 +12,7 @@
   expect(Read || !Read.error().empty());
   if (!Read)
     return;
-  // All hosts come to the same digest from what was sent to them.
+  // The digest is the same on the hosts that receive the encoded manifest.
   const auto Sent = decode<Manifest>(encode(*Read));
   expect(Sent.has_value() && Sent->digest() == Read->digest());
 }
--- a/Tests/Fuzz/RelayFuzz.cpp
+++ b/Tests/Fuzz/RelayFuzz.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Frames between proxies that carry each other's statements: any bytes.
+/// Fuzzes the codec of the frames that relay statements between proxies.
 
 #include "Common/Codec.h"
 #include "FuzzSupport.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What was read is packed and read again as the same.
+/// Checks that messages encode and decode to the same messages.
 void expectSame(RelayCodec &Frames, const std::vector<RelayMessage> &Messages) {
   const auto Again = Frames.read(Frames.write(Messages));
   expect(Again.has_value() && *Again == Messages);
@@ -19,10 +19,10 @@
 
 void fuzzOne(const std::string &Input) {
   static RelayCodec Frames;
-  // As it arrives: bytes that are no packing, or one of anything.
+  // The input as a received frame, valid or not.
   if (const auto Read = Frames.read(Input))
     expectSame(Frames, *Read);
-  // What a packing may hold.
+  // The input as the content of a frame.
   const auto Message = decode<RelayMessage>(Input);
   if (!Message)
     return;
--- a/Tests/Fuzz/SessionTokenFuzz.cpp
+++ b/Tests/Fuzz/SessionTokenFuzz.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Session tokens that callers bring: any text, and any bytes under a seal.
+/// Fuzzes the verification of session tokens from callers.
 
 #include "FuzzSupport.h"
 #include "Session/SessionToken.h"
--- a/Tests/Fuzz/SettingsFuzz.cpp
+++ b/Tests/Fuzz/SettingsFuzz.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The settings file.
+/// Fuzzes the parser of the settings file.
 
 #include "FuzzSupport.h"
 #include "Settings/Settings.h"
--- a/Tests/Fuzz/StatementFuzz.cpp
+++ b/Tests/Fuzz/StatementFuzz.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The headers of a statement: a line a value, in the order of their names.
+/// Fuzzes the parser of statement headers. Each line of the input is the value
+/// of one header, in the order of the list in fuzzOne().
 
 #include "FuzzSupport.h"
 #include "Manifest/ManifestFile.h"
