--- a/Tests/Golden/drain/steps.sh
+++ b/Tests/Golden/drain/steps.sh
@@ -4,7 +4,7 @@
 start_all --service-ms 400 >/dev/null
 key() { echo "$(date +%s%3N)-$1"; }
 
-say "SIGTERM comes while a handover is in flight"
+say "A proxy receives SIGTERM while a handover is in flight"
 "$caller" once --proxy "$proxy_1" --database bale-ledger-1 \
   --organisation port-clerks --kind handover --key "$(key scan-1)" \
   --body "put bale-17 haulier-4" >answer &
@@ -22,7 +22,7 @@
 wait "${process_of[entry-1]}"
 echo "ended with $?"
 
-say "The other proxy shows it"
+say "A lookup at the other proxy returns the handover"
 statement "$proxy_2" lookup --body "get bale-17" | grep -E '^(outcome|body)'
 
 say "An operator drains a replica"
--- a/Tests/Golden/failover/steps.sh
+++ b/Tests/Golden/failover/steps.sh
@@ -15,17 +15,17 @@
   >write
 grep -E '^(outcome|served-by|body)' write | sed -E 's/ledger-1-[23]/NEXT/'
 
-say "Both handovers can be read"
+say "Both handovers are readable"
 statement "$proxy_2" lookup --session "$session" --body "get bale-17" |
   grep -E '^(outcome|body)'
 statement "$proxy_1" lookup --body "get bale-18" \
   --session "$(sed -n 's/^session //p' write)" | grep -E '^(outcome|body)'
 
-say "The audit trail tells what the system did by itself"
+say "The audit trail records the automatic actions"
 audit --subject bale-ledger-1 --json |
   jq -c '.[] | [.actor, .action, (.to | sub(" primary.*"; ""))]'
 
-say "The gap stands in the metrics of a proxy that served through it"
+say "The metrics of a proxy contain the failover gap"
 wait_for sh -c "curl -s http://$operators_2/metrics |
   grep -q '^corianderdyke_database_write_gap_seconds_count [1-9]'"
 echo "a gap was observed"
--- a/Tests/Golden/normal/steps.sh
+++ b/Tests/Golden/normal/steps.sh
@@ -10,7 +10,7 @@
 statement "$proxy_2" lookup --body "get bale-17" \
   --session "$(sed -n 's/^session //p' write)" | grep -E '^(outcome|body)'
 
-say "A scan that is sent again through the other proxy counts once"
+say "A scan that is retried through the other proxy counts once"
 key="$(date +%s%3N)-scan-2"
 count=(handover --key "$key" --body "add scans-of-17 1")
 statement "$proxy_1" "${count[@]}" | grep -E '^(outcome|body)'
@@ -28,7 +28,7 @@
 apply "$next" --wait --operator anna
 "$program" manifest history "${control[@]}" | sed -E 's/^([0-9]+) .* /\1 /'
 
-say "What operators see"
+say "Status and audit trail for operators"
 "$program" status "${control[@]}" --json |
   jq -c '.groups[] | [.database, .phase, .primary, (.targets | length)]'
 "$program" status "${control[@]}" --json |
--- a/Tests/Golden/refusal/steps.sh
+++ b/Tests/Golden/refusal/steps.sh
@@ -3,7 +3,7 @@
 once() { "$caller" once --proxy "$proxy_1" "$@"; }
 clerk=(--database bale-ledger-1 --organisation port-clerks)
 
-say "Statements that can't be taken"
+say "Statements that are refused"
 try once --database nowhere --organisation port-clerks --kind lookup --body x
 try once --database bale-ledger-1 --organisation nobody --kind lookup --body x
 try once "${clerk[@]}" --kind hand-over --body x
@@ -27,24 +27,24 @@
 try "$program" check --manifest faulty.toml
 try "$program" manifest apply faulty.toml "${control[@]}"
 
-say "The same from the operators' port, for a client of another make"
+say "The same manifest through HTTP at the operator port"
 curl -s -H "Operator-Key: $CORIANDERDYKE_OPERATOR_KEY" \
   --data-binary @faulty.toml "http://127.0.0.1:${port[3]}/v1/manifest/diff" |
   jq -c '.findings[] | [.line, .column]'
 
-say "Another content with the version in force, and an older version"
+say "Different content with the version in force, and an older version"
 try apply "$(write_manifest 1 9)"
 apply "$(write_manifest 2 4)" >/dev/null
 try apply "$(write_manifest 1 4)"
 
-say "Changes need the operators' key, reading doesn't"
+say "Changes need the operator key, reading does not"
 CORIANDERDYKE_OPERATOR_KEY=wrong try apply "$(write_manifest 3 4)"
 "$program" manifest show "${control[@]}" | grep '^version'
 
-say "Nothing was changed by any of it"
+say "None of these requests changed anything"
 audit --subject manifest --json | jq -c '.[] | [.action, .from[0:9], .to[0:9]]'
 
-say "Garbage on each port is answered with an error or closed"
+say "Garbage on each port gets an error or closes the connection"
 # Sent in a single write: the shell writes line by line, and a line that arrives
 # after the port was closed would cause a reset instead of the answer.
 printf '\xff\xff\xff\xffgarbage\r\n\r\n' >garbage
--- a/Tests/Golden/start/steps.sh
+++ b/Tests/Golden/start/steps.sh
@@ -17,7 +17,7 @@
 END
 try "$program" run faulty.toml
 
-say "A file that isn't there"
+say "A file that does not exist"
 try "$program" run missing.toml
 
 says() { sed -nE 's/.*CD([0-9]+ [a-z-]+ .*)/\1/p'; }
@@ -32,12 +32,12 @@
   control-1.toml >held.toml
 try "$program" run held.toml | sed -E 's/^.* CD/CD/'
 
-say "A data folder that can't be made"
+say "A data folder that cannot be created"
 sed -E "s#^data_folder.*#data_folder = \"$folder/held.toml/data\"#" held.toml \
   >unwritable.toml
 try "$program" run unwritable.toml | sed -E 's/^.* CD/CD/'
 
-say "Reload: the log's level changes, a port waits for a restart"
+say "Reload: the log level changes, a port change needs a restart"
 sed -i -E -e 's/^stop_notice_ms.*/log_format = "json"\nstop_notice_ms = 7/' \
   control-1.toml
 kill -HUP "${process_of[control-1]}"
