--- a/Tests/Golden/drain/steps.sh
+++ b/Tests/Golden/drain/steps.sh
@@ -1,10 +1,10 @@
-# A planned stop cuts nothing: the statement in flight gets its answer, the
-# balancer turns away at once, and the process ends by itself. A drained
-# target gets nothing new.
+# A planned stop aborts no statement: the statement in flight is answered, the
+# load balancer stops sending at once, and the process exits. A drained target
+# receives no new statements.
 start_all --service-ms 400 >/dev/null
 key() { echo "$(date +%s%3N)-$1"; }
 
-say "SIGTERM comes while a handover is in flight"
+say "A proxy receives SIGTERM while a handover is in flight"
 "$caller" once --proxy "$proxy_1" --database bale-ledger-1 \
   --organisation port-clerks --kind handover --key "$(key scan-1)" \
   --body "put bale-17 haulier-4" >answer &
@@ -22,7 +22,7 @@
 wait "${process_of[entry-1]}"
 echo "ended with $?"
 
-say "The other proxy shows it"
+say "A lookup at the other proxy returns the handover"
 statement "$proxy_2" lookup --body "get bale-17" | grep -E '^(outcome|body)'
 
 say "An operator drains a replica"
