--- a/Source/App/FileCommands.cpp
+++ b/Source/App/FileCommands.cpp
@@ -24,7 +24,7 @@
   if (Json)
     std::cout << jsonText({{"findings", findingsReport(Found)}}, 2) << "\n";
   else
-    std::cerr << refusalText(Found);
+    std::cerr << findingsText(Found);
   return InvalidFile;
 }
 
--- a/Source/App/OperatorCommands.cpp
+++ b/Source/App/OperatorCommands.cpp
@@ -131,7 +131,7 @@
     return report(Text.error(), InvalidFile);
   // Checked here first, so that errors are reported without a running system.
   if (const auto Parsed = parseManifest(File, *Text); !Parsed) {
-    std::cerr << refusalText(Parsed.error());
+    std::cerr << findingsText(Parsed.error());
     return InvalidFile;
   }
   HttpRequest Request = post(Path);
--- a/Source/App/SteeringProcess.cpp
+++ b/Source/App/SteeringProcess.cpp
@@ -198,7 +198,7 @@
     const Consensus &Group = Control->consensus();
     if (admitEvent(EventId::GroupStanding))
       logEvent(EventId::GroupStanding,
-               {{"role", refusalText(Group.role())},
+               {{"role", roleName(Group.role())},
                 {"term", std::to_string(Group.term())},
                 {"last", std::to_string(Group.log().lastIndex())},
                 {"voters", describe(Group.voters())}});
--- a/Source/Common/Finding.cpp
+++ b/Source/Common/Finding.cpp
@@ -27,7 +27,7 @@
   return All;
 }
 
-std::string refusalText(const Findings &All) {
+std::string findingsText(const Findings &All) {
   std::string Out;
   for (const Finding &Each : All)
     Out += Each.text() + "\n";
--- a/Source/Common/Finding.h
+++ b/Source/Common/Finding.h
@@ -30,7 +30,7 @@
 Findings sortByPosition(Findings All);
 
 /// The findings, one per line.
-std::string refusalText(const Findings &All);
+std::string findingsText(const Findings &All);
 
 } // namespace corianderdyke
 
--- a/Source/Consensus/Consensus.cpp
+++ b/Source/Consensus/Consensus.cpp
@@ -10,7 +10,7 @@
 
 namespace corianderdyke {
 
-const char *refusalText(ConsensusRole Role) {
+const char *roleName(ConsensusRole Role) {
   switch (Role) {
   case ConsensusRole::Founding:
     return "founding";
--- a/Source/Consensus/Consensus.h
+++ b/Source/Consensus/Consensus.h
@@ -91,7 +91,7 @@
 };
 
 /// The name of the role in logs and reports.
-const char *refusalText(ConsensusRole Role);
+const char *roleName(ConsensusRole Role);
 
 class Consensus {
 public:
--- a/Tests/Support/FakeCluster.cpp
+++ b/Tests/Support/FakeCluster.cpp
@@ -158,7 +158,7 @@
 void FakeCluster::applyManifest(const std::string &Text) {
   const auto Parsed = parseManifest("test", Text);
   if (!Parsed)
-    throw std::runtime_error(refusalText(Parsed.error()));
+    throw std::runtime_error(findingsText(Parsed.error()));
   if (!Loop.runUntilTrue([this] { return leader() != nullptr; }, Millis(10000)))
     throw std::runtime_error("no leader");
   auto Done = std::make_shared<bool>(false);
--- a/Tests/Unit/ExperimentTest.cpp
+++ b/Tests/Unit/ExperimentTest.cpp
@@ -17,7 +17,7 @@
   std::ostringstream Text;
   Text << std::ifstream(File).rdbuf();
   const auto Out = parseScenario(File, Text.str());
-  INFO((Out ? "" : refusalText(Out.error())));
+  INFO((Out ? "" : findingsText(Out.error())));
   REQUIRE(Out);
   return *Out;
 }
--- a/Tests/Unit/ManifestFileTest.cpp
+++ b/Tests/Unit/ManifestFileTest.cpp
@@ -90,5 +90,5 @@
   }));
   const auto Read = parseManifest("f", Short + Added);
   REQUIRE_FALSE(Read);
-  CHECK(refusalText(Read.error()) == Finding);
+  CHECK(findingsText(Read.error()) == Finding);
 }
--- a/Tests/Unit/SettingsTest.cpp
+++ b/Tests/Unit/SettingsTest.cpp
@@ -76,7 +76,7 @@
       }));
   const auto Read = parseSettings("f", replaced(good(), From, To));
   REQUIRE_FALSE(Read);
-  CHECK(refusalText(Read.error()) == Finding);
+  CHECK(findingsText(Read.error()) == Finding);
 }
 
 TEST_CASE("A reload tells apart what takes effect", "[settings]") {
--- a/Utilities/Experiment/ExperimentMain.cpp
+++ b/Utilities/Experiment/ExperimentMain.cpp
@@ -81,7 +81,7 @@
     Text << std::ifstream(File).rdbuf();
     const auto What = parseScenario(File, Text.str());
     if (!What) {
-      std::cerr << refusalText(What.error());
+      std::cerr << findingsText(What.error());
       return 2;
     }
     runAll(*What, Summary, Timeline);
--- a/Utilities/Experiment/Scenario.cpp
+++ b/Utilities/Experiment/Scenario.cpp
@@ -12,7 +12,7 @@
 constexpr Micros PerMilli = 1000;
 constexpr std::int64_t Most = 1000000;
 
-KeyDescription refusalText(const std::string &Table, const std::string &Key) {
+KeyDescription stringKey(const std::string &Table, const std::string &Key) {
   return {.Table = Table, .Key = Key};
 }
 
@@ -30,8 +30,8 @@
   return {.Key = Key, .Type = KeyType::StringList};
 }
 
-KeyDescription outcomeHeader(const std::string &Table, const std::string &Key,
-                             const std::vector<std::string> &Words) {
+KeyDescription choiceKey(const std::string &Table, const std::string &Key,
+                         const std::vector<std::string> &Words) {
   return {.Table = Table,
           .Key = Key,
           .Type = KeyType::Choice,
@@ -41,7 +41,7 @@
 
 const KeySchema &keys() {
   static const KeySchema Keys({
-      refusalText("", "name"),
+      stringKey("", "name"),
       number("", "seed", "1"),
       number("", "length_ms", "10000", 1),
       number("", "count_from_ms", "2000"),
@@ -50,15 +50,15 @@
       texts("deployments"),
       texts("orders"),
       texts("rights"),
-      refusalText("[[organisation]]", "name"),
+      stringKey("[[organisation]]", "name"),
       number("[[organisation]]", "share", "1", 1),
-      refusalText("[[kind]]", "name"),
-      outcomeHeader("[[kind]]", "access", {"read", "write"}),
+      stringKey("[[kind]]", "name"),
+      choiceKey("[[kind]]", "access", {"read", "write"}),
       number("[[kind]]", "accepted_age_ms", "1000"),
       number("[[kind]]", "deadline_ms", "1000", 1),
       number("[[kind]]", "weight", "1", 1),
-      refusalText("[[load]]", "organisation"),
-      refusalText("[[load]]", "kind"),
+      stringKey("[[load]]", "organisation"),
+      stringKey("[[load]]", "kind"),
       number("[[load]]", "per_second", "0"),
       number("[[load]]", "service_ms", "4"),
       {.Table = "[[load]]",
@@ -68,8 +68,8 @@
       number("[[load]]", "from_ms", "0"),
       number("[[load]]", "until_ms", "the length"),
       number("[[load]]", "proxies", "0"),
-      outcomeHeader("[[fault]]", "kind",
-                    {"proxy-dies", "rolling-restart", "slow-target"}),
+      choiceKey("[[fault]]", "kind",
+                {"proxy-dies", "rolling-restart", "slow-target"}),
       number("[[fault]]", "at_ms", "0"),
       number("[[fault]]", "until_ms", "0"),
       number("[[fault]]", "index", "0"),
