--- a/Source/Proxy/StatementService.cpp
+++ b/Source/Proxy/StatementService.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// The minimum retry delay of refused callers.
-constexpr Millis RetryAfter(100);
+constexpr Millis MinRetryAfter(100);
 /// The number of attempts before a statement is refused. A read that fails at
 /// every target would otherwise be retried until its deadline and load each of
 /// them.
@@ -502,7 +502,7 @@
 
 void StatementService::rejectWithRetry(const JobPtr &CurrentJob,
                                        const std::string &Why) {
-  rejectWithRetry(CurrentJob, Why, RetryDelays.next(RetryAfter));
+  rejectWithRetry(CurrentJob, Why, RetryDelays.next(MinRetryAfter));
 }
 
 void StatementService::rejectWithRetry(const JobPtr &CurrentJob,
