--- a/Source/Pipeline/ConnectionAssignment.cpp
+++ b/Source/Pipeline/ConnectionAssignment.cpp
@@ -255,7 +255,7 @@
 
 bool SessionPipeline::mayOpen(const TargetPool &Pool,
                               const std::string &Organisation) const {
-  return Deps.Targets.knowsShares() &&
+  return Deps.Targets.isShareKnown() &&
          Pool.mayOpen(Organisation, Deps.Time.now());
 }
 
--- a/Source/Relay/SharedConnector.cpp
+++ b/Source/Relay/SharedConnector.cpp
@@ -176,7 +176,7 @@
 // All processes may start at the same time. Proxies that opened their own
 // connections before they receive the list of proxies would exceed the targets'
 // limits, and each opening takes a slot.
-bool SharedConnector::knowsShares() const {
+bool SharedConnector::isShareKnown() const {
   return !Proxies.empty() ||
          (FirstPlanAt && Deps.Time.now() - *FirstPlanAt >= ProxyListTimeout);
 }
--- a/Source/Relay/SharedConnector.h
+++ b/Source/Relay/SharedConnector.h
@@ -32,7 +32,7 @@
   std::unique_ptr<TargetLink> open(const TargetAddress &To,
                                    TargetLink::Events Events) override;
   bool sharesConnections(const std::string &Group) const override;
-  bool knowsShares() const override;
+  bool isShareKnown() const override;
 
   /// Apply the configuration and state received from control.
   void setPlan(const RoutePlan &New);
--- a/Source/Statements/Links.h
+++ b/Source/Statements/Links.h
@@ -133,7 +133,7 @@
 
   /// False while it is not known yet how many connections to the targets this
   /// process may open.
-  virtual bool knowsShares() const { return true; }
+  virtual bool isShareKnown() const { return true; }
 
   /// True if links to a group's targets are shared: one more costs the target
   /// nothing.
--- a/Source/Storage/Journal.cpp
+++ b/Source/Storage/Journal.cpp
@@ -142,7 +142,7 @@
                   "journal damaged at byte " + std::to_string(At) +
                       " with good records behind it; this host can't go on "
                       "from this disk: see Help/task/lost-disk.md");
-    Out.CutBytes = Bytes->size() - At;
+    Out.TornTailBytes = Bytes->size() - At;
     Out.TailDamaged = looksDamaged(*Bytes, At);
     // A damaged tail stays in the file until replace(), so that the journal
     // does not appear intact after a crash before that.
--- a/Source/Storage/Journal.h
+++ b/Source/Storage/Journal.h
@@ -32,7 +32,7 @@
   struct Content {
     std::string Snapshot; ///< Empty if there is none.
     std::vector<std::string> Records;
-    std::size_t CutBytes = 0; ///< Size of the torn tail.
+    std::size_t TornTailBytes = 0; ///< Size of the torn tail.
     /// The tail is complete but invalid. A crash leaves a short record or
     /// blocks of zeros, so this indicates a flipped bit in a batch that had
     /// been synced.
--- a/Tests/Unit/JournalTest.cpp
+++ b/Tests/Unit/JournalTest.cpp
@@ -172,7 +172,7 @@
   auto Found = After.load();
   REQUIRE(Found);
   CHECK(Found->Records == std::vector<std::string>{"one"});
-  CHECK(Found->CutBytes == 10);
+  CHECK(Found->TornTailBytes == 10);
   REQUIRE(After.append({"three"}));
   CHECK(Journal(Disk).load()->Records ==
         std::vector<std::string>{"one", "three"});
