--- a/Source/Pipeline/TargetPool.cpp
+++ b/Source/Pipeline/TargetPool.cpp
@@ -160,7 +160,7 @@
 
 void TargetPool::maintain(Millis Now) {
   const Millis Recovery =
-      IsPerOrganisation ? LimitRecoveryWhereDivided : LimitRecovery;
+      IsPerOrganisation ? LimitRecoveryPerOrganisation : LimitRecovery;
   if (Observed.Limit && Now - Observed.LimitRaisedAt >= Recovery) {
     Observed.LimitRaisedAt = Now;
     if (++*Observed.Limit >= Share + Burst)
--- a/Source/Pipeline/TargetPool.h
+++ b/Source/Pipeline/TargetPool.h
@@ -206,7 +206,7 @@
   static constexpr Millis RefusedPause = Millis(50);
   /// Interval at which the limit is raised by one after a refusal.
   static constexpr Millis LimitRecovery = Millis(1000);
-  static constexpr Millis LimitRecoveryWhereDivided = Millis(250);
+  static constexpr Millis LimitRecoveryPerOrganisation = Millis(250);
   static constexpr Millis InitialBackoff = Millis(50);
   static constexpr Millis MaxBackoff = Millis(800);
   /// A target that does not lead is tried again after this long, in case the
--- a/Source/Quota/QuotaSeats.cpp
+++ b/Source/Quota/QuotaSeats.cpp
@@ -87,7 +87,7 @@
   if (Now >= LeaseEnd)
     return Out;
   const Quota Limit = limitOfSeat(Organisation);
-  double Soonest = -1;
+  double MinWait = -1;
   for (std::uint32_t Index = 0; Index < SeatsPerOrganisation; ++Index) {
     const auto Found = Seats.find({Organisation, Index});
     if (Found == Seats.end())
@@ -109,12 +109,12 @@
     const double Wait = Limit.PerSecond > 0
                             ? std::max(0.0, Lacking) / Limit.PerSecond
                             : static_cast<double>(SeatLeaseDuration.count());
-    Soonest = Soonest < 0 ? Wait : std::min(Soonest, Wait);
+    MinWait = MinWait < 0 ? Wait : std::min(MinWait, Wait);
   }
   if (Out.HasSeat)
     Out.RetryAfter =
         std::min(SeatLeaseDuration, Millis(static_cast<std::int64_t>(
-                                        std::ceil(Soonest * MillisPerSecond))));
+                                        std::ceil(MinWait * MillisPerSecond))));
   return Out;
 }
 
--- a/Source/Steering/PromotionCoordinator.cpp
+++ b/Source/Steering/PromotionCoordinator.cpp
@@ -213,9 +213,10 @@
   const std::size_t Reached = countRecentlyReached(*Primary);
   const bool Reported = Failed > 0 && Failed >= std::min(MinReports, Proxies);
   // Heartbeats before this host began to lead went to another leader.
-  const Millis HeardAt =
+  const Millis LastHeartbeatAt =
       std::max(Directory.lastUpdate(Primary->Id), LeadingSince);
-  const bool IsSilent = Now - HeardAt > Times.SuspectAfter && Reached == 0;
+  const bool IsSilent =
+      Now - LastHeartbeatAt > Times.SuspectAfter && Reached == 0;
   if (!Reported && !IsSilent)
     return;
   In.ChangeBeganAt = Now;
--- a/Source/Steering/SteeringNode.cpp
+++ b/Source/Steering/SteeringNode.cpp
@@ -119,15 +119,15 @@
   });
 }
 
-void SteeringNode::applyHeartbeat(const TargetRecord &Said,
+void SteeringNode::applyHeartbeat(const TargetRecord &Record,
                                   DoneHandler OnDone) {
   if (!Leading)
     return OnDone(notLeading());
-  const TargetRecord *Known = Directory.find(Said.Id);
+  const TargetRecord *Known = Directory.find(Record.Id);
   const bool IsPromise =
-      Said.IsLeaving && (Known == nullptr || !Known->IsLeaving ||
-                         Known->Incarnation < Said.Incarnation);
-  Directory.applyHeartbeat(Said, Deps.Time.now());
+      Record.IsLeaving && (Known == nullptr || !Known->IsLeaving ||
+                           Known->Incarnation < Record.Incarnation);
+  Directory.applyHeartbeat(Record, Deps.Time.now());
   publish();
   // The target takes the answer as a promise that it soon gets no new
   // statements. A leader that is partitioned from the other control hosts, and
--- a/Source/Steering/SteeringNode.h
+++ b/Source/Steering/SteeringNode.h
@@ -53,7 +53,7 @@
   void readPlan(PlanHandler OnRead);
   /// Applies a target's heartbeat; done once the update to the proxies is sent
   /// or due.
-  void applyHeartbeat(const TargetRecord &Said, DoneHandler OnDone);
+  void applyHeartbeat(const TargetRecord &Record, DoneHandler OnDone);
   /// Deregisters one incarnation of a target.
   void deregister(const std::string &Target, std::uint64_t Incarnation,
                   DoneHandler OnDone);
--- a/Utilities/Bench/BenchMain.cpp
+++ b/Utilities/Bench/BenchMain.cpp
@@ -160,7 +160,7 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int Count, char **Arguments) {
   CLI::App App("Measures a proxy on loopback", "bench-proxy");
   std::string Proxy;
   std::string Target;
@@ -174,7 +174,7 @@
   App.add_option("--seconds", Seconds, "Length of each of the four runs");
   App.add_option("--callers", Callers, "Callers at a time");
   App.add_option("--idle", Idle, "Idle connections to measure memory with");
-  CLI11_PARSE(App, Count, Words);
+  CLI11_PARSE(App, Count, Arguments);
   const Endpoint ProxyAt = Endpoint::parse(Proxy).value_or(Endpoint());
   const Endpoint TargetAt = Endpoint::parse(Target).value_or(Endpoint());
   const Millis Span(Seconds * 1000);
--- a/Utilities/Capacity/Main.cpp
+++ b/Utilities/Capacity/Main.cpp
@@ -85,11 +85,11 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int Count, char **Arguments) {
   CLI::App App("Measures the slopes of docs/CAPACITY.md", "measure-capacity");
   std::string Page;
   App.add_option("--write", Page, "Page whose tables are written anew");
-  CLI11_PARSE(App, Count, Words);
+  CLI11_PARSE(App, Count, Arguments);
   Slopes Measured;
   measureMessages(Measured);
   measureDuties(Measured);
--- a/Utilities/Experiment/Experiment.cpp
+++ b/Utilities/Experiment/Experiment.cpp
@@ -97,7 +97,7 @@
             std::max(How.Sizes.Connections / How.Sizes.Proxies, 1U);
         if (const std::uint32_t Homes = homes(); Homes > 0)
           Limit = isHome(Index, Database) ? How.Sizes.Connections / Homes : 0;
-        if (Proxies[Index] != nullptr && !Proxies[Index]->isDead())
+        if (Proxies[Index] != nullptr && !Proxies[Index]->isTerminated())
           Proxies[Index]->setLimit(At, Limit);
       }
   }
@@ -121,7 +121,7 @@
   }
 
   void ask(ModelProxy &Of) {
-    if (Of.isDead())
+    if (Of.isTerminated())
       return;
     const RightsRequest Request = Of.askForRights();
     Time.after(How.Sizes.TargetHop, [this, &Of, Request] {
@@ -129,11 +129,11 @@
       if (!Grant)
         return;
       Time.after(How.Sizes.TargetHop, [this, &Of, Grant] {
-        if (Of.isDead())
+        if (Of.isTerminated())
           return;
-        const bool IsNews = Grant->Duration == Millis();
+        const bool IsTermAnnouncement = Grant->Duration == Millis();
         Of.take(*Grant);
-        if (IsNews)
+        if (IsTermAnnouncement)
           ask(Of);
       });
     });
@@ -217,7 +217,7 @@
     }
     if (Counts) {
       Of.RefusedAfter.push_back(Took);
-      Of.ToldToReturn.push_back(RetryAfter.count() * 1000);
+      Of.RetryDelays.push_back(RetryAfter.count() * 1000);
     }
     if (Each->Returns >= What.Returns) {
       if (Counts)
@@ -261,7 +261,7 @@
 
   bool isServing(std::uint32_t Index) const {
     const ModelProxy &Of = *Proxies[Index];
-    return !Of.isDead() && !Of.isDraining() &&
+    return !Of.isTerminated() && !Of.isDraining() &&
            (homes() > 0 || Of.hasConnections());
   }
 
@@ -282,7 +282,7 @@
   }
 
   void lose(std::uint32_t Index) {
-    Proxies[Index]->die();
+    Proxies[Index]->terminate();
     if (homes() == 0)
       return;
     // The forwarders go on sending to it until they know; its successor has
--- a/Utilities/Experiment/Experiment.h
+++ b/Utilities/Experiment/Experiment.h
@@ -33,7 +33,7 @@
   std::uint64_t Returned = 0; ///< Times that refused callers came back.
   std::vector<Micros> ServedAfter;
   std::vector<Micros> RefusedAfter;
-  std::vector<Micros> ToldToReturn;
+  std::vector<Micros> RetryDelays;
   /// Served by tenths of a second.
   std::map<std::int64_t, std::uint64_t> Timeline;
 
--- a/Utilities/Experiment/ExperimentMain.cpp
+++ b/Utilities/Experiment/ExperimentMain.cpp
@@ -43,7 +43,7 @@
             << millis(Each.ServedAfter, Median) << ","
             << millis(Each.ServedAfter, Tail) << ","
             << millis(Each.RefusedAfter, Tail) << ","
-            << millis(Each.ToldToReturn, Median) << "," << Got.MostConnections
+            << millis(Each.RetryDelays, Median) << "," << Got.MostConnections
             << "\n";
     constexpr double TenthsPerSecond = 10;
     for (const auto &[Tenth, Served] : Each.Timeline)
@@ -64,14 +64,14 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int Count, char **Arguments) {
   CLI::App App("Runs admission and connection rights on modelled targets",
                "experiment");
   std::vector<std::string> Files;
   std::string Folder = ".";
   App.add_option("scenario", Files, "Scenario files")->required();
   App.add_option("--out", Folder, "Folder for summary.csv and timeline.csv");
-  CLI11_PARSE(App, Count, Words);
+  CLI11_PARSE(App, Count, Arguments);
   std::ofstream Summary(Folder + "/summary.csv");
   std::ofstream Timeline(Folder + "/timeline.csv");
   Summary << SummaryHead;
--- a/Utilities/Experiment/FailoverGap.cpp
+++ b/Utilities/Experiment/FailoverGap.cpp
@@ -204,13 +204,13 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
+int main(int Count, char **Arguments) {
   CLI::App App("Measures the failover gap on the fakes", "measure-failover");
   int Seeds = 100;
   std::string Csv;
   App.add_option("--seeds", Seeds, "Runs of each fault and deployment");
   App.add_option("--csv", Csv, "File for one line a run");
-  CLI11_PARSE(App, Count, Words);
+  CLI11_PARSE(App, Count, Arguments);
   std::ofstream Lines;
   if (!Csv.empty())
     Lines.open(Csv);
--- a/Utilities/Experiment/ModelProxy.cpp
+++ b/Utilities/Experiment/ModelProxy.cpp
@@ -65,7 +65,7 @@
 }
 
 void ModelProxy::look() {
-  if (Dead)
+  if (IsTerminated)
     return;
   for (auto &Each : Admissions)
     refuse(Each->shedUnservable(Time.millis()));
@@ -115,7 +115,7 @@
 }
 
 void ModelProxy::dispatch(std::uint32_t Database) {
-  if (Dead)
+  if (IsTerminated)
     return;
   const auto CanRun = [this](const QueuedRequest &Each) {
     return freeTarget(*Waiting.at(Each.Id)).has_value();
@@ -144,7 +144,7 @@
   }
   ++Of.Open;
   Targets[Target].connect([this, Target, Each, Queued, SentAt] {
-    if (!Dead)
+    if (!IsTerminated)
       runOn(Target, Each, Queued, SentAt);
   });
 }
@@ -152,7 +152,7 @@
 void ModelProxy::runOn(std::uint32_t Target, const StatementPtr &Each,
                        const QueuedRequest &Queued, Micros SentAt) {
   Targets[Target].execute(Each->Service, [this, Target, Each, Queued, SentAt] {
-    if (Dead)
+    if (IsTerminated)
       return;
     --Pools[Target].Busy;
     ++Pools[Target].Idle;
@@ -220,15 +220,15 @@
                      [](const Pool &Each) { return Each.Limit > 0; });
 }
 
-void ModelProxy::die() {
-  Dead = true;
+void ModelProxy::terminate() {
+  IsTerminated = true;
   for (std::uint32_t At = 0; At < Pools.size(); ++At)
     Targets[At].disconnect(Pools[At].Open);
   Pools.assign(Pools.size(), Pool());
 }
 
 void ModelProxy::leave() {
-  die();
+  terminate();
   Rights.relinquish();
 }
 
--- a/Utilities/Experiment/ModelProxy.h
+++ b/Utilities/Experiment/ModelProxy.h
@@ -49,8 +49,8 @@
   const ProcessId &id() const { return Rights.id(); }
 
   /// Dies at once: its connections close, its callers hear nothing.
-  void die();
-  bool isDead() const { return Dead; }
+  void terminate();
+  bool isTerminated() const { return IsTerminated; }
   /// The balancer sends nothing new; what is here is still served.
   void drain() { Draining = true; }
   bool isDraining() const { return Draining; }
@@ -91,7 +91,7 @@
   std::vector<Pool> Pools;
   std::map<std::uint64_t, StatementPtr> Waiting;
   std::uint64_t NextId = 1;
-  bool Dead = false;
+  bool IsTerminated = false;
   bool Draining = false;
 };
 
--- a/Utilities/Experiment/ReplicaShare.cpp
+++ b/Utilities/Experiment/ReplicaShare.cpp
@@ -196,8 +196,8 @@
 
 } // namespace
 
-int main(int Count, char **Words) {
-  const std::uint64_t Seed = Count > 1 ? numberOr(Words[1], 1) : 1;
+int main(int Count, char **Arguments) {
+  const std::uint64_t Seed = Count > 1 ? numberOr(Arguments[1], 1) : 1;
   std::printf("seed %llu\n%-22s %6s %6s %8s %8s %8s %8s\n",
               static_cast<unsigned long long>(Seed), "scenario", "reads",
               "undone", "share", "best", "ratio", "mean ms");
--- a/Utilities/Experiment/Scenario.cpp
+++ b/Utilities/Experiment/Scenario.cpp
@@ -31,12 +31,12 @@
 }
 
 KeyDescription choiceKey(const std::string &Table, const std::string &Key,
-                         const std::vector<std::string> &Words) {
+                         const std::vector<std::string> &Choices) {
   return {.Table = Table,
           .Key = Key,
           .Type = KeyType::Choice,
-          .Choices = Words,
-          .Default = Words.front()};
+          .Choices = Choices,
+          .Default = Choices.front()};
 }
 
 const KeySchema &keys() {
