--- a/Source/Proxy/StatementRequest.cpp
+++ b/Source/Proxy/StatementRequest.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 tl::unexpected<Error> badHeader(const std::string &Name,
-                                const std::string &Why) {
-  return fail(ErrorCode::BadInput, Name + ": " + Why);
+                                const std::string &Reason) {
+  return fail(ErrorCode::BadInput, Name + ": " + Reason);
 }
 
 /// Statements inside a transaction take effect with its commit, which has the
--- a/Source/Proxy/StatementService.cpp
+++ b/Source/Proxy/StatementService.cpp
@@ -235,31 +235,31 @@
 }
 
 void StatementService::handleAcquireFailure(const JobPtr &CurrentJob,
-                                            const Error &Why) {
+                                            const Error &Failure) {
   if (!CurrentJob->ChosenRoute.IsPrimary)
-    return retryAtAnotherTarget(CurrentJob, Why.Message);
+    return retryAtAnotherTarget(CurrentJob, Failure.Message);
   // A full server does not get free connections by a change of primary, but a
   // primary that does not answer is about to be replaced.
-  if (Why.Code == ErrorCode::Unavailable)
-    return rejectWithRetry(CurrentJob, Why.Message);
-  waitForPrimary(CurrentJob, Why.Message);
+  if (Failure.Code == ErrorCode::Unavailable)
+    return rejectWithRetry(CurrentJob, Failure.Message);
+  waitForPrimary(CurrentJob, Failure.Message);
 }
 
 void StatementService::retryAtAnotherTarget(const JobPtr &CurrentJob,
-                                            const std::string &Why) {
+                                            const std::string &Reason) {
   CurrentJob->ExcludedTargets.insert(CurrentJob->ChosenRoute.Target);
   if (++CurrentJob->Attempts >= MaxAttempts)
-    return rejectWithRetry(CurrentJob, Why);
+    return rejectWithRetry(CurrentJob, Reason);
   dispatch(CurrentJob);
 }
 
 void StatementService::waitForPrimary(const JobPtr &CurrentJob,
-                                      const std::string &Why) {
+                                      const std::string &Reason) {
   const Millis Now = Deps.Time.now();
   const Millis Until =
       PrimaryWait.waitDeadline(View, CurrentJob->Statement.Database, Now);
   if (Until <= Now)
-    return rejectWithRetry(CurrentJob, Why);
+    return rejectWithRetry(CurrentJob, Reason);
   CurrentJob->CurrentStage = Job::Stage::Choosing;
   // Another statement may run meanwhile.
   CurrentJob->IsAdmitted = false;
@@ -267,10 +267,10 @@
   WaitingForPrimary[CurrentJob->Id] = CurrentJob;
   if (CurrentJob->PrimaryWaitTimer == 0)
     CurrentJob->PrimaryWaitTimer =
-        Deps.Timers.after(Until - Now, [this, CurrentJob, Why] {
+        Deps.Timers.after(Until - Now, [this, CurrentJob, Reason] {
           CurrentJob->PrimaryWaitTimer = 0;
           if (WaitingForPrimary.count(CurrentJob->Id) != 0)
-            rejectWithRetry(CurrentJob, Why);
+            rejectWithRetry(CurrentJob, Reason);
         });
 }
 
@@ -427,14 +427,14 @@
 }
 
 void StatementService::afterLostAnswer(const JobPtr &CurrentJob) {
-  const std::string Why = "the connection to the target was lost before its "
-                          "answer";
+  const std::string Reason = "the connection to the target was lost before its "
+                             "answer";
   CurrentJob->AnswerLost = true;
   // The failed attempt may have used a target's time already. Without a budget,
   // retries could double the load on the remaining targets.
   if (CurrentJob->Statement.isWrite() || !Budget.tryTake())
-    return rejectWithRetry(CurrentJob, Why);
-  retryAtAnotherTarget(CurrentJob, Why);
+    return rejectWithRetry(CurrentJob, Reason);
+  retryAtAnotherTarget(CurrentJob, Reason);
 }
 
 void StatementService::holdWrite(const JobPtr &CurrentJob,
@@ -501,25 +501,25 @@
 }
 
 void StatementService::rejectWithRetry(const JobPtr &CurrentJob,
-                                       const std::string &Why) {
-  rejectWithRetry(CurrentJob, Why, RetryDelays.next(MinRetryAfter));
+                                       const std::string &Reason) {
+  rejectWithRetry(CurrentJob, Reason, RetryDelays.next(MinRetryAfter));
 }
 
 void StatementService::rejectWithRetry(const JobPtr &CurrentJob,
-                                       const std::string &Why,
+                                       const std::string &Reason,
                                        Millis RetryAfter) {
   const bool MayHaveRun = CurrentJob->mayHaveRun();
   finish(CurrentJob, MayHaveRun ? Outcome::Unknown : Outcome::NotRun,
          refusalReply(MayHaveRun ? reply_status::Unknown
                                  : reply_status::Unavailable,
-                      Why, RetryAfter));
+                      Reason, RetryAfter));
 }
 
 void StatementService::reject(const JobPtr &CurrentJob, int Status,
-                              const std::string &Why) {
+                              const std::string &Reason) {
   finish(CurrentJob,
          CurrentJob->mayHaveRun() ? Outcome::Unknown : Outcome::NotRun,
-         plainReply(Status, Why));
+         plainReply(Status, Reason));
 }
 
 void StatementService::finish(const JobPtr &CurrentJob, Outcome Result,
--- a/Source/Proxy/StatementService.h
+++ b/Source/Proxy/StatementService.h
@@ -110,8 +110,8 @@
   void rejectRefused(const std::vector<Refusal> &All);
   TargetPools::LimitFunction limits() const;
   void acquire(const JobPtr &CurrentJob);
-  void handleAcquireFailure(const JobPtr &CurrentJob, const Error &Why);
-  void waitForPrimary(const JobPtr &CurrentJob, const std::string &Why);
+  void handleAcquireFailure(const JobPtr &CurrentJob, const Error &Failure);
+  void waitForPrimary(const JobPtr &CurrentJob, const std::string &Reason);
   void handleTargetChange(const std::string &Target);
   void send(const JobPtr &CurrentJob, PooledConnection Connection);
   void sendInTransaction(const JobPtr &CurrentJob);
@@ -126,7 +126,8 @@
   void afterRefusal(const JobPtr &CurrentJob, AnswerClass Class,
                     const HttpResponse &Answer);
   void afterLostAnswer(const JobPtr &CurrentJob);
-  void retryAtAnotherTarget(const JobPtr &CurrentJob, const std::string &Why);
+  void retryAtAnotherTarget(const JobPtr &CurrentJob,
+                            const std::string &Reason);
   void openTransaction(const JobPtr &CurrentJob, PooledConnection Connection);
   void holdWrite(const JobPtr &CurrentJob, const HttpResponse &Answer);
   void finishWrite(const JobPtr &CurrentJob, const PendingWrite &Write,
@@ -134,10 +135,10 @@
   void handleDeadline(const JobPtr &CurrentJob);
   void handleCallerAbort(const JobPtr &CurrentJob);
   void finishDone(const JobPtr &CurrentJob, HttpResponse Response);
-  void rejectWithRetry(const JobPtr &CurrentJob, const std::string &Why);
-  void rejectWithRetry(const JobPtr &CurrentJob, const std::string &Why,
+  void rejectWithRetry(const JobPtr &CurrentJob, const std::string &Reason);
+  void rejectWithRetry(const JobPtr &CurrentJob, const std::string &Reason,
                        Millis RetryAfter);
-  void reject(const JobPtr &CurrentJob, int Status, const std::string &Why);
+  void reject(const JobPtr &CurrentJob, int Status, const std::string &Reason);
   void finish(const JobPtr &CurrentJob, Outcome Result, HttpResponse Response);
   /// Removes a job from the queues and pools in which it waits.
   void removeFromQueues(const JobPtr &CurrentJob);
--- a/Source/Relay/BrokerLink.cpp
+++ b/Source/Relay/BrokerLink.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-StatementAnswer refusal(RefusalCode Code, std::string Why) {
+StatementAnswer refusal(RefusalCode Code, std::string Reason) {
   StatementAnswer Out;
-  Out.Refusal = StatementRefusal{Code, std::move(Why)};
+  Out.Refusal = StatementRefusal{Code, std::move(Reason)};
   return Out;
 }
 
@@ -151,7 +151,7 @@
   Handler(Answer);
 }
 
-void TargetBroker::Link::refuse(RefusalCode Code, const std::string &Why) {
+void TargetBroker::Link::refuse(RefusalCode Code, const std::string &Reason) {
   // A link that holds a connection has sent commands or is about to.
   if (BoundConnection)
     return;
@@ -159,7 +159,7 @@
   const std::shared_ptr<bool> AliveFlag = Alive;
   const std::size_t Count = std::exchange(Pending, {}).size();
   for (std::size_t Each = 0; Each < Count && *AliveFlag; ++Each)
-    deliver(refusal(Code, Why));
+    deliver(refusal(Code, Reason));
 }
 
 TargetConnectionPtr TargetBroker::Link::detachConnection() {
--- a/Source/Relay/BrokerLink.h
+++ b/Source/Relay/BrokerLink.h
@@ -81,7 +81,7 @@
   /// Sends the pending commands on the connection that it holds.
   void takeTurn();
   /// Answers all pending commands, none of which was sent, with a refusal.
-  void refuse(RefusalCode Code, const std::string &Why);
+  void refuse(RefusalCode Code, const std::string &Reason);
   /// Handles the end of the connection that the link holds.
   void handleConnectionLoss();
 
--- a/Source/Relay/TargetBroker.cpp
+++ b/Source/Relay/TargetBroker.cpp
@@ -280,20 +280,20 @@
                   dispatch(Of);
                 },
                 [this](const TargetConnectionPtr &Closed,
-                       const std::optional<StatementRefusal> &Why) {
-                  handleClose(Closed, Why);
+                       const std::optional<StatementRefusal> &Refusal) {
+                  handleClose(Closed, Refusal);
                 }});
   Ticker.requestWithin(WaitingInterval);
 }
 
 void TargetBroker::handleClose(const TargetConnectionPtr &Closed,
-                               const std::optional<StatementRefusal> &Why) {
+                               const std::optional<StatementRefusal> &Refusal) {
   Target *At = find(Closed->address().Id);
   if (At == nullptr)
     return;
-  if (isAtLimit(Why))
+  if (isAtLimit(Refusal))
     ++Openings.RefusedAtLimit;
-  if (At->Pool.handleClosed(Closed, Why, Time.now()))
+  if (At->Pool.handleClosed(Closed, Refusal, Time.now()))
     TargetFailed.emit({Closed->address().Id, true});
   std::vector<std::uint64_t> Holders;
   for (const auto &[Number, Each] : Links)
@@ -334,13 +334,13 @@
 }
 
 void TargetBroker::refuseAll(Target &At, RefusalCode Code,
-                             const std::string &Why) {
+                             const std::string &Reason) {
   std::vector<std::uint64_t> Refused;
   for (const Link *Each : At.Waiting)
     Refused.push_back(Each->number());
   for (const std::uint64_t Number : Refused)
     if (Link *Each = findLink(Number))
-      Each->refuse(Code, Why);
+      Each->refuse(Code, Reason);
 }
 
 void TargetBroker::tick() {
--- a/Source/Relay/TargetBroker.h
+++ b/Source/Relay/TargetBroker.h
@@ -110,12 +110,12 @@
   void warmUp(Target &At);
   void openConnection(Target &At, const std::string &Organisation);
   void handleClose(const TargetConnectionPtr &Closed,
-                   const std::optional<StatementRefusal> &Why);
+                   const std::optional<StatementRefusal> &Refusal);
   void closeStaleConnections(Target &At);
   void release(const TargetConnectionPtr &Used);
   void discard(const TargetConnectionPtr &Used);
   void recordAnswer(const TargetConnectionPtr &From);
-  void refuseAll(Target &At, RefusalCode Code, const std::string &Why);
+  void refuseAll(Target &At, RefusalCode Code, const std::string &Reason);
   void tick();
   void expireWaiting(Target &At);
   void detectSilence(Target &At);
--- a/Utilities/Experiment/ModelProxy.h
+++ b/Utilities/Experiment/ModelProxy.h
@@ -48,7 +48,7 @@
   bool hasConnections() const;
   const ProcessId &id() const { return Rights.id(); }
 
-  /// Dies at once: its connections close, its callers hear nothing.
+  /// Terminates at once: closes its connections and answers no callers.
   void terminate();
   bool isTerminated() const { return IsTerminated; }
   /// The balancer sends nothing new; what is here is still served.
