--- a/Tests/Unit/ManifestFileTest.cpp
+++ b/Tests/Unit/ManifestFileTest.cpp
@@ -91,5 +91,5 @@
   }));
   const auto Read = parseManifest("f", MinimalText + Added);
   REQUIRE_FALSE(Read);
-  CHECK(refusalText(Read.error()) == Finding);
+  CHECK(findingsText(Read.error()) == Finding);
 }
--- a/Tests/Unit/SettingsTest.cpp
+++ b/Tests/Unit/SettingsTest.cpp
@@ -76,7 +76,7 @@
       }));
   const auto Read = parseSettings("f", replaced(validSettings(), From, To));
   REQUIRE_FALSE(Read);
-  CHECK(refusalText(Read.error()) == Finding);
+  CHECK(findingsText(Read.error()) == Finding);
 }
 
 TEST_CASE("A reload reports which settings take effect", "[settings]") {
--- a/Utilities/Experiment/ExperimentMain.cpp
+++ b/Utilities/Experiment/ExperimentMain.cpp
@@ -82,7 +82,7 @@
     Text << std::ifstream(File).rdbuf();
     const auto Spec = parseScenario(File, Text.str());
     if (!Spec) {
-      std::cerr << refusalText(Spec.error());
+      std::cerr << findingsText(Spec.error());
       return 2;
     }
     runAll(*Spec, Summary, Timeline);
