--- a/Source/Pipeline/CallerSession.h
+++ b/Source/Pipeline/CallerSession.h
@@ -25,7 +25,7 @@
   Statement Stmt;
   std::weak_ptr<CallerSession> Session;
   RoutePolicy Route;
-  Millis ArrivedAt;  ///< When the statement arrived.
+  Millis ArrivedAt;  ///< When it became the current statement.
   Millis DeadlineAt; ///< Of this statement.
   /// Start of its wait for a connection: its arrival, or the end of an earlier
   /// try whose answer was lost, or of the wait for a floor or a permit.
--- a/Source/Pipeline/ConnectionAssignment.cpp
+++ b/Source/Pipeline/ConnectionAssignment.cpp
@@ -305,8 +305,8 @@
                                const std::optional<StatementRefusal> &Refusal) {
                handleClosed(GroupName, Connection, Refusal);
              },
-             [this](const TargetConnectionPtr &Silent) {
-               handleKeepaliveTimeout(Silent);
+             [this](const TargetConnectionPtr &Connection) {
+               handleKeepaliveTimeout(Connection);
              }});
   Ticker.requestWithin(WaitingInterval);
 }
--- a/Source/Pipeline/FloorTable.cpp
+++ b/Source/Pipeline/FloorTable.cpp
@@ -45,12 +45,12 @@
 
 std::optional<LogPosition> FloorTable::floor(const std::string &Group,
                                              Millis ArrivedAt,
-                                             Millis AcceptedAge) const {
+                                             Millis MaxStaleness) const {
   const auto Found = Groups.find(Group);
   if (Found == Groups.end())
     return std::nullopt;
   for (const ObservedPosition &Each : Found->second)
-    if (Each.SentAt > ArrivedAt - AcceptedAge)
+    if (Each.SentAt > ArrivedAt - MaxStaleness)
       return Each.Position;
   return std::nullopt;
 }
--- a/Source/Pipeline/FloorTable.h
+++ b/Source/Pipeline/FloorTable.h
@@ -47,19 +47,19 @@
   bool isRegression(const std::string &Group, LogPosition Position,
                     Millis SentAt) const;
 
-  /// Returns the lowest position that is a floor for a read which arrived at \p
-  /// ArrivedAt and accepts \p AcceptedAge; the lowest allows the most replicas
-  /// to serve it. Returns nothing if no proof is recent enough.
+  /// Returns the lowest position that is a floor for a read which arrived at
+  /// \p ArrivedAt and accepts \p MaxStaleness; the lowest allows the most
+  /// replicas to serve it. Returns nothing if no position is recent enough.
   std::optional<LogPosition> floor(const std::string &Group, Millis ArrivedAt,
-                                   Millis AcceptedAge) const;
+                                   Millis MaxStaleness) const;
 
-  /// Returns the newest proof, for other proxies.
+  /// Returns the newest position, for other proxies.
   std::optional<ObservedPosition> latest(const std::string &Group) const;
 
 private:
-  /// Longest accepted age that is supported; older proofs are dropped.
+  /// Longest accepted age that is supported; older positions are dropped.
   static constexpr Millis Retention = Millis(60000);
-  /// Proofs closer together than this are merged, which bounds the table.
+  /// Positions closer together than this are merged, which bounds the table.
   static constexpr Millis Spacing = Millis(20);
   static constexpr std::size_t MaxPositions = 512;
 
--- a/Source/Pipeline/PipelineTimes.cpp
+++ b/Source/Pipeline/PipelineTimes.cpp
@@ -142,9 +142,9 @@
 }
 
 // A statement that may run again, or whose transaction is rolled back with its
-// connection, times out after the usual answer time. A write outside a
-// transaction and a commit have their whole deadline: only their answers show
-// whether they took effect.
+// connection, times out after its objective or MinAnswerTimeout, whichever is
+// longer. A write outside a transaction and a commit have their whole deadline:
+// only their answers show whether they took effect.
 Millis SessionPipeline::answerTimeout(const SessionJob &Job,
                                       bool IsOutsideTransaction) const {
   if (!Job.IsSent)
--- a/Source/Pipeline/PrimaryOutage.h
+++ b/Source/Pipeline/PrimaryOutage.h
@@ -19,7 +19,7 @@
 
 class PrimaryOutage {
 public:
-  /// No target could run a statement for the leader.
+  /// Records that no target could run a statement for the leader.
   void recordNoPrimary(Millis Now) {
     if (!Since)
       Since = Now;
@@ -28,7 +28,7 @@
   /// True while no target can run statements for the leader.
   bool isActive() const { return Since.has_value(); }
 
-  /// A leader answered.
+  /// Records that a leader answered.
   void recordPrimary(Millis Now) {
     if (!Since)
       return;
--- a/Source/Pipeline/PrimarySearch.cpp
+++ b/Source/Pipeline/PrimarySearch.cpp
@@ -73,12 +73,12 @@
 void SessionPipeline::adoptPrimary(const std::string &Name, Group &G,
                                    const TargetDirectory &Known) {
   const auto Reported = Known.primaryOf(Name);
-  const std::uint64_t Since = Reported ? Reported->PrimaryEpoch : 0;
+  const std::uint64_t Epoch = Reported ? Reported->PrimaryEpoch : 0;
   const TargetRecord *Found = Known.find(G.DiscoveredPrimary);
   const bool IsFoundGone = Found == nullptr || Found->IsGone;
-  if (Since > G.ControlPrimarySince || IsFoundGone)
+  if (Epoch > G.ControlPrimaryEpoch || IsFoundGone)
     G.DiscoveredPrimary.clear();
-  G.ControlPrimarySince = Since;
+  G.ControlPrimaryEpoch = Epoch;
   if (G.DiscoveredPrimary.empty())
     G.Primary = Reported ? Reported->Id : "";
 }
--- a/Source/Pipeline/QueueLimits.cpp
+++ b/Source/Pipeline/QueueLimits.cpp
@@ -29,9 +29,9 @@
 /// Time that a statement needs after it was sent, in halves of the target's
 /// mean answer time: answers of one kind differ by several times.
 constexpr std::int64_t AnswerMargin = 3;
-/// Divisor of the time left: a statement may wait in the queue for this part of
-/// it. If it may wait for all of it, every statement that is served under
-/// overload has waited that long, and callers that are refused retry too late.
+/// A statement may wait in the queue for the time left divided by this. If it
+/// may wait for all of it, every statement that is served under overload has
+/// waited that long, and callers that are refused retry too late.
 constexpr std::int64_t QueueDivisor = 4;
 /// For this long after a proxy's first plan, statements may wait for their
 /// whole objective. After a power failure all callers reconnect at once, before
@@ -83,12 +83,12 @@
 bool SessionPipeline::isFull(const TargetPool &Pool) const {
   if (Pool.isShared())
     return false;
-  const auto UnderWay = std::count_if(
+  const auto InFlight = std::count_if(
       Running.begin(), Running.end(), [&Pool](const SessionJobPtr &Each) {
         return Each->Connection &&
                Each->Connection->address().Id == Pool.record().Id;
       });
-  return !Pool.window().mayBegin(static_cast<std::size_t>(UnderWay));
+  return !Pool.window().mayBegin(static_cast<std::size_t>(InFlight));
 }
 
 bool SessionPipeline::refuseIfTooLate(Group &G, const SessionJobPtr &Job) {
--- a/Source/Pipeline/ReplicaLag.h
+++ b/Source/Pipeline/ReplicaLag.h
@@ -31,6 +31,7 @@
                       : std::min(LastBackoff * 2, MaxBackoff);
     BackoffUntil = Now + LastBackoff;
   }
+  /// Records that the target served a read with a floor.
   void recordCaughtUp() { LastBackoff = BackoffUntil = Millis(); }
   bool isBackingOff(Millis Now) const { return Now < BackoffUntil; }
   /// True if the target is likely to refuse a read with the floor \p Floor. An
--- a/Source/Pipeline/SessionPipeline.cpp
+++ b/Source/Pipeline/SessionPipeline.cpp
@@ -82,8 +82,9 @@
     return replyRefused(Session, Stmt,
                         refused(RefusalCode::Malformed, Stmt.Text),
                         "not understood");
-  // This code guarantees the caller that nothing is kept and that it may begin
-  // again; an error about the statement would end the whole operation.
+  // RefusalCode::Aborted guarantees the caller that nothing is kept and that it
+  // may begin again; an error about the statement would end the whole
+  // operation.
   if (std::exchange(Session->IsAbortUnreported, false) &&
       Stmt.Kind != StatementKind::Rollback &&
       Stmt.Kind != StatementKind::Commit)
--- a/Source/Pipeline/SessionPipeline.h
+++ b/Source/Pipeline/SessionPipeline.h
@@ -35,7 +35,7 @@
   std::uint64_t Writes = 0;
   std::uint64_t Commits = 0;
   std::uint64_t NotRun = 0;  ///< Refused, and nothing is kept.
-  std::uint64_t Failed = 0;  ///< Ran and failed, or ran out of time.
+  std::uint64_t Failed = 0;  ///< All other refusals.
   std::uint64_t Unknown = 0; ///< May have run.
   std::uint64_t Retries = 0;
   std::uint64_t OverQuota = 0; ///< Refused for their organisation's quota.
@@ -62,7 +62,7 @@
     /// Shared with the other parts of this process that record floors.
     FloorTable &Floors;
     /// True while control confirms that the plan is the newest. While it is
-    /// false, an unknown key is not refused. Empty: always true.
+    /// false, no key is refused as unknown. Empty: always true.
     std::function<bool()> IsPlanCurrent = nullptr;
     /// Secret for the digests of callers' keys; the same at control hosts.
     std::string KeySecret = {};
@@ -147,11 +147,11 @@
 
   struct Group {
     std::map<std::string, TargetPool> Pools; ///< By target.
-    std::string Primary;                     ///< Empty where none is known.
-    /// The primary found by this proxy, where it differs from the one that
+    std::string Primary;                     ///< Empty if none is known.
+    /// The primary found by this proxy, if it differs from the one that
     /// control reported last; else empty.
     std::string DiscoveredPrimary;
-    std::uint64_t ControlPrimarySince = 0; ///< Epoch reported by control.
+    std::uint64_t ControlPrimaryEpoch = 0; ///< Epoch reported by control.
     Millis SearchAgainAt;
     std::list<SessionJobPtr> Waiting;
     /// Bounded reads that wait for a recent floor.
@@ -269,10 +269,10 @@
 
   // Running.
   void run(const SessionJobPtr &Job, const TargetConnectionPtr &Connection);
-  void openTransaction(const SessionJobPtr &Job, bool AtLeader);
-  void openAndRun(const SessionJobPtr &Job, bool AtLeader);
+  void openTransaction(const SessionJobPtr &Job, bool AtPrimary);
+  void openAndRun(const SessionJobPtr &Job, bool AtPrimary);
   TargetConnection::Step makeOpeningStep(const SessionJobPtr &Job,
-                                         bool AtLeader);
+                                         bool AtPrimary);
   void runStatement(const SessionJobPtr &Job, bool RollBackAfter);
   /// Sets how long a statement may wait at most.
   static void setWaitDeadlines(SessionJob &Job);
@@ -286,7 +286,7 @@
   /// connection with the answer.
   TargetConnection::Step
   makeRollbackStep(const TargetConnectionPtr &Connection);
-  void handleTransactionOpened(const SessionJobPtr &Job, bool AtLeader,
+  void handleTransactionOpened(const SessionJobPtr &Job, bool AtPrimary,
                                const StatementAnswer &Answer);
   void handlePrimaryOpened(const SessionJobPtr &Job,
                            const StatementAnswer &Answer);
@@ -305,10 +305,10 @@
   void handleAnswerOutsideTransaction(const SessionJobPtr &Job,
                                       const CallerSessionPtr &Session,
                                       const StatementAnswer &Answer);
-  /// No gateway reaches the target: retries at other targets.
-  void retryThroughAnother(const SessionJobPtr &Job,
-                           const TargetConnectionPtr &Connection,
-                           const StatementRefusal &Refusal);
+  /// No gateway reaches the target: backs off from it, and tries again.
+  void handleUnreachableTarget(const SessionJobPtr &Job,
+                               const TargetConnectionPtr &Connection,
+                               const StatementRefusal &Refusal);
   void handleLostConnection(const SessionJobPtr &Job,
                             const std::string &Grounds);
   /// The gateway has not answered keepalives. Retries a read outside a
--- a/Source/Pipeline/StatementAnswers.cpp
+++ b/Source/Pipeline/StatementAnswers.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Limit for the tries of one statement.
+/// Limit for the tries of one statement. tryAgain() limits retries after
+/// ReadOnly, Busy or Unreachable by time alone.
 constexpr unsigned MaxTries = 6;
 
 StatementRefusal refused(RefusalCode Code, std::string Reason) {
@@ -151,12 +152,12 @@
 void SessionPipeline::handleAnswerOutsideTransaction(
     const SessionJobPtr &Job, const CallerSessionPtr &Session,
     const StatementAnswer &Answer) {
-  const bool AtLeader = Job->Destination == Placement::Primary;
-  recordAnswer(Job, Answer, AtLeader);
+  const bool AtPrimary = Job->Destination == Placement::Primary;
+  recordAnswer(Job, Answer, AtPrimary);
   const TargetConnectionPtr Connection = std::move(Job->Connection);
   const std::string Target = Connection->address().Id;
   // The rollback that follows a read at the leader releases its connection.
-  if (AtLeader && !Job->Writes) {
+  if (AtPrimary && !Job->Writes) {
     // Released by the answer to the rollback.
   } else if (Answer.Phase == SessionPhase::Idle) {
     release(Connection);
@@ -166,7 +167,7 @@
   if (Answer.Refusal) {
     switch (Answer.Refusal->Code) {
     case RefusalCode::Unreachable:
-      return retryThroughAnother(Job, Connection, *Answer.Refusal);
+      return handleUnreachableTarget(Job, Connection, *Answer.Refusal);
     case RefusalCode::Busy:
       return tryAgain(Job, *Answer.Refusal, busyPause(*Job));
     case RefusalCode::ReadOnly:
@@ -190,7 +191,7 @@
     ++Counts.Writes;
     if (Answer.Position)
       Session->LastCommit[Job->Route.Group] = *Answer.Position;
-  } else if (AtLeader) {
+  } else if (AtPrimary) {
     ++Counts.ReadsByPrimary;
   } else {
     ++Counts.ReadsByReplica;
@@ -221,9 +222,9 @@
   enqueue(Job);
 }
 
-void SessionPipeline::retryThroughAnother(const SessionJobPtr &Job,
-                                          const TargetConnectionPtr &Connection,
-                                          const StatementRefusal &Refusal) {
+void SessionPipeline::handleUnreachableTarget(
+    const SessionJobPtr &Job, const TargetConnectionPtr &Connection,
+    const StatementRefusal &Refusal) {
   if (TargetPool *Pool = findPool(Connection))
     Pool->recordUnreachable(Deps.Time.now());
   Job->ExcludedTargets.insert(Connection->address().Id);
--- a/Source/Pipeline/StatementRuns.cpp
+++ b/Source/Pipeline/StatementRuns.cpp
@@ -19,9 +19,9 @@
   Job->SentAt = Deps.Time.now();
   Running.insert(Job);
   Ticker.requestWithin(RunningInterval);
-  const bool AtLeader = Job->Destination == Placement::Primary;
-  if (Session->Transaction || (AtLeader && !Job->Writes))
-    return openTransaction(Job, AtLeader);
+  const bool AtPrimary = Job->Destination == Placement::Primary;
+  if (Session->Transaction || (AtPrimary && !Job->Writes))
+    return openTransaction(Job, AtPrimary);
   runStatement(Job, false);
 }
 
@@ -30,44 +30,45 @@
 // must not miss any commit also runs inside a transaction, which only a leader
 // opens: a replaced primary answers a plain read from its old log, without the
 // commits that the new primary has acknowledged.
-void SessionPipeline::openTransaction(const SessionJobPtr &Job, bool AtLeader) {
+void SessionPipeline::openTransaction(const SessionJobPtr &Job,
+                                      bool AtPrimary) {
   if (Job->Connection->isShared())
-    return openAndRun(Job, AtLeader);
+    return openAndRun(Job, AtPrimary);
   const CallerSessionPtr Session = Job->Session.lock();
   std::vector<TargetConnection::Step> Steps;
   Job->Connection->appendValueSteps(Session->Values, Steps);
-  Steps.push_back(makeOpeningStep(Job, AtLeader));
+  Steps.push_back(makeOpeningStep(Job, AtPrimary));
   Job->Connection->send(std::move(Steps));
 }
 
 TargetConnection::Step
-SessionPipeline::makeOpeningStep(const SessionJobPtr &Job, bool AtLeader) {
+SessionPipeline::makeOpeningStep(const SessionJobPtr &Job, bool AtPrimary) {
   Job->MaxQueueTime = remainingQueueTime(*Job);
   const CallerSessionPtr Session = Job->Session.lock();
   const bool IsOutsideTransaction = !Session->Transaction;
-  return {{.Operation = AtLeader ? TargetCommand::Kind::Begin
-                                 : TargetCommand::Kind::BeginRead,
-           .MinPosition = AtLeader ? std::nullopt : Job->Floor,
+  return {{.Operation = AtPrimary ? TargetCommand::Kind::Begin
+                                  : TargetCommand::Kind::BeginRead,
+           .MinPosition = AtPrimary ? std::nullopt : Job->Floor,
            .Priority = Job->Route.Priority,
            .MaxQueueTime = Job->MaxQueueTime},
-          [this, Job, AtLeader,
+          [this, Job, AtPrimary,
            IsOutsideTransaction](const StatementAnswer &Answer) {
             if (IsOutsideTransaction)
               handlePrimaryOpened(Job, Answer);
             else
-              handleTransactionOpened(Job, AtLeader, Answer);
+              handleTransactionOpened(Job, AtPrimary, Answer);
           }};
 }
 
 void SessionPipeline::handleTransactionOpened(const SessionJobPtr &Job,
-                                              bool AtLeader,
+                                              bool AtPrimary,
                                               const StatementAnswer &Answer) {
   if (Job->CurrentStage != SessionJob::Stage::Running)
     return;
   const CallerSessionPtr Session = Job->Session.lock();
-  if (AtLeader && hasLostLog(Job, Answer))
+  if (AtPrimary && hasLostLog(Job, Answer))
     return handleLostLog(Job);
-  recordAnswer(Job, Answer, AtLeader);
+  recordAnswer(Job, Answer, AtPrimary);
   if (Answer.Refusal || Answer.Phase != SessionPhase::InTransaction)
     return handleRefusedOpening(Job, Answer);
   if (!Session || !Session->Transaction || Session->IsClosed) {
@@ -81,7 +82,7 @@
     return endTransaction(std::move(Unused));
   }
   Session->Transaction->Connection = Job->Connection;
-  Session->Transaction->AtPrimary = AtLeader;
+  Session->Transaction->AtPrimary = AtPrimary;
   Job->MaxQueueTime = Millis(0);
   // A gateway sends the statement itself.
   if (!Job->IsSent)
@@ -91,7 +92,7 @@
 // Sends the opening and the first statement to the gateway in one write; the
 // gateway sends the statement only once the opening has succeeded. A read
 // outside a transaction is followed by a rollback.
-void SessionPipeline::openAndRun(const SessionJobPtr &Job, bool AtLeader) {
+void SessionPipeline::openAndRun(const SessionJobPtr &Job, bool AtPrimary) {
   const CallerSessionPtr Session = Job->Session.lock();
   const TargetConnectionPtr Connection = Job->Connection;
   std::vector<TargetConnection::Step> Steps;
@@ -103,7 +104,7 @@
   const auto IsCurrentTry = [Job, Try = Job->Tries] {
     return Job->Tries == Try;
   };
-  Steps.push_back(makeOpeningStep(Job, AtLeader));
+  Steps.push_back(makeOpeningStep(Job, AtPrimary));
   Steps.push_back({std::move(Command),
                    [this, Job, IsCurrentTry](const StatementAnswer &Answer) {
                      if (IsCurrentTry())
@@ -168,7 +169,7 @@
     return tryAgain(Job, Refusal, Millis(0));
   }
   if (Refusal.Code == RefusalCode::Unreachable)
-    return retryThroughAnother(Job, Connection, Refusal);
+    return handleUnreachableTarget(Job, Connection, Refusal);
   tryAgain(Job, Refusal, busyPause(*Job));
 }
 
--- a/Source/Pipeline/StatementWindow.h
+++ b/Source/Pipeline/StatementWindow.h
@@ -41,8 +41,8 @@
     ShrinkAgainAt = Now + Millis(static_cast<std::int64_t>(Mean));
   }
 
-  bool mayBegin(std::size_t UnderWay) const {
-    return static_cast<double>(UnderWay) < Size;
+  bool mayBegin(std::size_t InFlight) const {
+    return static_cast<double>(InFlight) < Size;
   }
   /// True while statements wait inside the target.
   bool isCongested() const {
@@ -62,9 +62,9 @@
     BatchSum += Last;
     if (++BatchSize < BatchLength)
       return;
-    const double OfBatch = BatchSum / BatchLength;
+    const double BatchMean = BatchSum / BatchLength;
     Baseline =
-        Baseline == 0 ? OfBatch : std::min(OfBatch, Baseline * (1 + Drift));
+        Baseline == 0 ? BatchMean : std::min(BatchMean, Baseline * (1 + Drift));
     BatchSum = 0;
     BatchSize = 0;
   }
--- a/Source/Pipeline/TargetPool.cpp
+++ b/Source/Pipeline/TargetPool.cpp
@@ -108,10 +108,10 @@
             if (const TargetConnectionPtr Connection = Weak->lock())
               OnClose(Connection, Refusal);
           },
-          [Weak, OnSilent = std::move(Handlers.OnKeepaliveTimeout)] {
+          [Weak, OnKeepaliveTimeout = std::move(Handlers.OnKeepaliveTimeout)] {
             const TargetConnectionPtr Connection = Weak->lock();
-            if (Connection && OnSilent)
-              OnSilent(Connection);
+            if (Connection && OnKeepaliveTimeout)
+              OnKeepaliveTimeout(Connection);
           }});
   *Weak = Created;
   All.push_back(std::move(Created));
@@ -160,7 +160,7 @@
 
 void TargetPool::maintain(Millis Now) {
   const Millis Recovery =
-      IsPerOrganisation ? LimitRecoveryWhereDivided : LimitRecovery;
+      IsPerOrganisation ? LimitRecoveryPerOrganisation : LimitRecovery;
   if (Observed.Limit && Now - Observed.LimitRaisedAt >= Recovery) {
     Observed.LimitRaisedAt = Now;
     if (++*Observed.Limit >= Share + Burst)
--- a/Source/Pipeline/TargetPool.h
+++ b/Source/Pipeline/TargetPool.h
@@ -199,14 +199,14 @@
   /// than most gaps within a burst. With four times as long, so many are open
   /// at a power failure that callers get none for two seconds after it.
   static constexpr Millis IdleTimeout = Millis(250);
-  /// The same where connections belong to organisations and the target has no
+  /// The same if connections belong to organisations and the target has no
   /// free slots.
   static constexpr Millis SaturatedIdleTimeout = Millis(4000);
   /// Pause after a refused connection before the next is opened.
   static constexpr Millis RefusedPause = Millis(50);
   /// Interval at which the limit is raised by one after a refusal.
   static constexpr Millis LimitRecovery = Millis(1000);
-  static constexpr Millis LimitRecoveryWhereDivided = Millis(250);
+  static constexpr Millis LimitRecoveryPerOrganisation = Millis(250);
   static constexpr Millis InitialBackoff = Millis(50);
   static constexpr Millis MaxBackoff = Millis(800);
   /// A target that does not lead is tried again after this long, in case the
@@ -218,7 +218,7 @@
     explicit Observations(Millis Now) : LeavingSince(Now), LimitRaisedAt(Now) {}
 
     bool IsWarmed = false;
-    Millis LeavingSince;              ///< When the target began to leave.
+    Millis LeavingSince;              ///< Valid if the record is leaving.
     std::optional<std::size_t> Limit; ///< Learned from a refusal.
     Millis LimitRaisedAt;
     Millis NextOpenAt; ///< After a refused connection.
--- a/Source/Quota/OperationPermits.h
+++ b/Source/Quota/OperationPermits.h
@@ -70,8 +70,8 @@
     std::uint64_t RequestNumber = 0; ///< In flight; 0: none.
     std::size_t HolderIndex = 0;     ///< Of the holder that is asked.
     std::string Holder;              ///< Its name.
-    std::optional<Millis>
-        MinRetryAfter; ///< Until one of those asked has a permit.
+    /// Shortest time until one of the holders asked has a permit.
+    std::optional<Millis> MinRetryAfter;
     Millis NextRoundAt;
     Scheduler::TimerId Timer = 0;
   };
--- a/Source/Quota/QuotaSeats.cpp
+++ b/Source/Quota/QuotaSeats.cpp
@@ -68,7 +68,7 @@
               Tolerance.Operations * BucketOperationsPart};
 }
 
-double QuotaSeats::firstTokens(const std::string &Organisation) const {
+double QuotaSeats::initialTokens(const std::string &Organisation) const {
   const auto Found = Limits.find(Organisation);
   if (Found == Limits.end())
     return 0;
@@ -148,7 +148,7 @@
     const auto Before = Seats.find(Each);
     New[Each] = Before != Seats.end()
                     ? Before->second
-                    : Bucket{firstTokens(Each.Organisation), Now};
+                    : Bucket{initialTokens(Each.Organisation), Now};
   }
   AppliedGrant = Grant.Sequence;
   LeaseEnd = Grant.SentAt + Grant.Duration;
--- a/Source/Quota/QuotaSeats.h
+++ b/Source/Quota/QuotaSeats.h
@@ -66,7 +66,7 @@
   Quota limitOfSeat(const std::string &Organisation) const;
   /// Initial tokens of a seat, for which the permits that its former holder
   /// recently gave out are unknown.
-  double firstTokens(const std::string &Organisation) const;
+  double initialTokens(const std::string &Organisation) const;
 
   ProcessId Self;
   QuotaTolerance Tolerance;
--- a/Source/Quota/SeatLedger.cpp
+++ b/Source/Quota/SeatLedger.cpp
@@ -136,7 +136,8 @@
     Seat &S = Seats[SeatId];
     S = Seat();
     S.Name = Name;
-    // No process of that name was granted the seat before.
+    // No process of that name was granted the seat before, so that no report
+    // has to be awaited.
     S.HasReported = true;
     S.HeldUntil = Now + AssignmentHold;
     const auto Process = Latest.find(Name);
--- a/Source/Quota/SeatLedger.h
+++ b/Source/Quota/SeatLedger.h
@@ -24,7 +24,7 @@
 
 namespace corianderdyke {
 
-/// Names of the holders by seat; empty where none is committed.
+/// Names of the holders by seat; empty if none is committed.
 using SeatAssignments = std::map<QuotaSeat, std::string>;
 
 class SeatLedger {
@@ -80,7 +80,7 @@
   std::map<QuotaSeat, Seat> Seats;
   /// The latest process of each name.
   std::map<std::string, Process> Latest;
-  /// The processes with the last nonces, by name.
+  /// The processes that the last nonces were issued to, by name.
   std::map<std::string, UnconfirmedProcess> UnconfirmedProcesses;
   std::uint64_t LastNonce = 0;
   SeatAssignments ProposedAssignments;
--- a/Source/Statements/Links.h
+++ b/Source/Statements/Links.h
@@ -53,12 +53,12 @@
   /// The target refuses unless its log holds this position.
   std::optional<LogPosition> MinPosition = {};
   std::uint64_t Term = 0; ///< For commands that change the leader.
-  /// Where connections are shared: the priority, 0 being the highest, and how
+  /// If connections are shared: the priority, 0 being the highest, and how
   /// long the command may wait for a connection before it is refused as not
   /// run.
   std::uint32_t Priority = 0;
   Millis MaxQueueTime = {};
-  /// Where connections are shared: this command and those that follow it in the
+  /// If connections are shared: this command and those that follow it in the
   /// same write are sent only if the command before it succeeded. It saves a
   /// round trip to the gateway.
   bool NeedsPrevious = false;
