--- a/Source/Directory/TargetDirectory.h
+++ b/Source/Directory/TargetDirectory.h
@@ -22,8 +22,8 @@
   Endpoint Address;
   std::string FailureDomain;
   /// Start of this incarnation of the target, in Unix milliseconds of its own
-  /// clock; 0 if not reported. A target that restarts under its id keeps no
-  /// state, and its sequence restarts.
+  /// clock; 0 if not reported. A target that restarts under its id knows
+  /// nothing of its earlier incarnation, and its sequence restarts.
   std::uint64_t Incarnation = 0;
   std::uint64_t Sequence = 0;
   bool IsPrimary = false; ///< According to the target itself.
@@ -100,7 +100,8 @@
   };
 
   void insert(const std::string &Id, TrackedTarget New);
-  /// True if a later incarnation is known at the same address.
+  /// True if a later incarnation under another id is known at the same
+  /// address.
   bool isSuperseded(const TargetRecord &Reported) const;
   void supersede(const TargetRecord &Newer, Millis Now);
   std::uint64_t nextPrimaryEpoch(const std::string &Group) const;
--- a/Source/Relay/BrokerLink.cpp
+++ b/Source/Relay/BrokerLink.cpp
@@ -182,7 +182,8 @@
     Handler(std::nullopt);
 }
 
-// The link is destroyed while a transaction or statement is in progress.
+// Runs when the link is destroyed. If it still holds a connection, a
+// transaction or statement is in progress.
 void TargetBroker::Link::releaseConnection() {
   if (!BoundConnection)
     return;
--- a/Source/Relay/Messages.h
+++ b/Source/Relay/Messages.h
@@ -45,7 +45,7 @@
   /// answer, which would assign each later answer to the wrong statement.
   std::uint64_t Index = 0;
   StatementAnswer Answer;
-  std::optional<RelayFloor> Floor; ///< If newer than the last one sent.
+  std::optional<RelayFloor> Floor; ///< If sufficiently newer than the last.
 
   bool operator==(const RelayAnswer &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
--- a/Source/Relay/RelayClient.cpp
+++ b/Source/Relay/RelayClient.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 /// A gateway with outstanding answers that has sent nothing for this long gets
-/// a keepalive. Most statements take less.
+/// a ping. Most statements take less.
 constexpr Millis PingAfter(60);
 /// After this much silence despite a ping, links with outstanding answers are
-/// notified for the sake of waiting reads.
+/// notified, because reads may be waiting for these answers.
 constexpr Millis NotifyAfter(120);
 /// After this much silence despite a ping a gateway gets no new statements. It
 /// may still run on a slow host, so its links are not closed yet.
--- a/Source/Relay/RelayCodec.h
+++ b/Source/Relay/RelayCodec.h
@@ -55,8 +55,8 @@
 private:
   void flush();
 
-  /// Most messages in a frame, so that in a long iteration an answer does not
-  /// wait for all others.
+  /// Largest number of messages in a frame, so that in a long iteration an
+  /// answer does not wait for all others.
   static constexpr std::size_t MaxBatch = 16;
 
   Scheduler &Timers;
--- a/Source/Relay/RelayServer.cpp
+++ b/Source/Relay/RelayServer.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// Least time between two floors that are sent for a group. A smaller update is
-/// not worth its bytes, because callers accept ages of a second and more.
+/// A floor is sent to a peer only if it is newer than the last one for its
+/// group by at least this. A smaller update is not worth its bytes, because
+/// callers accept ages of a second and more.
 constexpr Millis FloorInterval(150);
 
 } // namespace
@@ -20,7 +21,7 @@
   RelayOutbox Outbox; ///< Open until the peer is dropped.
   std::map<std::uint32_t, std::unique_ptr<TargetLink>> Links;
   std::map<std::uint32_t, std::uint64_t> Answered; ///< Answers by link.
-  std::map<std::string, Millis> LastFloors; ///< By group: when it was proven.
+  std::map<std::string, Millis> LastFloors; ///< SentAt of the last, by group.
 
   void send(RelayMessage Body) { Outbox.send(std::move(Body)); }
 };
--- a/Source/Relay/SharedConnector.h
+++ b/Source/Relay/SharedConnector.h
@@ -60,8 +60,8 @@
   /// target as unreachable.
   void avoid(const std::string &Gateway, const std::string &Target);
   /// Destroys an ended link after its callbacks have returned. The connector
-  /// owns it meanwhile because it refers to the broker or a peer: owned by a
-  /// timer it would outlive them when the process stops.
+  /// owns the link meanwhile, because the link refers to the broker or a peer:
+  /// owned by a timer, the link would outlive them when the process stops.
   void retire(std::unique_ptr<TargetLink> Ended);
   Gateway gatewayOf(const ProxyRecord &Candidate);
   void decideSharing();
--- a/Source/Relay/TargetBroker.cpp
+++ b/Source/Relay/TargetBroker.cpp
@@ -128,7 +128,8 @@
       Each.Pool.setShare(Connections);
 }
 
-// If connections belong to organisations, each gateway uses its whole share.
+// If connections belong to organisations, each gateway uses its whole share, so
+// the share is a hard limit.
 void TargetBroker::applySharing(TargetPool &Pool) const {
   Pool.setPerOrganisation(IsPerOrganisation);
   Pool.limitToShare(IsPerOrganisation);
--- a/Source/Relay/TargetBroker.h
+++ b/Source/Relay/TargetBroker.h
@@ -50,7 +50,7 @@
                 std::size_t Gateways);
   /// Sets whether each connection belongs to one organisation.
   void setPerOrganisation(bool New);
-  /// Sets the targets to which idle connections are kept open.
+  /// Keeps some connections open to these targets and to no others.
   void setGatewayTargets(std::set<std::string> Targets);
 
   /// True while a transaction or statement of any link is in progress.
--- a/Source/Steering/ControlClient.cpp
+++ b/Source/Steering/ControlClient.cpp
@@ -12,14 +12,15 @@
 /// Interval of requests to control. A lost datagram delays a plan by this much,
 /// well below the seconds within which it must be in force.
 constexpr Millis RequestInterval(500);
-/// Interval until a plan is confirmed, and while all hosts are asked for the
-/// leader.
+/// Interval until a plan is confirmed, while quota seats are missing, and while
+/// all hosts are asked for the leader.
 constexpr Millis RequestIntervalWhenLost(150);
 /// A target's answer that is older than this does not contradict a failure that
 /// other proxies report now.
 constexpr Millis ReachedValidity(200);
-/// Least time between two reports of failed targets.
-constexpr Millis ReportInterval(40);
+/// Delay of a report of a failed target, so that the failures within this time
+/// share one request.
+constexpr Millis ReportDelay(40);
 /// Without an answer for this long all hosts are asked.
 constexpr Millis AnswerTimeout(700);
 /// Without an answer for this long contact counts as lost.
@@ -104,7 +105,7 @@
       Known == PendingReports.end() || Known->second.Report.IsReachable;
   PendingReports[Target] = {makeReport(Target, false), Time.now()};
   if (IsChange)
-    Timers.after(ReportInterval, [this] {
+    Timers.after(ReportDelay, [this] {
       const bool HasFailed = std::any_of(
           PendingReports.begin(), PendingReports.end(),
           [](const auto &Each) { return !Each.second.Report.IsReachable; });
--- a/Source/Steering/ControlClient.h
+++ b/Source/Steering/ControlClient.h
@@ -35,8 +35,8 @@
   void setSeeds(std::vector<std::string> Seeds);
 
   /// Record that a target answered, or that it could not be used. A failure is
-  /// reported without waiting for the next regular request, because it prolongs
-  /// the time without a usable primary.
+  /// reported without waiting for the next regular request, because the delay
+  /// adds to the time in which nobody can write.
   void recordReachable(const std::string &Target);
   void recordUnreachable(const std::string &Target);
 
@@ -49,7 +49,7 @@
 
   /// True once a quorum has confirmed the plan that this process holds.
   bool isConfirmed() const { return IsPlanConfirmed; }
-  /// True while control is also in contact.
+  /// True while control also answers this process.
   bool isCurrent() const { return IsPlanConfirmed && HasContact; }
   const RoutePlan &plan() const { return Plan; }
   const TargetDirectory &directory() const { return Directory; }
--- a/Source/Steering/Messages.h
+++ b/Source/Steering/Messages.h
@@ -1,6 +1,6 @@
 /// \file
-/// Messages between proxies and control hosts if targets enforce their
-/// leadership themselves.
+/// Messages between proxies and control hosts, for systems in which targets
+/// enforce their leadership themselves.
 
 #ifndef CORIANDERDYKE_STEERING_MESSAGES_H
 #define CORIANDERDYKE_STEERING_MESSAGES_H
@@ -26,7 +26,7 @@
 struct ReachabilityReport {
   std::string Id;
   std::uint64_t Incarnation = 0; ///< Of the target, according to the directory.
-  bool IsReachable = false;      ///< False if the target could not be used.
+  bool IsReachable = false;      ///< Answered recently; else not usable.
 
   auto operator<=>(const ReachabilityReport &) const = default;
   template <class Archive> void serialize(Archive &Ar) {
@@ -66,8 +66,8 @@
   bool IsConfirmed = false;
   std::uint64_t PlanVersion = 0;
   std::vector<std::string> ControlHosts; ///< Addresses of the group's members.
-  /// Proxies that are subscribed; 0 while a new leader is still collecting
-  /// them.
+  /// Proxies that are subscribed or listed; 0 while a new leader is still
+  /// collecting them.
   std::uint32_t ProxyCount = 0;
 
   bool operator==(const SubscribeReply &) const = default;
@@ -110,8 +110,8 @@
   }
 };
 
-/// The changes of the list of proxies that relay each other's statements
-/// between two versions; the whole list if \p From is empty.
+/// The changes between two versions of the list of proxies that relay each
+/// other's statements; the whole list if \p From is empty.
 struct ProxyListUpdate {
   DirectoryVersion From;
   DirectoryVersion Version;
--- a/Source/Steering/PromotionCoordinator.cpp
+++ b/Source/Steering/PromotionCoordinator.cpp
@@ -20,10 +20,10 @@
 } // namespace
 
 PromotionCoordinator::PromotionCoordinator(
-    Clock &Time, const TargetDirectory &Directory, TargetCommandPort &Orders,
+    Clock &Time, const TargetDirectory &Directory, TargetCommandPort &Commands,
     PromotionPort &Promotions, Propose OnPropose, std::string Holder,
     PromotionTimes Times)
-    : Time(Time), Directory(Directory), Commands(Orders),
+    : Time(Time), Directory(Directory), Commands(Commands),
       Promotions(Promotions), OnPropose(std::move(OnPropose)),
       Holder(std::move(Holder)), Times(Times) {}
 
@@ -213,9 +213,9 @@
   const std::size_t Reached = countRecentlyReached(*Primary);
   const bool Reported = Failed > 0 && Failed >= std::min(MinReports, Proxies);
   // Heartbeats before this host began to lead went to another leader.
-  const Millis HeardAt =
+  const Millis LastUpdateAt =
       std::max(Directory.lastUpdate(Primary->Id), LeadingSince);
-  const bool IsSilent = Now - HeardAt > Times.SuspectAfter && Reached == 0;
+  const bool IsSilent = Now - LastUpdateAt > Times.SuspectAfter && Reached == 0;
   if (!Reported && !IsSilent)
     return;
   In.ChangeBeganAt = Now;
--- a/Source/Steering/PromotionCoordinator.h
+++ b/Source/Steering/PromotionCoordinator.h
@@ -2,12 +2,12 @@
 /// Decides which target of a group leads, for systems in which targets enforce
 /// their leadership themselves and control only orders promotions.
 ///
-/// A primary counts as failed when proxies cannot use it, or its heartbeats
-/// have stopped and no proxy reaches it, and it does not answer control either.
-/// Control queries the positions of its replicas and promotes the one with the
-/// highest. A primary that announces that it is leaving steps down first, and
-/// its successor receives its whole log before the promotion, so that no write
-/// is rolled back.
+/// A primary is suspected when proxies cannot use it, or when its heartbeats
+/// have stopped and no proxy reaches it. It counts as failed if, in addition,
+/// it does not answer control. Control queries the positions of its replicas
+/// and promotes the one with the highest. A primary that announces that it is
+/// leaving steps down first, and its successor receives its whole log before
+/// the promotion, so that no write is rolled back.
 ///
 /// The class is driven by ticks and answers; its owner executes its requests.
 
@@ -57,7 +57,7 @@
       OrderPromotion, std::function<void(std::optional<std::uint64_t>)>)>;
 
   PromotionCoordinator(Clock &Time, const TargetDirectory &Directory,
-                       TargetCommandPort &Orders, PromotionPort &Promotions,
+                       TargetCommandPort &Commands, PromotionPort &Promotions,
                        Propose OnPropose, std::string Holder,
                        PromotionTimes Times = {});
 
--- a/Source/Steering/ProtocolAdapter.h
+++ b/Source/Steering/ProtocolAdapter.h
@@ -1,6 +1,7 @@
 /// \file
-/// The external interfaces of a process if targets enforce their leadership
-/// themselves. An adapter implements them for the protocols of one site.
+/// The external interfaces of a process, for systems in which targets enforce
+/// their leadership themselves. An adapter implements them for the protocols of
+/// one site.
 
 #ifndef CORIANDERDYKE_STEERING_PROTOCOLADAPTER_H
 #define CORIANDERDYKE_STEERING_PROTOCOLADAPTER_H
--- a/Source/Steering/ReplicatedState.cpp
+++ b/Source/Steering/ReplicatedState.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The replicated state of the control group if targets enforce their
-/// leadership themselves.
+/// The replicated state of the control group, for systems in which targets
+/// enforce their leadership themselves.
 
 #include "Steering/ReplicatedState.h"
 
--- a/Source/Steering/ReplicatedState.h
+++ b/Source/Steering/ReplicatedState.h
@@ -1,7 +1,7 @@
 /// \file
-/// The replicated state of the control group if targets enforce their
-/// leadership themselves: the plan in force, the order of promotions and the
-/// recorded targets, proxies and quota seats.
+/// The replicated state of the control group, for systems in which targets
+/// enforce their leadership themselves: the plan in force, the order of
+/// promotions and the recorded targets, proxies and quota seats.
 
 #ifndef CORIANDERDYKE_STEERING_REPLICATEDSTATE_H
 #define CORIANDERDYKE_STEERING_REPLICATEDSTATE_H
@@ -40,7 +40,8 @@
 };
 
 /// Records changes in targets' heartbeats, beyond their sequence numbers. A
-/// leader that starts after all processes were down knows the targets from it.
+/// leader that starts after all processes were down reads the targets from this
+/// record.
 struct RecordTargets {
   std::vector<TargetRecord> Targets;
 
--- a/Source/Steering/SteeringNode.cpp
+++ b/Source/Steering/SteeringNode.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// A control host if targets enforce their leadership themselves.
+/// A control host, for systems in which targets enforce their leadership
+/// themselves.
 
 #include "Steering/SteeringNode.h"
 
@@ -119,15 +120,15 @@
   });
 }
 
-void SteeringNode::applyHeartbeat(const TargetRecord &Said,
+void SteeringNode::applyHeartbeat(const TargetRecord &Reported,
                                   DoneHandler OnDone) {
   if (!Leading)
     return OnDone(notLeading());
-  const TargetRecord *Known = Directory.find(Said.Id);
+  const TargetRecord *Known = Directory.find(Reported.Id);
   const bool IsPromise =
-      Said.IsLeaving && (Known == nullptr || !Known->IsLeaving ||
-                         Known->Incarnation < Said.Incarnation);
-  Directory.applyHeartbeat(Said, Deps.Time.now());
+      Reported.IsLeaving && (Known == nullptr || !Known->IsLeaving ||
+                             Known->Incarnation < Reported.Incarnation);
+  Directory.applyHeartbeat(Reported, Deps.Time.now());
   publish();
   // The target takes the answer as a promise that it soon gets no new
   // statements. A leader that is partitioned from the other control hosts, and
--- a/Source/Steering/SteeringNode.h
+++ b/Source/Steering/SteeringNode.h
@@ -1,6 +1,7 @@
 /// \file
-/// A control host if targets enforce their leadership themselves: replicates
-/// the plan, maintains the directory of targets and updates subscribed proxies.
+/// A control host, for systems in which targets enforce their leadership
+/// themselves: replicates the plan, maintains the directory of targets and
+/// updates subscribed proxies.
 
 #ifndef CORIANDERDYKE_STEERING_STEERINGNODE_H
 #define CORIANDERDYKE_STEERING_STEERINGNODE_H
@@ -38,7 +39,8 @@
 public:
   /// The plan in force when the handler runs, or Unavailable.
   using PlanHandler = std::function<void(Expected<const RoutePlan *>)>;
-  /// Success, or Unavailable if this host does not lead.
+  /// Success, or Unavailable if this host does not lead or has lost the
+  /// leadership meanwhile.
   using DoneHandler = std::function<void(Expected<void>)>;
 
   SteeringNode(SteeringOptions Given, SteeringDependencies Deps,
@@ -53,7 +55,7 @@
   void readPlan(PlanHandler OnRead);
   /// Applies a target's heartbeat; done once the update to the proxies is sent
   /// or due.
-  void applyHeartbeat(const TargetRecord &Said, DoneHandler OnDone);
+  void applyHeartbeat(const TargetRecord &Reported, DoneHandler OnDone);
   /// Deregisters one incarnation of a target.
   void deregister(const std::string &Target, std::uint64_t Incarnation,
                   DoneHandler OnDone);
@@ -190,9 +192,9 @@
   bool Leading = false;
   bool IsProcessingOutputs = false;
   std::uint64_t AppliedIndex = 0;
-  /// The last entry on the disk at the start. Entries up to it are not logged
-  /// again, because each restart would show one change per target and plan that
-  /// did not happen then.
+  /// The last entry on the disk at the start. signalAudited is not emitted for
+  /// entries up to it: otherwise readers of the logs would see, at each
+  /// restart, one change per target and plan that nobody made.
   std::uint64_t ReplayEndIndex;
   bool IsReplayed; ///< Initially true if the disk was empty.
   DirectoryVersion Published;
