--- a/Source/Admission/AdmissionController.cpp
+++ b/Source/Admission/AdmissionController.cpp
@@ -13,7 +13,7 @@
 /// time fits before its deadline. The estimate changes with each answer.
 /// Without the margin, the queue of an overloading organisation fills up to the
 /// deadline, and estimation errors cause requests to be refused after most of
-/// their wait, or to be sent and answered too late.
+/// the time until their deadline, or to be sent and answered too late.
 constexpr double EstimateMargin = 4.0 / 3.0;
 
 double millisBetween(Millis From, Millis To) {
--- a/Source/Admission/AdmissionController.h
+++ b/Source/Admission/AdmissionController.h
@@ -7,11 +7,12 @@
 /// busy and no caller gets an answer in time.
 ///
 /// A request is refused on arrival if the estimated wait plus its own cost
-/// exceeds its deadline. By Little's law the wait is the cost ahead divided by
-/// the number of statements running at a time, whatever the targets' own
-/// parallelism is, because cost is measured from sending to answer. If the
-/// service rate drops later (a slow target), requests that can no longer be
-/// served in time are refused at once instead of at their deadline.
+/// exceeds the time until its deadline. By Little's law the wait is the cost
+/// ahead divided by the number of statements running at a time, whatever the
+/// targets' own parallelism is, because cost is measured from sending to
+/// answer. If the service rate drops later (a slow target), requests that can
+/// no longer be served in time are refused at once instead of at their
+/// deadline.
 ///
 /// Reads and writes have separate controllers: they wait for different targets,
 /// and an organisation's reads must not delay its writes.
@@ -28,7 +29,9 @@
 namespace corianderdyke {
 
 enum class RefusalReason : std::uint8_t {
-  DeadlineOutOfReach, ///< On arrival, the estimated wait exceeded the deadline.
+  /// On arrival, the estimated wait and cost exceeded the time until the
+  /// deadline.
+  DeadlineOutOfReach,
   QueueFull,
   Displaced, ///< Evicted for an organisation that uses less of the queue.
   GivenUp,   ///< Could not be served in time any more while it waited.
--- a/Source/Admission/Concurrency.h
+++ b/Source/Admission/Concurrency.h
@@ -44,10 +44,10 @@
 
 /// Connections that a proxy wants for \p Statements that are sent or waiting.
 inline std::uint32_t connectionsFor(std::uint32_t Statements,
-                                    const TargetCapacity &Of) {
-  const std::uint32_t MaxInFlight = std::max(Of.maxStatements(), 1U);
-  return (std::min(Statements, MaxInFlight) * Of.Connections + MaxInFlight -
-          1) /
+                                    const TargetCapacity &Capacity) {
+  const std::uint32_t MaxInFlight = std::max(Capacity.maxStatements(), 1U);
+  return (std::min(Statements, MaxInFlight) * Capacity.Connections +
+          MaxInFlight - 1) /
          MaxInFlight;
 }
 
--- a/Source/Proxy/ConcurrencyLimiter.h
+++ b/Source/Proxy/ConcurrencyLimiter.h
@@ -32,7 +32,8 @@
   /// This proxy's use of each target, for its requests for connection rights.
   std::map<std::string, ConnectionUse> connectionUse() const;
 
-  /// True if callers wait for connections that the proxy has no rights to.
+  /// True if statements are queued or the proxy has no rights to connections to
+  /// some target, so that it requests rights at the shorter interval.
   bool needsConnections() const;
 
 private:
--- a/Source/Proxy/ConnectionPool.h
+++ b/Source/Proxy/ConnectionPool.h
@@ -19,7 +19,7 @@
 /// bounded by this proxy's share of the server's limit.
 ///
 /// Invariant: Busy + Idle + Opening is at most the limit, except for
-/// connections that were in use when the limit was lowered.
+/// connections that were in use or being opened when the limit was lowered.
 class ConnectionPool : public std::enable_shared_from_this<ConnectionPool> {
 public:
   using Handler = std::function<void(Expected<PooledConnection>)>;
--- a/Source/Proxy/PrimaryWaitLimit.h
+++ b/Source/Proxy/PrimaryWaitLimit.h
@@ -12,7 +12,7 @@
 /// time of the detection, of the leases and of a few round trips, and a waiting
 /// caller gets a slow answer instead of a refusal. Once a change takes much
 /// longer, it lacks something that waiting does not provide, and every caller
-/// would wait until its deadline for a refusal.
+/// would wait for the whole limit and still be refused.
 class PrimaryWaitLimit {
 public:
   /// Records which databases have no primary.
--- a/Source/Proxy/StatementReply.cpp
+++ b/Source/Proxy/StatementReply.cpp
@@ -33,9 +33,9 @@
   return {Status, {}, Reason + "\n"};
 }
 
-HttpResponse refusalReply(int Status, const std::string &Why,
+HttpResponse refusalReply(int Status, const std::string &Reason,
                           Millis RetryAfter) {
-  HttpResponse Out = plainReply(Status, Why);
+  HttpResponse Out = plainReply(Status, Reason);
   Out.Headers[caller_header::RetryAfterMs] = std::to_string(RetryAfter.count());
   return Out;
 }
--- a/Source/Proxy/StatementReply.h
+++ b/Source/Proxy/StatementReply.h
@@ -49,7 +49,7 @@
 HttpResponse plainReply(int Status, const std::string &Reason);
 
 /// A reply that does not come from a target, with a retry delay.
-HttpResponse refusalReply(int Status, const std::string &Why,
+HttpResponse refusalReply(int Status, const std::string &Reason,
                           Millis RetryAfter);
 
 } // namespace corianderdyke
--- a/Source/Proxy/StatementRequest.h
+++ b/Source/Proxy/StatementRequest.h
@@ -44,7 +44,7 @@
   SessionToken Session;
   Millis Timeout; ///< Counted from the arrival.
   std::string Body;
-  std::string CallerConnection; ///< The caller's connection.
+  std::string CallerConnection; ///< Identifies the connection.
 
   bool isWrite() const {
     return Operation != StatementOperation::Run || Kind.Mode == Access::Write;
--- a/Source/Proxy/StatementService.cpp
+++ b/Source/Proxy/StatementService.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// The minimum retry delay of refused callers.
-constexpr Millis RetryAfter(100);
+constexpr Millis MinRetryAfter(100);
 /// The number of attempts before a statement is refused. A read that fails at
 /// every target would otherwise be retried until its deadline and load each of
 /// them.
@@ -51,8 +51,8 @@
   CurrentJob->Id = NextId++;
   CurrentJob->Exchange = std::move(Exchange);
   Jobs[CurrentJob->Id] = CurrentJob;
-  // A proxy without a lease may not have received a newer manifest or the
-  // change to a newer primary, so serving may not be allowed any more.
+  // A proxy without a lease may have missed a newer manifest or a change of
+  // primary, so it might serve a statement that is now forbidden.
   if (!hasLease() || !View.CurrentManifest)
     return rejectWithRetry(CurrentJob,
                            "this proxy holds no lease at the moment");
@@ -375,7 +375,8 @@
     recordObservation(CurrentJob, *Answer);
   Connection.setReusable(Class != AnswerClass::NoAnswer &&
                          Class != AnswerClass::NotConnected);
-  // A transaction must not stay open if its caller has disconnected.
+  // A transaction must not stay open if its caller has disconnected or its
+  // deadline has passed.
   if (CurrentJob->CurrentStage == Job::Stage::Finished) {
     if (CurrentJob->Statement.Operation == StatementOperation::Begin)
       Connection.setReusable(false);
@@ -502,7 +503,7 @@
 
 void StatementService::rejectWithRetry(const JobPtr &CurrentJob,
                                        const std::string &Why) {
-  rejectWithRetry(CurrentJob, Why, RetryDelays.next(RetryAfter));
+  rejectWithRetry(CurrentJob, Why, RetryDelays.next(MinRetryAfter));
 }
 
 void StatementService::rejectWithRetry(const JobPtr &CurrentJob,
--- a/Source/Proxy/StatementService.h
+++ b/Source/Proxy/StatementService.h
@@ -23,7 +23,8 @@
   std::uint64_t Writes = 0;
   std::uint64_t NotRun = 0;
   std::uint64_t Unknown = 0;
-  std::uint64_t CallerAborts = 0; ///< Callers that disconnected early.
+  /// Callers that disconnected before their answer.
+  std::uint64_t CallerAborts = 0;
 
   auto operator<=>(const StatementCounts &) const = default;
 };
@@ -55,8 +56,9 @@
   /// statements that wait for a change or for a connection to a former primary.
   void viewChanged();
 
-  /// Applies changed connection rights. If they have expired, all connections
-  /// are closed.
+  /// Applies changed connection rights. If they have expired, idle connections
+  /// and those of statements outside transactions are closed, and transactions
+  /// without a statement in flight are rolled back.
   void rightsChanged();
 
   /// Refuses statements that can no longer be served in time; must be called at
@@ -68,7 +70,8 @@
     return Limiter.connectionUse();
   }
 
-  /// True if callers wait for connections that the proxy has no rights to.
+  /// True if statements are queued or the proxy has no rights to connections to
+  /// some target, so that it requests rights at the shorter interval.
   bool needsConnections() const { return Limiter.needsConnections(); }
 
   std::vector<QueueStatus> queues() const { return Queues.status(); }
@@ -141,7 +144,9 @@
   void finish(const JobPtr &CurrentJob, Outcome Result, HttpResponse Response);
   /// Removes a job from the queues and pools in which it waits.
   void removeFromQueues(const JobPtr &CurrentJob);
-  /// Ends a job; no callback runs for it any more.
+  /// Ends a job and cancels its timers and waits. The answer of a statement
+  /// that was sent outside a transaction is still processed, to release its
+  /// connection.
   void close(const JobPtr &CurrentJob);
   bool hasLease() const { return Lease.isHeld(Deps.Time.now()); }
 
--- a/Source/Proxy/TransactionTable.cpp
+++ b/Source/Proxy/TransactionTable.cpp
@@ -84,8 +84,9 @@
   if (!isOpen(CurrentTransaction->Id))
     return;
   forget(CurrentTransaction);
-  // While a statement is in flight, the connection closes when its last owner
-  // releases it.
+  // A transaction that a statement has claimed gets no rollback request, since
+  // an answer may be pending on its connection. The connection is closed
+  // instead, upon which the target rolls back by itself.
   if (!CurrentTransaction->Busy)
     rollBack(CurrentTransaction);
   else
--- a/Source/Proxy/TransactionTable.h
+++ b/Source/Proxy/TransactionTable.h
@@ -46,7 +46,8 @@
   Expected<TransactionPtr> claim(const std::string &Id,
                                  const std::string &Peer);
 
-  /// Ends the claim after a complete answer and restarts the idle timer.
+  /// Ends the claim of a statement and restarts the idle timer. Must not be
+  /// called after an incomplete answer.
   void release(const TransactionPtr &CurrentTransaction, Millis IdleTimeout);
 
   /// Removes a transaction that the target has ended; its connection may be
--- a/Source/Rights/ConnectionLedger.h
+++ b/Source/Rights/ConnectionLedger.h
@@ -36,8 +36,8 @@
 
   /// Answers a request that arrived at \p ReceivedAt. The caller ensures that
   /// this host was still the leader after that moment. Returns nothing if the
-  /// proxy is not registered, the request is old, or this leader's term is
-  /// old.
+  /// proxy is not registered or is leaving, the request is old, or this
+  /// leader's term is old.
   std::optional<RightsGrant> handleRequest(const RightsRequest &Request,
                                            const ClusterView &View,
                                            Millis ReceivedAt);
--- a/Source/Rights/ConnectionRights.h
+++ b/Source/Rights/ConnectionRights.h
@@ -12,8 +12,10 @@
 
 /// A proxy's current use of one target's connections.
 struct ConnectionUse {
-  std::uint32_t Open = 0;   ///< Connections, including those being opened.
-  std::uint32_t Wanted = 0; ///< Statements that are sent or waiting.
+  std::uint32_t Open = 0; ///< Connections, including those being opened.
+  /// Connections for the statements that are sent or waiting and for open
+  /// transactions.
+  std::uint32_t Wanted = 0;
 
   auto operator<=>(const ConnectionUse &) const = default;
 };
@@ -25,8 +27,8 @@
   explicit ConnectionRights(ProcessId Self) : Self(std::move(Self)) {}
 
   /// Returns the next request, for the targets that are in use or wanted. The
-  /// demand is the larger of this and the previous request's, so that a pause
-  /// between two statements returns no connection.
+  /// demand is the larger of the current use and the use at the previous
+  /// request, so that a pause between two statements returns no connection.
   RightsRequest request(const std::map<std::string, ConnectionUse> &Use,
                         Millis Now);
 
--- a/Source/Rights/Messages.h
+++ b/Source/Rights/Messages.h
@@ -22,7 +22,8 @@
   std::string Target;
   /// Connections that the proxy may open or still has open.
   std::uint32_t Held = 0;
-  /// Connections that it could use: statements that are sent or waiting.
+  /// Connections that it could use for statements that are sent or waiting and
+  /// for open transactions.
   std::uint32_t Wanted = 0;
 
   auto operator<=>(const RightsDemand &) const = default;
--- a/Source/Routing/Router.h
+++ b/Source/Routing/Router.h
@@ -44,9 +44,9 @@
 /// this preference, reads that accept older data would overload the primary,
 /// on which all writes and all reads of a session's latest writes depend.
 ///
-/// NotFound for an unknown database; Conflict where the session's last write
-/// was lost in a failover that the manifest allowed; Unavailable where no
-/// target is suitable at the moment.
+/// NotFound for an unknown database; Conflict if the session's last write was
+/// lost in a failover that the manifest allowed; Unavailable if no target is
+/// suitable at the moment.
 Expected<Route> route(const ClusterView &View, const TargetTable &Table,
                       const RouteQuery &Query, const LoadFunction &Load,
                       Millis Now);
--- a/Source/Routing/TargetTable.cpp
+++ b/Source/Routing/TargetTable.cpp
@@ -15,8 +15,8 @@
 /// an age.
 constexpr Millis SampleSpacing(5);
 
-/// Compares the term first: a target that joins a term truncates its log at
-/// the fork, so its position may decrease then.
+/// Compares the term and the fencing before the position: a target that joins a
+/// term truncates its log at the fork, so its position may decrease then.
 bool isOlder(const TargetObservation &Left, const TargetObservation &Right) {
   return std::tuple(Left.Term, !Left.IsFenced, Left.Position) <
          std::tuple(Right.Term, !Right.IsFenced, Right.Position);
