--- a/Source/Consensus/ConsensusElections.cpp
+++ b/Source/Consensus/ConsensusElections.cpp
@@ -137,7 +137,7 @@
 
 void Consensus::startElection(Millis Now) {
   // A majority has just confirmed that there is no leader, so a lost election
-  // is retried without waiting for the full heartbeat timeout.
+  // is retried without waiting for the full election timeout.
   setElectionTimer(Now, Options.ElectionTimeout / 2);
   if (!check(Log.setTerm(Log.term() + 1, Options.Name)))
     return;
--- a/Source/Consensus/Messages.h
+++ b/Source/Consensus/Messages.h
@@ -127,8 +127,9 @@
   }
 };
 
-/// Sent by a host without a group to the hosts in its settings. The reply
-/// carries the voters that the receiver knows.
+/// Sent to all control hosts that the sender knows, by a host that is not a
+/// voter or that starts a pre-vote. The reply carries the voters that the
+/// receiver knows.
 struct GroupDiscovery {
   /// Empty if the sender has no group either.
   Members Voters;
--- a/Source/Control/ControlNode.cpp
+++ b/Source/Control/ControlNode.cpp
@@ -331,7 +331,7 @@
   const Millis Now = Deps.Time.now();
   const Millis SilenceLimit =
       State.view().CurrentManifest->Failover.LeaseDuration * RemovalLeaseCount;
-  for (const auto &[Id, Where] : State.view().Proxies) {
+  for (const auto &[Id, ProxyLocality] : State.view().Proxies) {
     const auto Known = Leases.holders().find(Id);
     const auto End = Leases.expiry(Id);
     // A new leader waits only for registered proxies, so any proxy that may
--- a/Source/Failover/FailoverCoordinator.cpp
+++ b/Source/Failover/FailoverCoordinator.cpp
@@ -12,8 +12,8 @@
 
 /// Interval after which an unanswered order is sent again.
 constexpr Millis OrderRetryInterval(150);
-/// Interval between two equal proposals. A proposal normally commits within a
-/// few milliseconds.
+/// Minimum interval between two proposals for a group in one phase, audit
+/// records excepted. A proposal normally commits within a few milliseconds.
 constexpr Millis ProposalRetryInterval(1000);
 /// Number of SuspectAfter intervals that a group with too few targets waits
 /// before the promote-with-loss policy of its manifest applies.
--- a/Source/Failover/FailoverCoordinator.h
+++ b/Source/Failover/FailoverCoordinator.h
@@ -10,10 +10,10 @@
 ///      is selected. The promotion is committed, the target receives the
 ///      promote order, and the other targets are ordered to follow it.
 ///
-/// No acknowledged write is lost: a write is acknowledged when Copies targets
-/// hold it, and a promotion reads the positions of Targets - Copies + 1 targets
-/// after they have started to refuse the old term. At least one of these
-/// targets holds the write.
+/// No acknowledged write is lost: a write is acknowledged when
+/// AcknowledgedCopies targets hold it, and a promotion reads the positions of
+/// Targets - AcknowledgedCopies + 1 targets after they have started to refuse
+/// the old term. At least one of these targets holds the write.
 
 #ifndef CORIANDERDYKE_FAILOVER_FAILOVERCOORDINATOR_H
 #define CORIANDERDYKE_FAILOVER_FAILOVERCOORDINATOR_H
@@ -160,9 +160,9 @@
   std::map<std::string, GroupState> Databases;
 };
 
-/// True if more than half of the proxies that recently requested a lease report
-/// that they cannot reach the target or that it does not copy writes to enough
-/// replicas.
+/// True if more than half of the proxies that have a view and requested a lease
+/// within the last lease duration report that they cannot reach the target or
+/// that it does not copy writes to enough replicas.
 bool isSuspected(const std::string &Target, const LeaseRegistry &Leases,
                  const FailoverPolicy &Policy, Millis Now);
 
--- a/Source/Lease/LeaseRegistry.cpp
+++ b/Source/Lease/LeaseRegistry.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::int64_t Million = 1000000;
-/// Each of the two clock readings may be up to a millisecond late.
+/// Each of the two clock readings is truncated and may lag by up to one
+/// millisecond.
 constexpr Millis Rounding(2);
 
 } // namespace
@@ -39,7 +40,7 @@
   Holders.clear();
   const std::uint32_t DriftPpm =
       View.CurrentManifest ? View.CurrentManifest->Failover.ClockDriftPpm : 0;
-  for (const auto &[Id, Where] : View.Proxies) {
+  for (const auto &[Id, ProxyLocality] : View.Proxies) {
     Holder &Known = Holders[Id];
     Known.LastRequestAt = Now;
     Known.LeaseEnds[0] =
@@ -84,7 +85,7 @@
 
 bool LeaseRegistry::isInForce(const ClusterView &View, std::uint64_t Revision,
                               Millis Now) const {
-  for (const auto &[Id, Where] : View.Proxies) {
+  for (const auto &[Id, ProxyLocality] : View.Proxies) {
     const auto Known = Holders.find(Id);
     if (Known == Holders.end() || Known->second.AppliedRevision >= Revision)
       continue;
@@ -100,7 +101,7 @@
                               std::uint64_t Revision, Millis Now) const {
   if (!isInForce(View, Revision, Now))
     return false;
-  for (const auto &[Id, Where] : View.Proxies) {
+  for (const auto &[Id, ProxyLocality] : View.Proxies) {
     const auto Known = Holders.find(Id);
     const auto End = expiry(Id);
     if (Known == Holders.end() || !End || *End <= Now)
--- a/Source/State/ClusterView.h
+++ b/Source/State/ClusterView.h
@@ -28,7 +28,7 @@
   Forming,  ///< Too few targets have announced themselves yet.
   Fencing,  ///< Term of the former primary ended; writes are refused.
   Promoted, ///< Primary holds the term.
-  Draining, ///< Primary is leaving: it finishes its work and accepts none.
+  Draining, ///< Primary is leaving: it finishes work and begins no more.
 };
 
 /// Replicated state of one database group.
@@ -37,7 +37,7 @@
   GroupPhase Phase = GroupPhase::Forming;
   /// Never decreases. While fencing, it is the term of the next primary.
   std::uint64_t Term = 0;
-  std::string Primary; ///< Target name; empty unless promoted.
+  std::string Primary; ///< Target name; empty unless hasPrimary().
   std::vector<Fork> Forks;
   /// Names of all targets that have announced themselves for this database.
   std::set<std::string> Targets;
@@ -48,7 +48,7 @@
   /// that was acknowledged with a copy at that target. Only the positions of
   /// these logs count in a failover.
   std::map<std::string, std::string> CompleteLogs = {};
-  /// Number of times that a new name has joined the group.
+  /// Number of times that a name that was not in the group has joined it.
   std::uint32_t JoinCount = 0;
   /// Value of JoinCount once no target can count as one of the initial targets
   /// of the group any more.
--- a/Source/Transport/Envelope.h
+++ b/Source/Transport/Envelope.h
@@ -45,7 +45,8 @@
 std::string signAndEncode(const Envelope &Message, const std::string &Key);
 
 /// Decodes the envelope in \p Bytes. Returns BadInput if the signature does not
-/// match the key, and Corrupt if the content cannot be decoded.
+/// match the key or the protocol version is not supported, and Corrupt if the
+/// content cannot be decoded.
 Expected<Envelope> verifyAndDecode(const std::string &Bytes,
                                    const std::string &Key);
 
--- a/Source/Transport/SocketPeerStreams.cpp
+++ b/Source/Transport/SocketPeerStreams.cpp
@@ -165,7 +165,7 @@
 Expected<std::unique_ptr<SocketPeerStreams>>
 SocketPeerStreams::listen(EventLoop &Loop, const Endpoint &At,
                           std::string Key) {
-  std::unique_ptr<SocketPeerStreams> Made(
+  std::unique_ptr<SocketPeerStreams> Streams(
       new SocketPeerStreams(Loop, std::move(Key)));
   auto Listener = makeListener(
       Loop.base(), At, Backlog,
@@ -173,11 +173,11 @@
          void *Self) {
         static_cast<SocketPeerStreams *>(Self)->accepted(Socket);
       },
-      Made.get());
+      Streams.get());
   if (!Listener)
     return tl::unexpected(Listener.error());
-  Made->Listener = *Listener;
-  return Made;
+  Streams->Listener = *Listener;
+  return Streams;
 }
 
 SocketPeerStreams::~SocketPeerStreams() {
@@ -187,18 +187,18 @@
 
 std::shared_ptr<PeerStream>
 SocketPeerStreams::connect(const Endpoint &To, PeerStreamEvents Events) {
-  auto Made = std::make_shared<SocketPeerStream>(
+  auto Stream = std::make_shared<SocketPeerStream>(
       Loop, makeTcpSocket(UnackedDataTimeout), Key);
-  Made->start(std::move(Events));
-  Made->connect(To);
-  return Made;
+  Stream->start(std::move(Events));
+  Stream->connect(To);
+  return Stream;
 }
 
 void SocketPeerStreams::accepted(int Socket) {
   setTcpOptions(Socket, UnackedDataTimeout);
-  auto Made = std::make_shared<SocketPeerStream>(Loop, Socket, Key);
+  auto Stream = std::make_shared<SocketPeerStream>(Loop, Socket, Key);
   if (AcceptHandler)
-    Made->start(AcceptHandler(Made));
+    Stream->start(AcceptHandler(Stream));
 }
 
 } // namespace corianderdyke
