--- a/Source/State/ControlState.h
+++ b/Source/State/ControlState.h
@@ -64,7 +64,8 @@
 
   /// Checks whether a manifest would be accepted now. Returns Conflict if its
   /// version is in force with other content or is older than the version in
-  /// force.
+  /// force, or if it changes the number of targets or copies of a database in
+  /// use that has no writable primary.
   Expected<void> check(const Manifest &New) const;
 
   const ClusterView &view() const { return View; }
@@ -77,8 +78,9 @@
 
   bool operator==(const ControlState &) const = default;
 
-  /// Maximum number of audit records in the state. The log file of each host
-  /// keeps older ones for longer.
+  /// Number of audit records that stay in the state when older ones are
+  /// removed, which happens once there are a tenth more. The log file of each
+  /// host keeps older ones for longer.
   static constexpr std::size_t MaxAuditRecords = 5000;
   /// Maximum number of manifest texts that are kept.
   static constexpr std::size_t MaxManifests = 50;
