--- a/Source/App/Main.cpp
+++ b/Source/App/Main.cpp
@@ -6,8 +6,8 @@
 #include "App/CrashReport.h"
 #include "PlatformAdapter.h"
 
-int main(int Count, char **Words) {
+int main(int ArgumentCount, char **Arguments) {
   corianderdyke::installCrashHandler();
   return corianderdyke::runCommandLine(
-      Count, Words, corianderdyke::platform::makeProtocolAdapter);
+      ArgumentCount, Arguments, corianderdyke::platform::makeProtocolAdapter);
 }
--- a/Source/App/SteeringProcess.cpp
+++ b/Source/App/SteeringProcess.cpp
@@ -17,7 +17,8 @@
 constexpr Millis StopCheckInterval(50);
 /// The stop timeout is divided into StopParts. Transactions end by the end of
 /// part TransactionsEndBy, sessions between statements are closed by the end of
-/// part SessionsClosedBy; the rest is for sessions that are still at work.
+/// part SessionsClosedBy. Sessions that are still at work have the rest, up to
+/// the end of the last part but one, at which the process stops in any case.
 constexpr std::int64_t SessionsClosedBy = 4;
 constexpr std::int64_t TransactionsEndBy = 3;
 constexpr std::int64_t StopParts = 6;
--- a/Source/Common/Identity.h
+++ b/Source/Common/Identity.h
@@ -22,7 +22,8 @@
   /// "address:port".
   std::string text() const { return Address + ":" + std::to_string(Port); }
 
-  /// Parses "address:port"; BadInput if \p Text is invalid.
+  /// Parses "address:port" with an IPv4 address; BadInput if \p Text is
+  /// invalid.
   static Expected<Endpoint> parse(const std::string &Text);
 
   template <class Archive> void serialize(Archive &Ar) { Ar(Address, Port); }
--- a/Source/Logs/LogRateLimiter.h
+++ b/Source/Logs/LogRateLimiter.h
@@ -11,12 +11,13 @@
 
 namespace corianderdyke {
 
-/// Admits a fixed number of lines per second and counts the dropped ones.
+/// Admits at most MaxPerSecond lines per second and counts the dropped ones.
 /// Without a limit every statement would write a line under load, and logging
 /// would cost more than the statements.
 class LogRateLimiter {
 public:
-  explicit LogRateLimiter(std::uint32_t PerSecond = 0) : PerSecond(PerSecond) {}
+  explicit LogRateLimiter(std::uint32_t MaxPerSecond = 0)
+      : MaxPerSecond(MaxPerSecond) {}
 
   /// True if a line may be written at \p Now; always true if the limit is 0.
   bool allow(Millis Now) {
@@ -25,7 +26,7 @@
       WindowStart = Now;
       Written = 0;
     }
-    if (PerSecond != 0 && Written >= PerSecond) {
+    if (MaxPerSecond != 0 && Written >= MaxPerSecond) {
       ++DroppedCount;
       return false;
     }
@@ -37,7 +38,7 @@
   std::uint64_t takeDroppedCount() { return std::exchange(DroppedCount, 0); }
 
 private:
-  std::uint32_t PerSecond;
+  std::uint32_t MaxPerSecond; ///< 0 for no limit.
   std::uint32_t Written = 0;
   std::uint64_t DroppedCount = 0;
   Millis WindowStart = Millis(-1000000);
--- a/Source/Loop/EventLoop.cpp
+++ b/Source/Loop/EventLoop.cpp
@@ -71,7 +71,7 @@
         auto *Fired = static_cast<Timer *>(Argument);
         // Removed first, because the action may cancel or add timers.
         const auto Held = Fired->Owner->Timers.extract(Fired->Id);
-        Fired->Owner->TimerDelays.observe(
+        Fired->Owner->TimerLatency.observe(
             std::max(Fired->Owner->Time.now() - Fired->DueAt, Millis(0)));
         Fired->Action();
       },
--- a/Source/Loop/EventLoop.h
+++ b/Source/Loop/EventLoop.h
@@ -35,8 +35,8 @@
   void onSignal(int Signal, std::function<void()> Action);
 
   /// Runs \p Action once the current callback has returned, or at the latest
-  /// when the loop is destroyed. Used to free objects
-  /// that are still in use on the call stack.
+  /// when the loop is destroyed. Used to free objects that are still in use on
+  /// the call stack.
   void defer(std::function<void()> Action);
 
   /// Runs until stop().
@@ -46,7 +46,7 @@
   event_base *base() const { return Base; }
   /// How late timers ran, because of other callbacks, the load of the host or
   /// its suspension.
-  const DurationHistogram &timerLatency() const { return TimerDelays; }
+  const DurationHistogram &timerLatency() const { return TimerLatency; }
 
 private:
   struct Timer;
@@ -58,7 +58,7 @@
   event_base *Base;
   TimerId NextId = 1;
   std::map<TimerId, std::unique_ptr<Timer>> Timers;
-  DurationHistogram TimerDelays;
+  DurationHistogram TimerLatency;
   std::vector<std::unique_ptr<SignalHandler>> Signals;
   std::vector<std::function<void()>> Deferred;
 };
--- a/Source/Operators/OperatorService.cpp
+++ b/Source/Operators/OperatorService.cpp
@@ -220,22 +220,22 @@
                                      const ExchangePtr &Exchange) {
   const std::string &Name = Request.parameter("name");
   From.Control->addControlHost(
-      Name, withAuditNote(actorOf(Request), "control-host-added", Name,
-                          answerChange(Exchange, {{"added", Name}})));
+      Name, withAuditRecord(actorOf(Request), "control-host-added", Name,
+                            answerChange(Exchange, {{"added", Name}})));
 }
 
 void OperatorService::removeControlHost(const HttpRequest &Request,
                                         const ExchangePtr &Exchange) {
   const std::string &Name = Request.parameter("name");
   From.Control->removeControlHost(
-      Name, withAuditNote(actorOf(Request), "control-host-removed", Name,
-                          answerChange(Exchange, {{"removed", Name}})));
+      Name, withAuditRecord(actorOf(Request), "control-host-removed", Name,
+                            answerChange(Exchange, {{"removed", Name}})));
 }
 
 ControlNode::ChangeHandler
-OperatorService::withAuditNote(std::string Actor, std::string Action,
-                               std::string Name,
-                               ControlNode::ChangeHandler OnDone) {
+OperatorService::withAuditRecord(std::string Actor, std::string Action,
+                                 std::string Name,
+                                 ControlNode::ChangeHandler OnDone) {
   return [this, Actor = std::move(Actor), Action = std::move(Action),
           Name = std::move(Name),
           OnDone = std::move(OnDone)](const Expected<ApplyResult> &Result) {
--- a/Source/Operators/OperatorService.h
+++ b/Source/Operators/OperatorService.h
@@ -58,9 +58,10 @@
                          const ExchangePtr &Exchange);
   /// Adds an audit record with the operator's name after a change of the
   /// control group, whose own log entry carries no name.
-  ControlNode::ChangeHandler withAuditNote(std::string Actor,
-                                           std::string Action, std::string Name,
-                                           ControlNode::ChangeHandler OnDone);
+  ControlNode::ChangeHandler withAuditRecord(std::string Actor,
+                                             std::string Action,
+                                             std::string Name,
+                                             ControlNode::ChangeHandler OnDone);
   void drainProcess(const ExchangePtr &Exchange);
   bool isReady() const;
   std::string metrics() const;
--- a/Source/Operators/ProcessLatencies.h
+++ b/Source/Operators/ProcessLatencies.h
@@ -1,5 +1,5 @@
 /// \file
-/// Delays that a process measures for its metrics.
+/// Latencies that a process measures for its metrics.
 
 #ifndef CORIANDERDYKE_OPERATORS_PROCESSLATENCIES_H
 #define CORIANDERDYKE_OPERATORS_PROCESSLATENCIES_H
@@ -8,8 +8,9 @@
 
 namespace corianderdyke {
 
-/// Null where the process does not measure the delay. An election that finds no
-/// leader in time is due to one of these delays or to colliding candidates.
+/// Null where the process does not measure the latency. An election that finds
+/// no leader in time is due to one of these latencies or to colliding
+/// candidates.
 struct ProcessLatencies {
   const DurationHistogram *TimerLatency = nullptr; ///< From due time to run.
   const DurationHistogram *SyncLatency = nullptr;  ///< Of data folder syncs.
--- a/Source/Operators/StatusReport.cpp
+++ b/Source/Operators/StatusReport.cpp
@@ -29,8 +29,8 @@
 struct Reachability {
   std::size_t WatchedBy = 0;
   std::size_t ReachableFrom = 0;
-  /// The shortest time without an answer, where no watching proxy reaches the
-  /// target.
+  /// The shortest time without an answer that a watching proxy reports; empty
+  /// if any of them reaches the target.
   std::optional<Millis> SilentFor;
 };
 
