--- a/Source/App/OperatorClient.h
+++ b/Source/App/OperatorClient.h
@@ -17,7 +17,7 @@
       : Hosts(std::move(Hosts)), Timeout(Timeout) {}
 
   /// Sends the request to one process after another until one can answer it;
-  /// a control host that does not lead cannot. Unavailable where none answers
+  /// a control host that does not lead cannot. Unavailable if none answers
   /// in time.
   Expected<HttpResponse> send(const HttpRequest &Request);
 
--- a/Source/App/ReadFile.h
+++ b/Source/App/ReadFile.h
@@ -8,7 +8,7 @@
 
 namespace corianderdyke {
 
-/// Returns the whole content; NotFound where the file cannot be read.
+/// Returns the whole content; NotFound if the file cannot be read.
 Expected<std::string> readFile(const std::string &Path);
 
 } // namespace corianderdyke
--- a/Source/App/SteeringMetrics.h
+++ b/Source/App/SteeringMetrics.h
@@ -14,7 +14,7 @@
 
 namespace corianderdyke {
 
-/// The parts of the process; null where it does not have the role.
+/// The parts of the process; null if it does not have the role.
 struct SteeringSources {
   const Clock &Time;
   const Transport &Peers;
--- a/Source/Operators/HumanReport.cpp
+++ b/Source/Operators/HumanReport.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t ShownDigestLength = 12;
 constexpr std::int64_t MillisPerSecond = 1000;
 
-/// A field as text; empty where it is missing or null.
+/// A field as text; empty if it is missing or null.
 std::string cell(const json &From, const char *Name) {
   const auto Found = From.find(Name);
   if (Found == From.end() || Found->is_null())
--- a/Source/Operators/ProcessLatencies.h
+++ b/Source/Operators/ProcessLatencies.h
@@ -8,7 +8,7 @@
 
 namespace corianderdyke {
 
-/// Null where the process does not measure the latency. An election that finds
+/// Null if the process does not measure the latency. An election that finds
 /// no leader in time is due to one of these latencies or to colliding
 /// candidates.
 struct ProcessLatencies {
--- a/Source/Operators/StatusReport.h
+++ b/Source/Operators/StatusReport.h
@@ -15,7 +15,7 @@
 nlohmann::json statusReport(const ControlNode &Control,
                             const ControlState &State, Millis Now);
 
-/// The audit records after revision \p Since, of one subject or, where
+/// The audit records after revision \p Since, of one subject or, if
 /// \p Subject is empty, of all.
 nlohmann::json auditReport(const ControlState &State, std::uint64_t Since,
                            const std::string &Subject);
