--- a/Source/Relay/SharedConnector.cpp
+++ b/Source/Relay/SharedConnector.cpp
@@ -194,13 +194,13 @@
   decideSharing();
 }
 
-void SharedConnector::updateTargets(const TargetDirectory &Known) {
-  std::vector<TargetRecord> New = Known.all();
+void SharedConnector::updateTargets(const TargetDirectory &Directory) {
+  std::vector<TargetRecord> New = Directory.all();
   const bool IsSamePlacement = hasSamePlacement(New, Targets);
   Targets = std::move(New);
   if (!IsSamePlacement)
     rebuildTable();
-  Deps.Broker.update(Known);
+  Deps.Broker.update(Directory);
 }
 
 bool SharedConnector::hasSamePlacement(const std::vector<TargetRecord> &Left,
